--- /dev/null
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -0,0 +1,99 @@
+package dewlane.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import dewlane.core.ListedMachine;
+import dewlane.core.ListedMachine.State;
+import dewlane.core.MachineType;
+import java.io.IOException;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The exact messages of the cloud's protocol. They must not change when the code that reads and writes them does. */
+class CloudProtocolGoldenTest {
+    private static final String CATALOG =
+            """
+            {"racks":[{"name":"g8","vcpus":96,"gpus":8,"ramGb":768.5,"cacheGb":200,"fetchGbPerS":0.5,"hourly":12.25,\
+            "marketPrice":4.5,"readyS":45,"cellars":["a","b"]},\
+            {"name":"c2","vcpus":2,"ramGb":8,"cacheGb":20,"fetchGbPerS":0.25,"hourly":0.1,"marketPrice":0.03,\
+            "readyS":30,"cellars":[]}]}""";
+
+    private static final String PAGE =
+            """
+            {"casks":[{"uid":"vm-1","address":"10.1.0.1:9000","rack":"g8","cellar":"a","consignment":true,\
+            "condition":"running","heldS":61.5},\
+            {"uid":"vm-2","address":null,"rack":"c2","cellar":"b","consignment":false,"condition":"starting"},\
+            {"uid":"vm-3","address":"10.1.0.3:9000","rack":"c2","cellar":"b","consignment":false,\
+            "condition":"failed","heldS":7},\
+            {"uid":"vm-4","address":"10.1.0.4:9000","rack":"c2","cellar":"b","consignment":false,\
+            "condition":"a word of a newer cloud","heldS":8}],"more":true}""";
+
+    @Test
+    void pathsAreFixed() {
+        assertEquals("/catalog", CloudWire.CATALOG);
+        assertEquals("/machines", CloudWire.MACHINES);
+        assertEquals("/machines/delete", CloudWire.DELETE);
+        assertEquals(100, CloudWire.MAX_DELETE);
+        assertEquals("/machines?limit=500", CloudWire.page((String) null));
+        assertEquals("/machines?limit=500&since=vm-000231", CloudWire.page("vm-000231"));
+    }
+
+    @Test
+    void catalogIsRead() throws IOException {
+        List<MachineType> expected = List.of(
+                new MachineType("g8", 96, 8, 768.5, 200, 0.5, 12.25, 4.5, 45, List.of("a", "b")),
+                new MachineType("c2", 2, 0, 8, 20, 0.25, 0.1, 0.03, 30, List.of()));
+        assertEquals(expected, CloudWire.catalog(Golden.bytes(CATALOG)));
+    }
+
+    @Test
+    void pageOfMachinesInEveryStateIsRead() throws IOException {
+        List<ListedMachine> machines = List.of(
+                new ListedMachine("vm-1", "10.1.0.1:9000", "g8", "a", true, State.RUNNING, 61.5),
+                new ListedMachine("vm-2", null, "c2", "b", false, State.STARTING, 0),
+                new ListedMachine("vm-3", "10.1.0.3:9000", "c2", "b", false, State.FAILED, 7),
+                new ListedMachine("vm-4", "10.1.0.4:9000", "c2", "b", false, State.STARTING, 8));
+        assertEquals(new CloudWire.Page(machines, true), CloudWire.page(Golden.bytes(PAGE)));
+    }
+
+    @Test
+    void lastPageIsRead() throws IOException {
+        byte[] body = Golden.bytes("{\"casks\":[],\"more\":false}");
+        assertEquals(new CloudWire.Page(List.of(), false), CloudWire.page(body));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"true, 3", "false, 1"})
+    void rentalIsWritten(boolean spot, int count) {
+        String expected = "{\"indent\":\"cask-0-4-17\",\"rack\":\"g8\",\"cellar\":\"a\",\"consignment\":" + spot
+                + ",\"count\":" + count + "}";
+        Golden.assertMessage(expected, CloudWire.rent("cask-0-4-17", "g8", "a", spot, count));
+    }
+
+    @Test
+    void rentedMachinesAreRead() throws IOException {
+        byte[] body = Golden.bytes("{\"casks\":[\"vm-000231\",\"vm-000232\"]}");
+        assertEquals(List.of("vm-000231", "vm-000232"), CloudWire.rented(body));
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{\"error\":\"no capacity\"} | true",
+                "{\"error\":\"outage\"}      | false",
+                "{}                          | false",
+                "no JSON                     | false"
+            })
+    void lackOfCapacityIsRead(String body, boolean expected) {
+        assertEquals(expected, CloudWire.noCapacity(Golden.bytes(body)));
+    }
+
+    @Test
+    void deletionIsWritten() {
+        byte[] message = CloudWire.delete(List.of("vm-000231", "vm-000232"));
+        Golden.assertMessage("{\"casks\":[\"vm-000231\",\"vm-000232\"]}", message);
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/wire/StateProtocolGoldenTest.java
@@ -0,0 +1,215 @@
+package dewlane.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import dewlane.core.Attempt;
+import dewlane.core.Input.Change;
+import dewlane.core.Input.Row;
+import dewlane.core.Job;
+import dewlane.core.JobBuilder;
+import dewlane.core.Priority;
+import dewlane.core.Transaction;
+import dewlane.core.UnknownFields;
+import dewlane.core.Value;
+import java.io.IOException;
+import java.util.BitSet;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * The exact messages of the state service's protocol, with every kind of value in both directions. They must not change
+ * when the code that reads and writes them does.
+ */
+class StateProtocolGoldenTest {
+    private static final String JOB =
+            """
+            {"id":"wk-000412","lot":"train","team":"vision","priority":"STANDARD","tasks":16,"cpus":8.5,"gpus":1.0,\
+            "memory":64.0,"image":"img-07","imageGb":6.2,"types":["g8","g4"],"zone":"east","oneZone":true,\
+            "spread":false,"spot":true,"estimate":240.0,"checkpoint":30.0,"save":4.0,"deadline":900.0,\
+            "accepted":1764668400123,"awaits":"1:7;6:oC","deals":["cask-0",0,10,"cask-1",10,6],\
+            "aborted":1764668500000,"newer":[1,"two"]}""";
+
+    private static final String SLICE =
+            """
+            {"owner":"cask-1","first":40,"count":20,"launches":3,"done":"0-4,7","live":[\
+            [3,1764668450000,77,"vm-1",2,0,"5,8-9","vm-2",1,-1,"6"],[2,1764668440000,70,"vm-1",2,0,"11"]],\
+            "newer":{"a":true}}""";
+
+    private static final String MAP =
+            """
+            {"epoch":5,"members":{"cask-0":4,"cask-1":5},"moved":{"vm-1":"cask-1"},\
+            "loans":["blue","cask-0",1.5,0.0,"blue","cask-1",-1.5,0.0],"formats":{"cask-0":2},"newer":2.5}""";
+
+    private static final String FINAL = "{\"aborted\":true,\"at\":1764668600001}";
+    private static final String PRESENCE = "{\"incarnation\":4,\"format\":2}";
+    private static final String TEAM = "{\"cpus\":12.5,\"gpus\":2.0}";
+    private static final String MACHINES =
+            "{\"fate\":\"RETURN\",\"reason\":\"idle\",\"names\":[\"vm-1\",\"vm-2\"],\"newer\":null}";
+
+    private static UnknownFields newer(Object value) {
+        return new UnknownFields(Map.of("newer", value));
+    }
+
+    private static Value.JobRecord jobRecord() {
+        Job job = JobBuilder.job("wk-000412")
+                .lot("train")
+                .team("vision")
+                .priority(Priority.STANDARD)
+                .tasks(16)
+                .cpus(8.5)
+                .gpus(1)
+                .memoryGb(64)
+                .image("img-07")
+                .imageGb(6.2)
+                .types(List.of("g8", "g4"))
+                .zone("east")
+                .oneZone(true)
+                .estimateS(240)
+                .checkpointS(30)
+                .saveS(4)
+                .deadlineS(900)
+                .acceptedMs(1_764_668_400_123L)
+                .build()
+                .withAwaits(List.of("wk-7", "wk-000398"));
+        List<Value.Deal> deals = List.of(new Value.Deal("cask-0", 0, 10), new Value.Deal("cask-1", 10, 6));
+        return new Value.JobRecord(job, deals, 1_764_668_500_000L, newer(List.of(1L, "two")));
+    }
+
+    private static Value.Slice slice() {
+        BitSet done = new BitSet();
+        done.set(0, 5);
+        done.set(7);
+        List<Attempt> attempts = List.of(
+                new Attempt(45, 3, "vm-1", 2, 77, 1_764_668_450_000L),
+                new Attempt(48, 3, "vm-1", 2, 77, 1_764_668_450_000L),
+                new Attempt(49, 3, "vm-1", 2, 77, 1_764_668_450_000L),
+                new Attempt(46, 3, "vm-2", 1, 76, 1_764_668_450_000L),
+                new Attempt(51, 2, "vm-1", 2, 70, 1_764_668_440_000L));
+        return new Value.Slice("cask-1", 40, 20, 3, done, attempts, newer(Map.of("a", true)));
+    }
+
+    private static Value.ClusterMap clusterMap() {
+        return new Value.ClusterMap(
+                5,
+                List.of(new Value.Member("cask-0", 4), new Value.Member("cask-1", 5)),
+                Map.of("vm-1", "cask-1"),
+                List.of(new Value.Loan("blue", "cask-0", 1.5, 0), new Value.Loan("blue", "cask-1", -1.5, 0)),
+                Map.of("cask-0", 2),
+                newer(2.5));
+    }
+
+    private static Value.MachineRecord machineRecord() {
+        UnknownFields unknown = new UnknownFields(Collections.singletonMap("newer", null));
+        return new Value.MachineRecord(Value.MachineFate.RETURN, "idle", List.of("vm-1", "vm-2"), unknown);
+    }
+
+    private static Stream<Arguments> values() {
+        return Stream.of(
+                Arguments.of("dewlane/job/wk-000412", JOB, jobRecord()),
+                Arguments.of("dewlane/final/wk-000412", FINAL, new Value.FinalRecord(true, 1_764_668_600_001L)),
+                Arguments.of("dewlane/slice/wk-000412/2", SLICE, slice()),
+                Arguments.of("dewlane/map", MAP, clusterMap()),
+                Arguments.of("dewlane/node/cask-0", PRESENCE, new Value.Presence(4, 2)),
+                Arguments.of("dewlane/team/vision", TEAM, new Value.TeamRecord(12.5, 2)),
+                Arguments.of("dewlane/machine/+cask-0-3-1", MACHINES, machineRecord()));
+    }
+
+    @Test
+    void pathsAreFixed() {
+        assertEquals("/txn", StateWire.TXN);
+        assertEquals("/grants", StateWire.GRANTS);
+        assertEquals("/store/dewlane/map", StateWire.get("dewlane/map"));
+        assertEquals(
+                "/store?prefix=dewlane/&since=dewlane/final0&limit=200",
+                StateWire.list("dewlane/", "dewlane/final0", 200));
+        assertEquals("/watch?prefix=dewlane/&since=88&blockMs=5000", StateWire.watch("dewlane/", 88, 5000));
+        assertEquals("/grants/17/touch", StateWire.touch(17));
+    }
+
+    @Test
+    void leaseIsAskedForAndGranted() throws IOException {
+        Golden.assertMessage("{\"ttlMs\":10000}", StateWire.grant(10_000));
+        assertEquals(17, StateWire.granted(Golden.bytes("{\"tenancy\":17}")));
+    }
+
+    @Test
+    void revisionIsRead() throws IOException {
+        assertEquals(5_000_000_001L, StateWire.revision(Golden.bytes("{\"ledger\":5000000001}")));
+    }
+
+    @ParameterizedTest
+    @MethodSource("values")
+    void everyValueIsReadFromItsKey(String key, String json, Value value) throws IOException {
+        byte[] body = Golden.bytes("{\"value\":" + json + ",\"entry\":41,\"ledger\":50}");
+        assertEquals(new Row(key, value, 41), StateWire.row(key, body));
+    }
+
+    @ParameterizedTest
+    @MethodSource("values")
+    void everyValueIsWritten(String key, String json, Value value) {
+        Transaction transaction = new Transaction.Builder().set(key, value).build();
+        String expected = "{\"when\":[],\"apply\":[{\"set\":\"" + key + "\",\"value\":" + json + "}]}";
+        Golden.assertMessage(expected, StateWire.txn(transaction));
+    }
+
+    @Test
+    void unreadableValueIsNeverWritten() {
+        Transaction transaction = new Transaction.Builder()
+                .set("dewlane/map", new Value.Unreadable("x"))
+                .build();
+        assertThrows(IllegalArgumentException.class, () -> StateWire.txn(transaction));
+    }
+
+    @Test
+    void transactionWithEveryKindOfGuardAndWriteIsWritten() {
+        Transaction transaction = new Transaction.Builder()
+                .when("dewlane/map", 7)
+                .when("dewlane/team/vision", 0)
+                .set("dewlane/team/vision", new Value.TeamRecord(12.5, 2))
+                .setLeased("dewlane/node/cask-0", new Value.Presence(4, 2), 17)
+                .delete("dewlane/job/wk-1")
+                .build();
+        String expected =
+                """
+                {"when":[{"key":"dewlane/map","entry":7},{"key":"dewlane/team/vision","entry":0}],"apply":[\
+                {"set":"dewlane/team/vision","value":{"cpus":12.5,"gpus":2.0}},\
+                {"set":"dewlane/node/cask-0","value":{"incarnation":4,"format":2},"tenancy":17},\
+                {"delete":"dewlane/job/wk-1"}]}""";
+        Golden.assertMessage(expected, StateWire.txn(transaction));
+    }
+
+    @Test
+    void pageOfKeysIsRead() throws IOException {
+        String body = "{\"rows\":[{\"key\":\"dewlane/map\",\"value\":" + MAP + ",\"entry\":8},"
+                + "{\"key\":\"dewlane/team/vision\",\"value\":" + TEAM + ",\"entry\":9}],"
+                + "\"more\":true,\"ledger\":50}";
+        List<Row> rows = List.of(
+                new Row("dewlane/map", clusterMap(), 8),
+                new Row("dewlane/team/vision", new Value.TeamRecord(12.5, 2), 9));
+        StateWire.Page expected = new StateWire.Page(rows, "dewlane/team/vision", true, 50);
+        assertEquals(expected, StateWire.page(Golden.bytes(body)));
+    }
+
+    @Test
+    void emptyPageIsRead() throws IOException {
+        byte[] body = Golden.bytes("{\"rows\":[],\"more\":false,\"ledger\":50}");
+        assertEquals(new StateWire.Page(List.of(), null, false, 50), StateWire.page(body));
+    }
+
+    @Test
+    void changesAreRead() throws IOException {
+        String body = "{\"log\":[{\"set\":\"dewlane/team/vision\",\"value\":" + TEAM + ",\"entry\":48},"
+                + "{\"delete\":\"dewlane/job/wk-1\",\"entry\":49}],\"ledger\":50}";
+        List<Change> changes = List.of(
+                new Change("dewlane/team/vision", new Value.TeamRecord(12.5, 2), 48),
+                new Change("dewlane/job/wk-1", null, 49));
+        assertEquals(new StateWire.Events(changes, 50), StateWire.events(Golden.bytes(body)));
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
@@ -0,0 +1,124 @@
+package dewlane.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import dewlane.core.Order;
+import dewlane.core.Report;
+import dewlane.core.Report.End;
+import dewlane.core.Report.Phase;
+import dewlane.core.Report.TaskState;
+import java.io.IOException;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The exact messages of the workers' protocol. They must not change when the code that reads and writes them does. */
+class WorkerProtocolGoldenTest {
+    private static final String REPORT =
+            """
+            {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":2,\
+            "tally":88,"seal":5000000041,"recallS":29.5,"bottles":[\
+            {"bottle":"wk-1/0","try":1,"condition":"pulling"},\
+            {"bottle":"wk-1/1","try":2,"condition":"running"},\
+            {"bottle":"wk-1/2","try":3,"condition":"saving"},\
+            {"bottle":"wk-1/3","try":4,"condition":"ended","fault":"done"},\
+            {"bottle":"wk-1/4","try":5,"condition":"ended","fault":"stopped","kept":true},\
+            {"bottle":"wk-1/5","try":6,"condition":"ended","fault":"error","kept":false},\
+            {"bottle":"wk-1/6","try":7,"condition":"ended","fault":"full"},\
+            {"bottle":"wk-1/7","try":8,"condition":"ended","fault":"busy"},\
+            {"bottle":"wk-1/8","try":9,"condition":"ended","fault":"no_such"},\
+            {"bottle":"wk-1/9","try":10,"condition":"ended","fault":"a word of a newer worker"}]}""";
+
+    private static final String WITHOUT_TASKS =
+            """
+            {"cask":"vm-1","address":"h:1","rack":"g4","cellar":"b","consignment":false,"pour":1,"tally":1,"seal":0,\
+            "recallS":null,"bottles":[]}""";
+
+    private static final List<Order> ORDERS = List.of(
+            new Order(Order.Kind.LAUNCH, "wk-000412", 4, 2, 0),
+            new Order(Order.Kind.STOP, "wk-000377", 1, 1, 10),
+            new Order(Order.Kind.STOP, "wk-000377", 2, 1, 0.5),
+            new Order(Order.Kind.FORGET, "wk-000398", 0, 1, 0));
+
+    private static final String ORDERS_TEXT =
+            """
+            "orders":[{"order":"launch","bottle":"wk-000412/4","try":2},\
+            {"order":"stop","bottle":"wk-000377/1","try":1,"restS":10.0},\
+            {"order":"stop","bottle":"wk-000377/2","try":1,"restS":0.5},\
+            {"order":"forget","bottle":"wk-000398/0","try":1}]""";
+
+    private static TaskState task(int number, Phase phase, End end, boolean saved) {
+        return new TaskState("wk-1", number, number + 1, phase, end, saved);
+    }
+
+    @Test
+    void pathsAreFixed() {
+        assertEquals("/v1/report", WorkerWire.REPORT);
+        assertEquals("/do", WorkerWire.COMMAND);
+    }
+
+    @Test
+    void reportWithEveryTaskStateIsRead() throws IOException {
+        List<TaskState> tasks = List.of(
+                task(0, Phase.FETCHING, null, false),
+                task(1, Phase.RUNNING, null, false),
+                task(2, Phase.SAVING, null, false),
+                task(3, Phase.EXITED, End.DONE, false),
+                task(4, Phase.EXITED, End.STOPPED, true),
+                task(5, Phase.EXITED, End.ERROR, false),
+                task(6, Phase.EXITED, End.NO_ROOM, false),
+                task(7, Phase.EXITED, End.BUSY, false),
+                task(8, Phase.EXITED, End.UNKNOWN, false),
+                task(9, Phase.EXITED, End.ERROR, false));
+        Report expected =
+                new Report("vm-000231", "10.1.0.232:9000", "g8", "a", true, 2, 88, 5_000_000_041L, 29.5, tasks);
+        assertEquals(expected, WorkerWire.report(Golden.bytes(REPORT)));
+    }
+
+    @Test
+    void reportWithoutTasksAndNoticeIsRead() throws IOException {
+        Report expected = new Report("vm-1", "h:1", "g4", "b", false, 1, 1, 0, Double.NaN, List.of());
+        assertEquals(expected, WorkerWire.report(Golden.bytes(WITHOUT_TASKS)));
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"cask\":\"vm-000231\" | \"cask\":\"\"     | not a report",
+                "\"address\":           | \"x\":            | not a report",
+                "\"rack\":              | \"x\":            | not a report",
+                "\"cellar\":            | \"x\":            | not a report",
+                "\"pour\":2             | \"pour\":0        | not a report",
+                "\"wk-1/0\"             | \"wk-1\"          | not a task: wk-1",
+                "\"pulling\"            | \"asleep\"        | unknown task state asleep"
+            })
+    void malformedReportIsRefused(String good, String bad, String reason) {
+        byte[] body = Golden.bytes(REPORT.replace(good, bad));
+        IOException refusal = assertThrows(IOException.class, () -> WorkerWire.report(body));
+        assertEquals(reason, refusal.getMessage());
+    }
+
+    @Test
+    void answerWithEveryKindOfOrderIsWritten() {
+        Golden.assertMessage("{\"seal\":5000000041," + ORDERS_TEXT + "}", WorkerWire.answer(5_000_000_041L, ORDERS));
+    }
+
+    @Test
+    void answerWithoutOrdersIsWritten() {
+        Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerWire.answer(41, List.of()));
+    }
+
+    @Test
+    void directCommandIsWritten() {
+        Golden.assertMessage("{\"seal\":41,\"pour\":3," + ORDERS_TEXT + "}", WorkerWire.command(3, 41, ORDERS));
+    }
+
+    @Test
+    void redirectNamesTheControllerIfThereIsOne() {
+        Golden.assertMessage("{\"steward\":\"cask-2\"}", WorkerWire.redirect("cask-2"));
+        Golden.assertMessage("{}", WorkerWire.redirect(null));
+    }
+}
