--- a/src/main/java/dewlane/wire/JobCodec.java
+++ b/src/main/java/dewlane/wire/JobCodec.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import dewlane.core.Job;
-import dewlane.core.Priority;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
@@ -42,7 +41,7 @@
         out.writeStringField("id", j.id());
         out.writeStringField("lot", j.lot());
         out.writeStringField("team", j.team());
-        out.writeStringField("priority", j.priority().name());
+        out.writeStringField("priority", StoredWords.word(j.priority()));
         out.writeNumberField("tasks", j.tasks());
         out.writeNumberField("cpus", j.cpus());
         out.writeNumberField("gpus", j.gpus());
@@ -81,7 +80,7 @@
                 Json.string(in, "id"),
                 Json.string(in, "lot"),
                 Json.string(in, "team"),
-                Priority.valueOf(Json.string(in, "priority")),
+                StoredWords.priority(Json.string(in, "priority")),
                 tasks.intValue(),
                 Json.number(in, "cpus"),
                 Json.number(in, "gpus"),
--- /dev/null
+++ b/src/main/java/dewlane/wire/StoredWords.java
@@ -0,0 +1,59 @@
+package dewlane.wire;
+
+import dewlane.core.Priority;
+import dewlane.core.Value.MachineFate;
+
+/**
+ * The words that stand for constants in stored values. They are kept apart from the names of the Java constants, as
+ * values outlive the version that wrote them: a constant may be renamed, its word may not change.
+ */
+final class StoredWords {
+    private static final String IDLE = "IDLE";
+    private static final String STANDARD = "STANDARD";
+    private static final String HIGH = "HIGH";
+    private static final String CRITICAL = "CRITICAL";
+
+    private static final String RETURN = "RETURN";
+    private static final String DELETE = "DELETE";
+    private static final String GONE = "GONE";
+
+    private StoredWords() {}
+
+    static String word(Priority priority) {
+        return switch (priority) {
+            case IDLE -> IDLE;
+            case STANDARD -> STANDARD;
+            case HIGH -> HIGH;
+            case CRITICAL -> CRITICAL;
+        };
+    }
+
+    /** The priority that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
+    static Priority priority(String word) {
+        return switch (String.valueOf(word)) {
+            case IDLE -> Priority.IDLE;
+            case STANDARD -> Priority.STANDARD;
+            case HIGH -> Priority.HIGH;
+            case CRITICAL -> Priority.CRITICAL;
+            default -> throw new IllegalArgumentException("unknown priority " + word);
+        };
+    }
+
+    static String word(MachineFate fate) {
+        return switch (fate) {
+            case RETURN -> RETURN;
+            case DELETE -> DELETE;
+            case GONE -> GONE;
+        };
+    }
+
+    /** The fate that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
+    static MachineFate machineFate(String word) {
+        return switch (String.valueOf(word)) {
+            case RETURN -> MachineFate.RETURN;
+            case DELETE -> MachineFate.DELETE;
+            case GONE -> MachineFate.GONE;
+            default -> throw new IllegalArgumentException("unknown fate of a machine " + word);
+        };
+    }
+}
--- a/src/main/java/dewlane/wire/ValueCodec.java
+++ b/src/main/java/dewlane/wire/ValueCodec.java
@@ -105,7 +105,7 @@
     }
 
     private static void machineRecord(JsonGenerator out, Value.MachineRecord record) throws IOException {
-        out.writeStringField("fate", record.fate().name());
+        out.writeStringField("fate", StoredWords.word(record.fate()));
         out.writeStringField("reason", record.reason());
         if (!record.names().isEmpty()) {
             out.writeArrayFieldStart("names");
@@ -192,7 +192,7 @@
                 return finalRecord(in);
             } else if (key.startsWith(Keys.MACHINES)) {
                 return new Value.MachineRecord(
-                        Value.MachineFate.valueOf(Json.string(in, "fate")),
+                        StoredWords.machineFate(Json.string(in, "fate")),
                         Json.string(in, "reason"),
                         List.copyOf(Json.strings(in, "names")),
                         unknownFields(in, MACHINE_FIELDS));
--- /dev/null
+++ b/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
@@ -0,0 +1,80 @@
+package dewlane.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import dewlane.core.Job;
+import dewlane.core.JobBuilder;
+import dewlane.core.Keys;
+import dewlane.core.Priority;
+import dewlane.core.Value;
+import dewlane.core.Value.MachineFate;
+import java.io.IOException;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/** The words that stand for constants in stored values. They stay the same whatever the constants are called. */
+class StoredWordsGoldenTest {
+    private static Value.JobRecord jobRecord(Priority priority) {
+        Job job = JobBuilder.job("wk-1").priority(priority).build();
+        return new Value.JobRecord(job, List.of(), 0);
+    }
+
+    private static String jobJson(String priority) {
+        return """
+                {"id":"wk-1","lot":"lot","team":"blue","priority":"%s","tasks":1,"cpus":1.0,"gpus":0.0,"memory":1.0,\
+                "image":"image","imageGb":1.0,"types":[],"oneZone":false,"spread":false,"spot":true,"estimate":10.0,\
+                "checkpoint":0.0,"save":0.0,"deadline":0.0,"accepted":0,"deals":[]}"""
+                .formatted(priority);
+    }
+
+    private static String machineJson(String fate) {
+        return "{\"fate\":\"" + fate + "\",\"reason\":\"silent\"}";
+    }
+
+    private static Value decode(String key, String json) throws IOException {
+        return ValueCodec.decode(key, Json.object(Golden.bytes(json)));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"IDLE, IDLE", "STANDARD, STANDARD", "HIGH, HIGH", "CRITICAL, CRITICAL"})
+    void priorityHasItsWord(String word, Priority priority) throws IOException {
+        Golden.assertMessage(jobJson(word), ValueCodec.bytes(jobRecord(priority)));
+        assertEquals(jobRecord(priority), decode(Keys.job("wk-1"), jobJson(word)));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"RETURN, RETURN", "DELETE, DELETE", "GONE, GONE"})
+    void fateOfAMachineHasItsWord(String word, MachineFate fate) throws IOException {
+        Value.MachineRecord machine = new Value.MachineRecord(fate, "silent", List.of());
+        Golden.assertMessage(machineJson(word), ValueCodec.bytes(machine));
+        assertEquals(machine, decode(Keys.machine("vm-1"), machineJson(word)));
+    }
+
+    @ParameterizedTest
+    @EnumSource
+    void everyPriorityIsReadAsItIsWritten(Priority priority) {
+        assertEquals(priority, StoredWords.priority(StoredWords.word(priority)));
+    }
+
+    @ParameterizedTest
+    @EnumSource
+    void everyFateIsReadAsItIsWritten(MachineFate fate) {
+        assertEquals(fate, StoredWords.machineFate(StoredWords.word(fate)));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"URGENT", "high", "''"})
+    void valueWithAnUnknownPriorityIsUnreadable(String word) throws IOException {
+        Value expected = new Value.Unreadable("unknown priority " + word);
+        assertEquals(expected, decode(Keys.job("wk-1"), jobJson(word)));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"SOLD", "gone", "''"})
+    void valueWithAnUnknownFateIsUnreadable(String word) throws IOException {
+        Value expected = new Value.Unreadable("unknown fate of a machine " + word);
+        assertEquals(expected, decode(Keys.machine("vm-1"), machineJson(word)));
+    }
+}
