--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/DeployFile.java
@@ -1,10 +1,10 @@
 package dewlane.cli;
 
-import dewlane.core.Settings;
-import dewlane.core.Settings.Objective;
-import dewlane.core.Settings.Team;
-import dewlane.core.Settings.Tuning;
-import dewlane.core.StateLimits;
+import dewlane.core.config.Settings;
+import dewlane.core.config.Settings.Objective;
+import dewlane.core.config.Settings.Team;
+import dewlane.core.config.Settings.Tuning;
+import dewlane.core.config.StateLimits;
 import dewlane.io.Endpoints;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/dewlane/core/Submissions.java
+++ b/src/main/java/dewlane/core/admission/Submissions.java
@@ -1,8 +1,25 @@
-package dewlane.core;
+package dewlane.core.admission;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Value.FinalRecord;
-import dewlane.core.Value.JobRecord;
+import dewlane.core.config.Settings;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Dependencies;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Input;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.scheduling.JobDistributor;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.ValueSize;
+import dewlane.core.store.FinalReader;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.ReadBarrier;
+import dewlane.core.store.Replica;
+import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,7 +29,7 @@
  * Takes submissions: decides whether a job can run at all, whether the jobs that it awaits were ever accepted, and
  * writes it.
  */
-final class Submissions {
+public final class Submissions {
     /** When those come back whose submission is more than can be written. */
     private static final int OVERLOAD_RETRY_S = 4;
     /** When those come back who ask for what an older version that still runs does not know. */
@@ -31,7 +48,7 @@
     private final UserReplies replies;
     private final ValueSize size;
 
-    Submissions(
+    public Submissions(
             Context context,
             Replica replica,
             Machines machines,
@@ -57,7 +74,7 @@
         this.size = size;
     }
 
-    void submit(Input.Submit in) {
+    public void submit(Input.Submit in) {
         if (in.uid() == null) {
             replies.refused(in.id(), 400, in.reason());
             return;
--- a/src/main/java/dewlane/core/UserReplies.java
+++ b/src/main/java/dewlane/core/admission/UserReplies.java
@@ -1,8 +1,10 @@
-package dewlane.core;
+package dewlane.core.admission;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Effect.JobState;
-import dewlane.core.Value.FinalRecord;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobState;
+import dewlane.core.schema.Value.FinalRecord;
 
 /** Answers to users' requests. */
 final class UserReplies {
--- a/src/main/java/dewlane/core/Users.java
+++ b/src/main/java/dewlane/core/admission/Users.java
@@ -1,15 +1,27 @@
-package dewlane.core;
+package dewlane.core.admission;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Effect.JobState;
-import dewlane.core.Value.FinalRecord;
-import dewlane.core.Value.JobRecord;
+import dewlane.core.job.Cancellations;
+import dewlane.core.job.Dependencies;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobState;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.ValueSize;
+import dewlane.core.store.FinalReader;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.ReadBarrier;
+import dewlane.core.store.Replica;
+import dewlane.core.store.TransactionQueue;
 
 /**
  * Answers polls and cancellations. What is not known to be final is told only behind a {@link ReadBarrier}, so that no
  * controller shows a state older than one that another has shown.
  */
-final class Users {
+public final class Users {
     private final Context context;
     private final Replica replica;
     private final TransactionQueue transactions;
@@ -20,7 +32,7 @@
     private final UserReplies replies;
     private final ValueSize size;
 
-    Users(
+    public Users(
             Context context,
             Replica replica,
             TransactionQueue transactions,
@@ -40,11 +52,11 @@
         this.size = size;
     }
 
-    void poll(Input.Poll in) {
+    public void poll(Input.Poll in) {
         lookUp(in.id(), in.job(), () -> replies.refused(in.id(), 404, "no such job"));
     }
 
-    void abort(Input.Abort in) {
+    public void abort(Input.Abort in) {
         FinalRecord fin = replica.fin(in.job());
         if (fin != null) {
             replies.finalState(in.id(), in.job(), fin);
--- a/src/main/java/dewlane/core/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -1,6 +1,16 @@
-package dewlane.core;
-
-import dewlane.core.Rental.Place;
+package dewlane.core.autoscaling;
+
+import dewlane.core.autoscaling.Rental.Place;
+import dewlane.core.fleet.Machines;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Priority;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -9,7 +19,7 @@
  * Rents machines for the demand in sight, while this controller leads. What idles goes back by its partition's owner
  * (see {@link ScaleDown}), and {@link CloudInventory} deletes it.
  */
-final class Autoscaler {
+public final class Autoscaler {
     private static final long LIST_MS = 2000;
     /** The part of the cloud's requests that lists may take, and the machines that one of them tells of. */
     private static final double LIST_SHARE = 0.5;
@@ -53,7 +63,7 @@
     private long ledSince;
     private boolean planned;
 
-    Autoscaler(
+    public Autoscaler(
             Context context,
             Replica replica,
             Machines machines,
@@ -69,7 +79,7 @@
     }
 
     /** Keeps the catalog and the list current, and rents. */
-    void tick() {
+    public void tick() {
         long now = context.now();
         readCatalog();
         if (!membership.leads()) {
@@ -121,18 +131,18 @@
                 || replica.map().epoch() <= replica.map().members().size();
     }
 
-    void listed(Input.MachinesListed in) {
+    public void listed(Input.MachinesListed in) {
         inventory.listed(in.machines());
     }
 
-    void deleted(Input.Deleted in) {
+    public void deleted(Input.Deleted in) {
         inventory.deleted(in);
         if (membership.leads()) {
             inventory.carryOut();
         }
     }
 
-    void rented(Input.Rented in) {
+    public void rented(Input.Rented in) {
         Rental rental = asked.remove(in.request());
         if (rental == null) {
             return;
--- a/src/main/java/dewlane/core/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -1,6 +1,18 @@
-package dewlane.core;
-
-import dewlane.core.Rental.Place;
+package dewlane.core.autoscaling;
+
+import dewlane.core.autoscaling.Rental.Place;
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Release;
+import dewlane.core.message.Context;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.ResourceUsage;
+import dewlane.core.quota.Quota;
+import dewlane.core.scheduling.Placement;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -13,7 +25,7 @@
 import java.util.Set;
 
 /** Estimates how much waiting work finds no room on the machines that are up or on their way. */
-final class CapacityDemand {
+public final class CapacityDemand {
     /** A machine rented for a task is there for about so long; shorter tasks share its room one after the other. */
     private static final double SLOT_S = 80;
     /** The least part of a slot that a task counts for, however short it is. */
@@ -52,7 +64,7 @@
     private final Quota quota;
     private final Release release;
 
-    CapacityDemand(
+    public CapacityDemand(
             Context context, Replica replica, Machines machines, Placement placement, Quota quota, Release release) {
         this.release = release;
         this.context = context;
--- a/src/main/java/dewlane/core/CloudInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/CloudInventory.java
@@ -1,8 +1,22 @@
-package dewlane.core;
+package dewlane.core.autoscaling;
 
-import dewlane.core.Rental.Place;
-import dewlane.core.Value.MachineFate;
-import dewlane.core.Value.MachineRecord;
+import dewlane.core.autoscaling.Rental.Place;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.MachineRecords;
+import dewlane.core.fleet.Machines;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.ListedMachine;
+import dewlane.core.model.MachineType;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.UnknownFields;
+import dewlane.core.schema.Value.MachineFate;
+import dewlane.core.schema.Value.MachineRecord;
+import dewlane.core.store.MachineRecordIndex;
+import dewlane.core.store.Replica;
+import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,7 +29,7 @@
  * What the leader knows of the cloud's machines: those on its lagging list, those on their way, and those proven gone.
  * It deletes machines whose records ask for it, and records the proof.
  */
-final class CloudInventory {
+public final class CloudInventory {
     private static final long DELETE_RETRY_MS = 6000;
     /** As many as the cloud deletes by one request. */
     private static final int MOST_DELETED = 100;
@@ -44,7 +58,7 @@
     private final Set<String> writing = new HashSet<>();
     private final Set<String> up = new HashSet<>();
 
-    CloudInventory(Context context, Replica replica, Machines machines, TransactionQueue transactions) {
+    public CloudInventory(Context context, Replica replica, Machines machines, TransactionQueue transactions) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
--- a/src/main/java/dewlane/core/Rental.java
+++ b/src/main/java/dewlane/core/autoscaling/Rental.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.autoscaling;
 
 /**
  * Machines of one place that were asked for together.
--- a/src/main/java/dewlane/core/ScaleDown.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleDown.java
@@ -1,7 +1,20 @@
-package dewlane.core;
+package dewlane.core.autoscaling;
 
-import dewlane.core.Value.MachineFate;
-import dewlane.core.Value.MachineRecord;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.MachineRecords;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Release;
+import dewlane.core.membership.Membership;
+import dewlane.core.membership.StandingMonitor;
+import dewlane.core.message.Context;
+import dewlane.core.scheduling.Placement;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value.MachineFate;
+import dewlane.core.schema.Value.MachineRecord;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -12,7 +25,7 @@
  * <p>The partition's owner alone launches on a machine, and the record is conditional on the map, so nothing can be on
  * the machines once it is written; the leader deletes them.
  */
-final class ScaleDown {
+public final class ScaleDown {
     private static final int MOST_AT_ONCE = MachineRecords.MOST_NAMES;
     /** Those that become idle soon after one another share a record. */
     private static final long GATHER_MS = 4000;
@@ -30,7 +43,7 @@
     private long records;
     private long returnedAt = Long.MIN_VALUE / 2;
 
-    ScaleDown(
+    public ScaleDown(
             Context context,
             Replica replica,
             Machines machines,
@@ -49,7 +62,7 @@
         this.placement = placement;
     }
 
-    void tick() {
+    public void tick() {
         if (!standing.now().mayDecide()
                 || context.now() - returnedAt < GATHER_MS
                 || !transactions.open(TransactionQueue.Urgency.LATER)) {
--- a/src/main/java/dewlane/core/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.config;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/dewlane/core/StateLimits.java
+++ b/src/main/java/dewlane/core/config/StateLimits.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.config;
 
 /**
  * Limits of the state service: those in force when the controller starts, and those that replace them at some later
--- a/src/main/java/dewlane/core/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -1,5 +1,44 @@
-package dewlane.core;
+package dewlane.core.controller;
 
+import dewlane.core.admission.Submissions;
+import dewlane.core.admission.Users;
+import dewlane.core.autoscaling.Autoscaler;
+import dewlane.core.autoscaling.CapacityDemand;
+import dewlane.core.autoscaling.CloudInventory;
+import dewlane.core.autoscaling.ScaleDown;
+import dewlane.core.config.Settings;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Cancellations;
+import dewlane.core.job.Dependencies;
+import dewlane.core.job.Release;
+import dewlane.core.membership.Membership;
+import dewlane.core.membership.PeerTable;
+import dewlane.core.membership.StandingMonitor;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.quota.Quota;
+import dewlane.core.quota.QuotaRebalancer;
+import dewlane.core.scheduling.JobDistributor;
+import dewlane.core.scheduling.JobWriter;
+import dewlane.core.scheduling.LaunchPlanner;
+import dewlane.core.scheduling.LeftoverCleaner;
+import dewlane.core.scheduling.Placement;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.ValueSize;
+import dewlane.core.store.Delta;
+import dewlane.core.store.FinalReader;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.ReadBarrier;
+import dewlane.core.store.Replica;
+import dewlane.core.store.StateFollower;
+import dewlane.core.store.TransactionQueue;
+import dewlane.core.store.UnreadableLog;
+import dewlane.core.worker.FailureDetector;
+import dewlane.core.worker.WorkerSessions;
 import java.util.List;
 
 /**
--- a/src/main/java/dewlane/core/PeerBroadcast.java
+++ b/src/main/java/dewlane/core/controller/PeerBroadcast.java
@@ -1,6 +1,14 @@
-package dewlane.core;
+package dewlane.core.controller;
 
-import dewlane.core.PeerStatus.PeerMachine;
+import dewlane.core.fleet.Machine;
+import dewlane.core.job.Cancellations;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.model.PeerStatus.PeerMachine;
+import dewlane.core.scheduling.Placement;
+import dewlane.core.store.Replica;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/dewlane/core/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -1,6 +1,6 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
-import dewlane.core.Machine.Key;
+import dewlane.core.fleet.Machine.Key;
 import java.util.HashSet;
 import java.util.Set;
 
@@ -15,7 +15,7 @@
  * launch that may still arrive. Else such a copy starts the attempt again, although its end is written and the task may
  * run elsewhere.
  */
-final class CommandChannel {
+public final class CommandChannel {
     private static final int FENCE_BITS = 20;
 
     private long epoch;
@@ -48,37 +48,37 @@
     }
 
     /** From now on each command and answer refuses, where it arrives, all launches that were sent before. */
-    void raiseFence() {
+    public void raiseFence() {
         fence++;
         abandonedLaunches.clear();
     }
 
     /** The worker began another session, in which no launch of an earlier one is carried out. */
-    void sessionBegan() {
+    public void sessionBegan() {
         commandLaunches.clear();
         answerLaunches.clear();
         abandonedLaunches.clear();
     }
 
     /** True while a direct command is under way. */
-    boolean busy() {
+    public boolean busy() {
         return commandToken != 0;
     }
 
     /** A direct command goes out. */
-    void commandSent(Set<Key> launches, long now) {
+    public void commandSent(Set<Key> launches, long now) {
         commandToken = token();
         commandSentAt = now;
         commandLaunches.addAll(launches);
     }
 
     /** For how long the direct command has been under way. */
-    long commandAgeMs(long now) {
+    public long commandAgeMs(long now) {
         return now - commandSentAt;
     }
 
     /** The worker answered the direct command, or it was never sent: no copy of it can arrive. */
-    void commandSettled() {
+    public void commandSettled() {
         commandToken = 0;
         commandLaunches.clear();
     }
@@ -88,7 +88,7 @@
      *
      * @return true if it had launches
      */
-    boolean commandGivenUp() {
+    public boolean commandGivenUp() {
         boolean launches = !commandLaunches.isEmpty();
         if (commandToken == token()) {
             abandonedLaunches.addAll(commandLaunches);
@@ -98,35 +98,35 @@
     }
 
     /** A report is answered. */
-    void answerSent(Set<Key> launches) {
+    public void answerSent(Set<Key> launches) {
         answerToken = token();
         answerLaunches.clear();
         answerLaunches.addAll(launches);
     }
 
     /** The worker reports again, so it has received the answer to its last report or will drop it. */
-    void answerSettled() {
+    public void answerSettled() {
         answerLaunches.clear();
     }
 
     /** The token of the latest answer to a report, which the next report must show; 0 before the first. */
-    long answerToken() {
+    public long answerToken() {
         return answerToken;
     }
 
     /** The launches in the latest answer to a report, which the next report must show. */
-    Set<Key> answerLaunches() {
+    public Set<Key> answerLaunches() {
         return answerLaunches;
     }
 
     /** True if a launch of the attempt is under way with the present token, and it will be known what became of it. */
-    boolean launchUnderWay(Key attempt) {
+    public boolean launchUnderWay(Key attempt) {
         return commandToken == token() && commandLaunches.contains(attempt)
                 || answerToken == token() && answerLaunches.contains(attempt);
     }
 
     /** True if a launch of the attempt may arrive with the present token at any time. */
-    boolean launchAbandoned(Key attempt) {
+    public boolean launchAbandoned(Key attempt) {
         return abandonedLaunches.contains(attempt);
     }
 }
--- a/src/main/java/dewlane/core/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -1,5 +1,7 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -8,9 +10,9 @@
 import java.util.Set;
 
 /** What this controller is doing for one job: outcomes to make durable, and the write under way. */
-final class JobProgress {
+public final class JobProgress {
     /** What became of an attempt. */
-    enum Outcome {
+    public enum Outcome {
         DONE,
         STOPPED,
         ERROR,
@@ -18,51 +20,51 @@
         GONE
     }
 
-    final Map<Machine.Key, Outcome> outcomes = new HashMap<>();
+    public final Map<Machine.Key, Outcome> outcomes = new HashMap<>();
     /** By slice, since when outcomes gather that are still to be made durable. */
     private final Map<Integer, Long> gatheringSince = new HashMap<>();
     /** Launches in the write under way, or in one that the replica does not show yet. */
     final List<Launch> launching = new ArrayList<>();
 
-    boolean writing;
+    public boolean writing;
     /** Nothing is decided before the replica has reached this revision. */
-    long settled;
+    public long settled;
     /** Machines on which a task of the job failed. */
-    final Set<String> failedOn = new HashSet<>();
+    public final Set<String> failedOn = new HashSet<>();
 
-    int errors;
+    public int errors;
     /** Nothing is written before this time: a write was called invalid. */
-    long pausedUntil;
+    public long pausedUntil;
 
-    long notBefore;
-    long handedAt;
+    public long notBefore;
+    public long handedAt;
     /** When another part with room was last looked for. */
-    long lookedAt;
+    public long lookedAt;
 
     /** A launch that is not yet seen in the replica. */
-    record Launch(Machine machine, Attempt attempt, int slice, Job spec) {}
+    public record Launch(Machine machine, Attempt attempt, int slice, Job spec) {}
 
     /** A job that fails on several machines is itself at fault. */
-    boolean faulty() {
+    public boolean faulty() {
         return failedOn.size() >= 3;
     }
 
     /** An outcome of the slice is to be made durable. */
-    void gather(int slice, long now) {
+    public void gather(int slice, long now) {
         gatheringSince.putIfAbsent(slice, now);
     }
 
     /** Since when outcomes of the slice gather. */
-    long gatheringSince(int slice, long now) {
+    public long gatheringSince(int slice, long now) {
         return gatheringSince.getOrDefault(slice, now);
     }
 
     /** What comes from now on gathers anew: outcomes in a write stay listed until the replica shows them. */
-    void gatherAnew(int slice) {
+    public void gatherAnew(int slice) {
         gatheringSince.remove(slice);
     }
 
-    boolean busy(long revision, long now) {
+    public boolean busy(long revision, long now) {
         return writing || revision < settled || now < pausedUntil;
     }
 }
--- a/src/main/java/dewlane/core/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -1,6 +1,9 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
-import dewlane.core.Value.Slice;
+import dewlane.core.message.Context;
+import dewlane.core.schema.Value.Slice;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -11,7 +14,7 @@
  * What this controller is doing for each job. A launch counts on its machine and for its team from the moment it is
  * decided, until the replica shows it or it turns out that it was not written.
  */
-final class JobProgressTable {
+public final class JobProgressTable {
     private final Context context;
     private final Replica replica;
     private final TeamUsage teamUsage;
@@ -26,17 +29,17 @@
     }
 
     /** What is being done for the job. */
-    JobProgress of(String job) {
+    public JobProgress of(String job) {
         return byJob.computeIfAbsent(job, j -> new JobProgress());
     }
 
     /** What is being done for the job, or null if that was nothing so far. */
-    JobProgress known(String job) {
+    public JobProgress known(String job) {
         return byJob.get(job);
     }
 
     /** A launch was decided. */
-    void launching(String job, JobProgress.Launch launch) {
+    public void launching(String job, JobProgress.Launch launch) {
         of(job).launching.add(launch);
         settling.add(job);
         launch.machine().use.add(launch.spec());
@@ -82,7 +85,7 @@
      * Takes back what was counted for launches whose write was refused: once the answer is in and the replica has
      * reached it, whatever it does not show by then was not launched.
      */
-    void settle() {
+    public void settle() {
         for (Iterator<String> i = settling.iterator(); i.hasNext(); ) {
             String id = i.next();
             JobProgress progress = byJob.get(id);
--- a/src/main/java/dewlane/core/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -1,5 +1,12 @@
-package dewlane.core;
-
+package dewlane.core.fleet;
+
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Report;
+import dewlane.core.model.ResourceUsage;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.SliceEntry;
 import it.unimi.dsi.fastutil.objects.Object2DoubleLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.HashMap;
@@ -9,9 +16,9 @@
 import java.util.Set;
 
 /** What this controller knows of a machine. */
-final class Machine {
+public final class Machine {
     /** Names one launch of one task. */
-    record Key(String job, int task, int number) {
+    public record Key(String job, int task, int number) {
         // Written out, as this is the key of the busiest maps and a record's own are linked at run time and stay slow.
         @Override
         public boolean equals(Object o) {
@@ -25,15 +32,15 @@
     }
 
     /** An attempt that the state service holds against this machine. */
-    static final class Live {
-        final JobEntry job;
-        final SliceEntry slice;
-        final Attempt attempt;
-        final Key key;
+    public static final class Live {
+        public final JobEntry job;
+        public final SliceEntry slice;
+        public final Attempt attempt;
+        public final Key key;
         /** The controller against whose share of the team's limit it counts. */
         String countedFor;
         /** The machine reported its end, so it needs no room there any more. */
-        boolean over;
+        public boolean over;
 
         Live(JobEntry job, SliceEntry slice, Attempt attempt) {
             this.job = job;
@@ -43,61 +50,61 @@
         }
     }
 
-    final String name;
+    public final String name;
     /** The controller whose part the machine belongs to under the present map. */
-    String owner;
+    public String owner;
     /** Since when that is so. */
-    long ownerSince;
+    public long ownerSince;
 
-    String address;
-    String type;
-    String zone;
-    boolean spot;
+    public String address;
+    public String type;
+    public String zone;
+    public boolean spot;
     /** What the catalog says of the type; null until it is looked up. */
     MachineType kind;
 
-    long session;
-    long sequence;
+    public long session;
+    public long sequence;
     /** The highest token that the worker has shown. */
-    long tokenSeen;
+    public long tokenSeen;
     /** Whether it hears this controller. */
-    final Reachability reachability;
+    public final Reachability reachability;
     /** What was sent to the worker, and with which token. */
-    final CommandChannel channel = new CommandChannel();
+    public final CommandChannel channel = new CommandChannel();
     /** The start of a peer that last said it hears the machine, and when. */
     String listedBy;
 
     long listedAt;
-    final StrayReports strayReports = new StrayReports();
+    public final StrayReports strayReports = new StrayReports();
     /** It was to be returned when it was last heard of: if it is silent, it is gone as it should be. */
-    boolean returned;
+    public boolean returned;
     /** It is being returned, though no record shows that yet. */
-    boolean leaving;
+    public boolean leaving;
     /** When the cloud takes the machine away; 0: not announced. */
-    long takenAt;
+    public long takenAt;
 
-    Map<Key, Report.TaskState> reported = Map.of();
+    public Map<Key, Report.TaskState> reported = Map.of();
 
-    final Object2LongOpenHashMap<Key> commanded = new Object2LongOpenHashMap<>();
+    public final Object2LongOpenHashMap<Key> commanded = new Object2LongOpenHashMap<>();
     /** Attempts to be stopped although their job goes on, and the grace they get. */
-    final Map<Key, Double> stops = new HashMap<>();
+    public final Map<Key, Double> stops = new HashMap<>();
 
-    final Object2LongOpenHashMap<Key> unaccounted = new Object2LongOpenHashMap<>();
+    public final Object2LongOpenHashMap<Key> unaccounted = new Object2LongOpenHashMap<>();
 
     /** Jobs of which a task failed here since a task last completed. */
-    final Set<String> failedJobs = new HashSet<>();
+    public final Set<String> failedJobs = new HashSet<>();
     /** Images fetched here, most recently used last. */
     private final Object2DoubleLinkedOpenHashMap<String> images = new Object2DoubleLinkedOpenHashMap<>();
 
     private double imageGb;
 
-    final Map<Key, Live> live = new LinkedHashMap<>();
+    public final Map<Key, Live> live = new LinkedHashMap<>();
     /** What the attempts take that may be on the machine, those in a write under way included. */
-    final ResourceUsage use = new ResourceUsage();
+    public final ResourceUsage use = new ResourceUsage();
     /** Room that this pass keeps for jobs that others were stopped for; null: none. */
-    ResourceUsage kept;
+    public ResourceUsage kept;
 
-    long idleSince;
+    public long idleSince;
 
     Machine(String name, long now) {
         this.name = name;
@@ -118,7 +125,7 @@
     }
 
     /** Takes what a report or a list says of the machine, which never changes but for a wrong list. */
-    void isOf(String ofType, String inZone, boolean onSpot) {
+    public void isOf(String ofType, String inZone, boolean onSpot) {
         if (!ofType.equals(type)) {
             type = ofType;
             kind = null;
@@ -128,19 +135,19 @@
     }
 
     /** How many tasks of the job the machine has room for, less what is kept for others. */
-    int room(MachineType of, Job job) {
+    public int room(MachineType of, Job job) {
         return kept == null
                 ? use.room(of, job)
                 : new ResourceUsage(use).add(kept).room(of, job);
     }
 
-    void keep(Job job) {
+    public void keep(Job job) {
         kept = kept == null ? new ResourceUsage() : kept;
         kept.add(job);
     }
 
     /** The token that commands to the machine carry. */
-    long token() {
+    public long token() {
         return channel.token();
     }
 
@@ -148,7 +155,7 @@
      * Being heard is not being reachable: from now on only an answer to a command, or a report with a token that was
      * handed out after this moment, shows that the machine hears this controller. A late copy has neither.
      */
-    void suspect(long now) {
+    public void suspect(long now) {
         boolean launchUnderWay = false;
         for (Live l : live.values()) {
             launchUnderWay |=
@@ -169,11 +176,11 @@
         }
     }
 
-    boolean hasImage(String image) {
+    public boolean hasImage(String image) {
         return images.containsKey(image);
     }
 
-    void fetched(String image, double gb, double cacheGb) {
+    public void fetched(String image, double gb, double cacheGb) {
         if (!images.containsKey(image)) {
             imageGb += gb;
         }
@@ -184,7 +191,7 @@
     }
 
     /** A new session or owner: nothing remembered of commands holds any more. */
-    void forgetCommands() {
+    public void forgetCommands() {
         commanded.clear();
         stops.clear();
         unaccounted.clear();
--- a/src/main/java/dewlane/core/MachineRecords.java
+++ b/src/main/java/dewlane/core/fleet/MachineRecords.java
@@ -1,12 +1,12 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** How many machines a record in the state service names. */
-final class MachineRecords {
+public final class MachineRecords {
     /** As many as the cloud deletes by one request. */
-    static final int MOST_NAMES = 100;
+    public static final int MOST_NAMES = 100;
     /** The names of a record's fields, its fate and its reason, with quotes and brackets. */
     private static final int FRAME_BYTES = 128;
     /** Quotes and a comma. */
@@ -15,7 +15,7 @@
     private MachineRecords() {}
 
     /** Divides names into as few records as their size and number allow, in order. */
-    static List<List<String>> split(List<String> names, int valueBytes) {
+    public static List<List<String>> split(List<String> names, int valueBytes) {
         List<List<String>> records = new ArrayList<>();
         List<String> record = new ArrayList<>();
         int bytes = FRAME_BYTES;
--- a/src/main/java/dewlane/core/Machines.java
+++ b/src/main/java/dewlane/core/fleet/Machines.java
@@ -1,7 +1,19 @@
-package dewlane.core;
-
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.Slice;
+package dewlane.core.fleet;
+
+import dewlane.core.membership.PeerTable;
+import dewlane.core.message.Context;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Value;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.Slice;
+import dewlane.core.store.Delta;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.Collection;
 import java.util.HashSet;
@@ -15,7 +27,7 @@
  * All machines heard of, whoever owns them, with what the replica and the writes under way put on them. It follows the
  * replica change by change: nothing here is counted anew.
  */
-final class Machines {
+public final class Machines {
     private final Context context;
     private final Replica replica;
     private final PeerTable peers;
@@ -32,7 +44,7 @@
     private final JobProgressTable progress;
     private final ShapeRivalry rivalry = new ShapeRivalry(types);
 
-    Machines(Context context, Replica replica, PeerTable peers) {
+    public Machines(Context context, Replica replica, PeerTable peers) {
         this.context = context;
         this.replica = replica;
         this.peers = peers;
@@ -40,7 +52,7 @@
         this.progress = new JobProgressTable(context, replica, teamUsage);
     }
 
-    void catalog(List<MachineType> read) {
+    public void catalog(List<MachineType> read) {
         types.clear();
         rivalry.typesChanged();
         for (MachineType t : read) {
@@ -49,32 +61,32 @@
         byName.values().forEach(m -> m.kind = null);
     }
 
-    Collection<MachineType> types() {
+    public Collection<MachineType> types() {
         return types.values();
     }
 
     /** Which jobs could use which types. */
-    ShapeRivalry rivalry() {
+    public ShapeRivalry rivalry() {
         return rivalry;
     }
 
-    MachineType type(String name) {
+    public MachineType type(String name) {
         return types.get(name);
     }
 
     /** The machine's type, or null while it is not known. */
-    MachineType type(Machine m) {
+    public MachineType type(Machine m) {
         if (m.kind == null && m.type != null) {
             m.kind = types.get(m.type);
         }
         return m.kind;
     }
 
-    Machine get(String name) {
+    public Machine get(String name) {
         return byName.get(name);
     }
 
-    Machine of(String name) {
+    public Machine of(String name) {
         Machine m = byName.get(name);
         if (m == null) {
             m = new Machine(name, context.now());
@@ -84,41 +96,41 @@
         return m;
     }
 
-    Collection<Machine> all() {
+    public Collection<Machine> all() {
         return byName.values();
     }
 
     /** Machines of this controller's part. */
-    Collection<Machine> own() {
+    public Collection<Machine> own() {
         return own;
     }
 
     /** Something about the machine may call for a command. */
-    void touch(Machine m) {
+    public void touch(Machine m) {
         if (self.equals(m.owner)) {
             changed.add(m);
         }
     }
 
-    Collection<Machine> changed() {
+    public Collection<Machine> changed() {
         return changed;
     }
 
-    boolean isGone(String name) {
+    public boolean isGone(String name) {
         return gone.contains(name);
     }
 
     /** What this controller is doing for each job. */
-    JobProgressTable progress() {
+    public JobProgressTable progress() {
         return progress;
     }
 
     /** What the teams' tasks may be using. */
-    TeamUsage teamUsage() {
+    public TeamUsage teamUsage() {
         return teamUsage;
     }
 
-    void follow(Delta delta) {
+    public void follow(Delta delta) {
         if (delta instanceof Delta.SliceChanged d) {
             slice(d.job(), d.slice(), d.before(), d.after());
         } else if (delta instanceof Delta.JobChanged d) {
@@ -157,7 +169,7 @@
     }
 
     /** There may be something to command wherever the job has attempts. */
-    void touchAll(JobEntry job) {
+    public void touchAll(JobEntry job) {
         job.slices().forEach(s -> s.value().attempts().forEach(a -> touch(of(a.machine()))));
     }
 
@@ -218,7 +230,7 @@
     }
 
     /** A task's end was reported: its room is free, though its team's limit still counts it until that is durable. */
-    void over(Machine m, Machine.Live live) {
+    public void over(Machine m, Machine.Live live) {
         if (!live.over) {
             live.over = true;
             m.use.remove(live.job.job());
@@ -272,7 +284,7 @@
     }
 
     /** Learns a machine from a list or a peer; a report says more. */
-    Machine learn(String name, String address, String type, String zone, boolean spot) {
+    public Machine learn(String name, String address, String type, String zone, boolean spot) {
         if (gone.contains(name)) {
             return null;
         }
@@ -288,7 +300,7 @@
     }
 
     /** Learns the machines that a peer told of. */
-    void learnFrom(PeerStatus status) {
+    public void learnFrom(PeerStatus status) {
         String start = peers.start(status.node());
         for (PeerStatus.PeerMachine p : status.machines()) {
             Machine m = learn(p.name(), p.address(), p.type(), p.zone(), p.spot());
@@ -304,7 +316,7 @@
     }
 
     /** True if the machine's owner, another controller, said within the last few seconds that it takes tasks. */
-    boolean listedByOwner(Machine m) {
+    public boolean listedByOwner(Machine m) {
         return m.listedBy != null
                 && m.owner != null
                 && context.now() - m.listedAt <= 5000
@@ -312,7 +324,7 @@
     }
 
     /** A machine is at fault once tasks of two jobs failed on it that do not fail everywhere. */
-    boolean faulty(Machine m) {
+    public boolean faulty(Machine m) {
         int blamed = 0;
         for (String job : m.failedJobs) {
             JobProgress work = progress.known(job);
--- a/src/main/java/dewlane/core/Reachability.java
+++ b/src/main/java/dewlane/core/fleet/Reachability.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
 /**
  * Whether a machine hears this controller, which being heard does not prove. It is confirmed by an answer to a command,
@@ -8,7 +8,7 @@
  * <p>Invariant: a suspicion ends only by an answer to a command, or by a report with a token that was handed out after
  * the suspicion began. A late copy has neither.
  */
-final class Reachability {
+public final class Reachability {
     /** No token is as high: nothing but an answer to a command ends the suspicion. */
     static final long NO_TOKEN_ENDS_IT = Long.MAX_VALUE;
 
@@ -47,7 +47,7 @@
     }
 
     /** The machine has shown that it hears this controller. */
-    void confirmed(long now) {
+    public void confirmed(long now) {
         confirmedAt = now;
         suspectedSince = 0;
     }
@@ -59,60 +59,60 @@
         challenge = endingToken;
     }
 
-    boolean isSuspected() {
+    public boolean isSuspected() {
         return suspectedSince != 0;
     }
 
     /** True if a report with the token ends the suspicion. */
-    boolean endsSuspicion(long token) {
+    public boolean endsSuspicion(long token) {
         return token >= challenge;
     }
 
     /** True if it was confirmed under the present owner. */
-    boolean everConfirmed() {
+    public boolean everConfirmed() {
         return confirmedAt != 0;
     }
 
-    boolean confirmedWithin(long now, long ms) {
+    public boolean confirmedWithin(long now, long ms) {
         return confirmedAt != 0 && now - confirmedAt <= ms;
     }
 
     /** For how long it has not shown that it hears. */
-    long silentForMs(long now) {
+    public long silentForMs(long now) {
         return now - Math.max(confirmedAt, countedFrom);
     }
 
     /** What was before is nobody's silence. */
-    void countSilenceFrom(long now) {
+    public void countSilenceFrom(long now) {
         countedFrom = now;
     }
 
     /** A report of its own was answered. */
-    void reported(long now) {
+    public void reported(long now) {
         reportedAt = now;
     }
 
     /** When a report of its own was last answered; 0: never. */
-    long reportedAt() {
+    public long reportedAt() {
         return reportedAt;
     }
 
     /** True if it is suspected and was not asked for so long. */
-    boolean probeDue(long now, long pauseMs) {
+    public boolean probeDue(long now, long pauseMs) {
         return isSuspected() && now - probedAt > pauseMs;
     }
 
     /** It was asked for a sign that it hears. */
-    void probed(long now) {
+    public void probed(long now) {
         probedAt = now;
     }
 
     /** The worker was sent the present owner's token. */
-    void tokenSent() {
+    public void tokenSent() {
         tokenTold = true;
     }
 
-    boolean tokenTold() {
+    public boolean tokenTold() {
         return tokenTold;
     }
 }
--- a/src/main/java/dewlane/core/ShapeRivalry.java
+++ b/src/main/java/dewlane/core/fleet/ShapeRivalry.java
@@ -1,11 +1,13 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Tells which machine types had better be left to jobs that have fewer to choose from. */
-final class ShapeRivalry {
+public final class ShapeRivalry {
     private record Rivalry(Job.Shape shape, String type) {}
 
     private final Map<String, MachineType> types;
@@ -40,7 +42,7 @@
     }
 
     /** How many types the tasks of a shape fit on and may use. */
-    int choices(Job.Shape shape) {
+    public int choices(Job.Shape shape) {
         int n = 0;
         for (MachineType t : types.values()) {
             n += shape.allowsType(t.name()) && t.holds(shape) ? 1 : 0;
@@ -52,7 +54,7 @@
      * 1 if an active job with fewer types to choose from could use the type, so that a job of the shape had better go
      * elsewhere; 0 if not.
      */
-    int rivals(Job.Shape shape, MachineType type) {
+    public int rivals(Job.Shape shape, MachineType type) {
         return rivals.computeIfAbsent(new Rivalry(shape, type.name()), r -> countRivals(shape, type));
     }
 
--- a/src/main/java/dewlane/core/StrayReports.java
+++ b/src/main/java/dewlane/core/fleet/StrayReports.java
@@ -1,18 +1,20 @@
-package dewlane.core;
+package dewlane.core.fleet;
+
+import dewlane.core.model.Report;
 
 /** Reports of a machine's worker that came here although another controller owns the machine. */
-final class StrayReports {
+public final class StrayReports {
     private long firstAt;
     private long session;
     private long sequence;
 
     /** None count: the worker may just be looking for its new owner. */
-    void forget() {
+    public void forget() {
         firstAt = 0;
     }
 
     /** For how long the worker has been coming here; negative if this is the first report that counts. */
-    long take(Report report, long now, long togetherMs) {
+    public long take(Report report, long now, long togetherMs) {
         if (firstAt == 0 || now - firstAt > togetherMs) {
             firstAt = now;
             session = report.session();
--- a/src/main/java/dewlane/core/TeamUsage.java
+++ b/src/main/java/dewlane/core/fleet/TeamUsage.java
@@ -1,21 +1,23 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
+import dewlane.core.model.Job;
+import dewlane.core.model.ResourceUsage;
 import java.util.HashMap;
 import java.util.Map;
 
 /** What the teams' tasks may be using, gone ones included until the proof is durable. */
-final class TeamUsage {
+public final class TeamUsage {
     private final Map<String, ResourceUsage> byTeam = new HashMap<>();
     /** By controller and team. */
     private final Map<String, Map<String, ResourceUsage>> byOwner = new HashMap<>();
 
     /** What a team uses. */
-    ResourceUsage of(String team) {
+    public ResourceUsage of(String team) {
         return byTeam.computeIfAbsent(team, t -> new ResourceUsage());
     }
 
     /** What of a team's use counts against a controller: that of the slices it owns. */
-    ResourceUsage of(String team, String owner) {
+    public ResourceUsage of(String team, String owner) {
         return byOwner.computeIfAbsent(owner, o -> new HashMap<>()).computeIfAbsent(team, t -> new ResourceUsage());
     }
 
--- a/src/main/java/dewlane/core/Cancellations.java
+++ b/src/main/java/dewlane/core/job/Cancellations.java
@@ -1,5 +1,9 @@
-package dewlane.core;
+package dewlane.core.job;
 
+import dewlane.core.config.Settings;
+import dewlane.core.message.Context;
+import dewlane.core.store.Delta;
+import dewlane.core.store.JobEntry;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,7 +22,7 @@
  * <p>Peers tell what they confirmed. That only adds speed: a task of a job that is durably cancelled may always be
  * stopped.
  */
-final class Cancellations {
+public final class Cancellations {
     /** For the drift of two clocks, and for the time a worker takes to end what its lease no longer covers. */
     private static final long MARGIN_MS = 1000;
 
@@ -41,7 +45,7 @@
     private long viewAt = Long.MIN_VALUE / 2;
     private boolean news;
 
-    Cancellations(Context context) {
+    public Cancellations(Context context) {
         this.context = context;
         Settings s = context.settings();
         long most = (long) ((s.cancelS() - s.leaseS()) * 1000 - s.cancelS() * 1000 * DRIFT) - MARGIN_MS;
@@ -56,7 +60,7 @@
     }
 
     /** The replica holds all that was cancelled up to the given moment. */
-    void viewed(long asOf) {
+    public void viewed(long asOf) {
         viewAt = Math.max(viewAt, asOf);
     }
 
@@ -66,30 +70,30 @@
     }
 
     /** True if a worker's lease may be renewed on the present view. */
-    boolean mayRenewLeases() {
+    public boolean mayRenewLeases() {
         return stalenessMs() <= renewMs;
     }
 
     /** True if the view is young enough to start tasks on it. */
-    boolean mayLaunch() {
+    public boolean mayLaunch() {
         return stalenessMs() <= LAUNCH_MS;
     }
 
     /** True if the job is over or cancelled, so that nothing of it may run. */
-    boolean ended(JobEntry job) {
+    public boolean ended(JobEntry job) {
         return job.job() == null || job.aborted() || knownSince.containsKey(job.id);
     }
 
     /**
      * For how long the job has been cancelled at least; 0 if it is not known to be. Times of day only make it longer.
      */
-    long cancelledForMs(JobEntry job) {
+    public long cancelledForMs(JobEntry job) {
         Long since = knownSince.get(job.id);
         long known = since == null ? 0 : context.now() - since;
         return job.aborted() ? Math.max(known, context.wall() - job.abortedMs()) : known;
     }
 
-    void follow(Delta delta) {
+    public void follow(Delta delta) {
         if (delta instanceof Delta.JobChanged d && d.after() == null) {
             knownSince.remove(d.job().id);
         } else if (delta instanceof Delta.JobChanged d && d.after().aborted()) {
@@ -98,26 +102,26 @@
     }
 
     /** This controller's write that cancels the job is durable. */
-    void confirmed(String job) {
+    public void confirmed(String job) {
         knownSince.putIfAbsent(job, context.now());
         confirmedAt.put(job, context.now());
         news = true;
     }
 
     /** A peer confirmed it; returns true if that is news. */
-    boolean heard(String job) {
+    public boolean heard(String job) {
         return knownSince.putIfAbsent(job, context.now()) == null;
     }
 
     /** True once after each confirmation. */
-    boolean takeNews() {
+    public boolean takeNews() {
         boolean taken = news;
         news = false;
         return taken;
     }
 
     /** What peers are told: all that was confirmed here and may still matter. */
-    List<String> toTell() {
+    public List<String> toTell() {
         confirmedAt.values().removeIf(at -> context.now() - at > keepMs);
         knownSince.values().removeIf(at -> context.now() - at > 4 * keepMs);
         List<String> told = new ArrayList<>(confirmedAt.keySet());
--- a/src/main/java/dewlane/core/Dependencies.java
+++ b/src/main/java/dewlane/core/job/Dependencies.java
@@ -1,7 +1,15 @@
-package dewlane.core;
+package dewlane.core.job;
 
-import dewlane.core.Release.Result;
-import dewlane.core.Value.FinalRecord;
+import dewlane.core.job.Release.Result;
+import dewlane.core.message.Context;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.store.Delta;
+import dewlane.core.store.FinalReader;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
@@ -19,7 +27,7 @@
  * <p>A job that is awaited is treated as having the highest priority of any job that needs it, and as having to end
  * early enough for them: both change only when such a job comes or goes.
  */
-final class Dependencies {
+public final class Dependencies {
     /** Reads of final states under way at once. */
     private static final int MOST_READS = 4;
     /** After a read that told nothing no other is begun for so long. */
@@ -43,14 +51,14 @@
     private final Set<String> reading = new HashSet<>();
     private long pausedUntil = Long.MIN_VALUE / 2;
 
-    Dependencies(Context context, Replica replica, Release release, FinalReader reader) {
+    public Dependencies(Context context, Replica replica, Release release, FinalReader reader) {
         this.context = context;
         this.replica = replica;
         this.release = release;
         this.reader = reader;
     }
 
-    void follow(Delta delta) {
+    public void follow(Delta delta) {
         if (delta instanceof Delta.JobChanged d) {
             jobChanged(d);
         } else if (delta instanceof Delta.Ended d) {
@@ -231,7 +239,7 @@
     }
 
     /** Looks up what became of awaited jobs, once the replica holds all that is known to be durable. */
-    void tick(boolean caughtUp) {
+    public void tick(boolean caughtUp) {
         if (!caughtUp || unresolved.isEmpty() || context.now() < pausedUntil) {
             return;
         }
@@ -282,7 +290,7 @@
      * True if it is known of all jobs that the job needs, directly or through others, whether they are cancelled. Else
      * they are looked up first.
      */
-    boolean resolved(String job) {
+    public boolean resolved(String job) {
         if (unresolved.isEmpty()) {
             return true;
         }
@@ -304,12 +312,12 @@
     }
 
     /** True if the job is cancelled, by its own user or through a job that it needs. */
-    boolean cancelled(JobEntry job) {
+    public boolean cancelled(JobEntry job) {
         return job.aborted() || release.hasFailed(job.id);
     }
 
     /** True if a job that awaits this one is there and its cancellation is not durable yet. */
-    boolean hasUnmarkedDependants(String job) {
+    public boolean hasUnmarkedDependants(String job) {
         for (String id : release.destinations(job)) {
             JobEntry dependant = replica.recorded(id);
             if (dependant != null && !dependant.aborted()) {
--- a/src/main/java/dewlane/core/Release.java
+++ b/src/main/java/dewlane/core/job/Release.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.job;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/dewlane/core/SliceSize.java
+++ b/src/main/java/dewlane/core/job/SliceSize.java
@@ -1,6 +1,8 @@
-package dewlane.core;
+package dewlane.core.job;
 
-import dewlane.core.Value.Slice;
+import dewlane.core.model.Attempt;
+import dewlane.core.schema.UnknownFields;
+import dewlane.core.schema.Value.Slice;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,7 +14,7 @@
  * a launch leaves within the limit can be written again whatever becomes of it. Outcomes break up ranges of tasks, so
  * each attempt counts as two tasks that stand alone.
  */
-final class SliceSize {
+public final class SliceSize {
     /** Names of fields, quotes and brackets. */
     private static final int FRAME = 64;
     /** Brackets and commas of one launch, and of one machine within it. */
@@ -32,7 +34,7 @@
     private final Set<Place> places = new HashSet<>();
     private int bytes;
 
-    SliceSize(Slice slice) {
+    public SliceSize(Slice slice) {
         taskBytes = 2 * (digits(slice.count()) + 1);
         bytes = FRAME
                 + slice.owner().length()
@@ -52,20 +54,20 @@
     }
 
     /** Tasks of a job that a slice holds if all of them run at once, so many on a machine. */
-    static int tasksWithin(int limitBytes, int tasksPerMachine) {
+    public static int tasksWithin(int limitBytes, int tasksPerMachine) {
         int perMachine = TYPICAL_PLACE + tasksPerMachine * TYPICAL_TASK;
         return Math.max(1, (limitBytes - TYPICAL_FRAME) * tasksPerMachine / perMachine);
     }
 
     /** Counts one more attempt. */
-    void add(Attempt attempt) {
+    public void add(Attempt attempt) {
         bytes += cost(attempt);
         firstTokens.putIfAbsent(attempt.number(), attempt.token());
         places.add(place(attempt));
     }
 
     /** True if the slice stays within the limit with one more attempt. */
-    boolean fits(Attempt attempt, int limitBytes) {
+    public boolean fits(Attempt attempt, int limitBytes) {
         return bytes + cost(attempt) <= limitBytes;
     }
 
--- a/src/main/java/dewlane/core/SliceSplitter.java
+++ b/src/main/java/dewlane/core/job/SliceSplitter.java
@@ -1,15 +1,15 @@
-package dewlane.core;
+package dewlane.core.job;
 
-import dewlane.core.Value.Slice;
+import dewlane.core.schema.Value.Slice;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Cuts a slice that was stored under larger limits into runs of tasks that each fit the present ones. */
-final class SliceSplitter {
+public final class SliceSplitter {
     private SliceSplitter() {}
 
     /** The slice in as few runs as are within the limit each; the slice itself if it is. */
-    static List<Slice> split(Slice slice, int limitBytes) {
+    public static List<Slice> split(Slice slice, int limitBytes) {
         if (SliceSize.bound(slice) <= limitBytes) {
             return List.of(slice);
         }
--- a/src/main/java/dewlane/core/MapBuilder.java
+++ b/src/main/java/dewlane/core/membership/MapBuilder.java
@@ -1,8 +1,13 @@
-package dewlane.core;
+package dewlane.core.membership;
 
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.Loan;
-import dewlane.core.Value.Member;
+import dewlane.core.message.Context;
+import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.UnknownFields;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.Loan;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.schema.ValueSize;
+import dewlane.core.store.Replica;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/dewlane/core/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -1,9 +1,19 @@
-package dewlane.core;
+package dewlane.core.membership;
 
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.Loan;
-import dewlane.core.Value.Member;
-import dewlane.core.Value.Presence;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.Loan;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.schema.Value.Presence;
+import dewlane.core.schema.ValueSize;
+import dewlane.core.store.Replica;
+import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -49,7 +59,8 @@
     private long newerSince;
     private long claimedAt = Long.MIN_VALUE / 2;
 
-    Membership(Context context, Replica replica, PeerTable peers, TransactionQueue transactions, ValueSize size) {
+    public Membership(
+            Context context, Replica replica, PeerTable peers, TransactionQueue transactions, ValueSize size) {
         this.maps = new MapBuilder(context, replica, size);
         this.context = context;
         this.replica = replica;
@@ -58,22 +69,22 @@
         this.self = context.settings().node();
     }
 
-    void contact() {
+    public void contact() {
         contactAt = context.now();
     }
 
     /** True if the state service has answered lately. */
-    boolean reachesState() {
+    public boolean reachesState() {
         return silence() <= REACHED_MS;
     }
 
     /** Milliseconds since the state service last answered. */
-    long silence() {
+    public long silence() {
         return context.now() - contactAt;
     }
 
     /** True while the map holds this start of this controller. */
-    boolean joined() {
+    public boolean joined() {
         ClusterMap map = replica.map();
         return map != null && joinedAs != 0 && map.incarnation(self) == joinedAs;
     }
@@ -89,7 +100,7 @@
     }
 
     /** The epoch at which this controller last joined. */
-    long incarnation() {
+    public long incarnation() {
         return joinedAs;
     }
 
@@ -98,7 +109,7 @@
         return newerSince != 0 && context.now() - newerSince > 1000;
     }
 
-    void peerEpoch(long epoch) {
+    public void peerEpoch(long epoch) {
         if (replica.map() == null || epoch <= replica.map().epoch()) {
             newerSince = 0;
         } else if (newerSince == 0) {
@@ -111,7 +122,7 @@
      * down counts as older until it has: it may come back as it was. What those that are not there have shown is in the
      * map, from which an older version drops it as it joins.
      */
-    boolean allUpgraded() {
+    public boolean allUpgraded() {
         return replica.map() != null && context.settings().peers().stream().allMatch(this::isUpgraded);
     }
 
@@ -122,11 +133,11 @@
         return format >= StoredFormat.CURRENT;
     }
 
-    boolean leads() {
+    public boolean leads() {
         return joined() && self.equals(Partitions.leader(replica.map()));
     }
 
-    void granted(long granted) {
+    public void granted(long granted) {
         leaseAsked = false;
         if (granted != 0) {
             lease = granted;
@@ -134,7 +145,7 @@
         }
     }
 
-    void touched(Input.LeaseTouched touched) {
+    public void touched(Input.LeaseTouched touched) {
         touching = false;
         if (touched.lease() == lease && touched.ended()) {
             context.info("lease ended, joining again");
@@ -143,7 +154,7 @@
         }
     }
 
-    void tick(boolean loaded) {
+    public void tick(boolean loaded) {
         long now = context.now();
         if (lease == 0) {
             if (!leaseAsked || now - askedAt > 3000) {
@@ -223,7 +234,7 @@
     }
 
     /** Takes a machine over that cannot reach its owner; the map says so as soon as it can be written. */
-    void claim(String machine) {
+    public void claim(String machine) {
         claims.add(machine);
     }
 
@@ -231,7 +242,7 @@
      * Lends another controller some of this one's share of a team's limit; the map says so as soon as it can be
      * written.
      */
-    void lend(String team, String to, double cpus, double gpus) {
+    public void lend(String team, String to, double cpus, double gpus) {
         lending.add(new Loan(team, to, cpus, gpus));
         lending.add(new Loan(team, self, -cpus, -gpus));
     }
--- a/src/main/java/dewlane/core/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -1,10 +1,13 @@
-package dewlane.core;
+package dewlane.core.membership;
 
+import dewlane.core.message.Context;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.store.Replica;
 import java.util.HashMap;
 import java.util.Map;
 
 /** What the other controllers last said of themselves, and when. */
-final class PeerTable {
+public final class PeerTable {
     /** What a peer said is good for so long. */
     private static final long FRESH_MS = 5000;
 
@@ -13,30 +16,30 @@
     private final Map<String, PeerStatus> statuses = new HashMap<>();
     private final Map<String, Long> heardAt = new HashMap<>();
 
-    PeerTable(Context context, Replica replica) {
+    public PeerTable(Context context, Replica replica) {
         this.context = context;
         this.replica = replica;
     }
 
     /** A peer told its status. */
-    void take(PeerStatus status) {
+    public void take(PeerStatus status) {
         statuses.put(status.node(), status);
         heardAt.put(status.node(), context.now());
     }
 
     /** Names this start of a controller: one that restarted has not heard its machines yet. */
-    String start(String node) {
+    public String start(String node) {
         long incarnation = replica.map() == null ? 0 : replica.map().incarnation(node);
         return incarnation == 0 ? null : node + "@" + incarnation;
     }
 
     /** True if a peer said within the last few seconds that it reaches the state service. */
-    boolean anyReachesState() {
+    public boolean anyReachesState() {
         return statuses.values().stream().anyMatch(status -> status.stateReachable() && heard(status.node(), FRESH_MS));
     }
 
     /** True if the controller said something within the given time. */
-    boolean heard(String node, long ms) {
+    public boolean heard(String node, long ms) {
         Long at = heardAt.get(node);
         return at != null && context.now() - at <= ms;
     }
--- a/src/main/java/dewlane/core/Standing.java
+++ b/src/main/java/dewlane/core/membership/Standing.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.membership;
 
 /**
  * What a controller may do at one instant, by its place in the map, by whom it reaches, and by the age of its view of
@@ -11,7 +11,7 @@
  * @param viewRenewsLeases the view of cancellations is young enough to renew a worker's lease
  * @param viewLaunches the view of cancellations is young enough to start a task
  */
-record Standing(
+public record Standing(
         boolean joined,
         boolean superseded,
         boolean isolated,
@@ -41,17 +41,17 @@
     }
 
     /** True if a worker's report may be answered, which renews the worker's lease. */
-    boolean mayAnswerWorkers() {
+    public boolean mayAnswerWorkers() {
         return joined && !superseded && !isolated && viewRenewsLeases;
     }
 
     /** True if a launch that is recorded may be sent to its worker. */
-    boolean maySendLaunches() {
+    public boolean maySendLaunches() {
         return viewLaunches;
     }
 
     /** True if new decisions may be made, which are then written under conditions. */
-    boolean mayDecide() {
+    public boolean mayDecide() {
         return joined && reachesState;
     }
 
--- a/src/main/java/dewlane/core/StandingMonitor.java
+++ b/src/main/java/dewlane/core/membership/StandingMonitor.java
@@ -1,19 +1,22 @@
-package dewlane.core;
+package dewlane.core.membership;
+
+import dewlane.core.job.Cancellations;
+import dewlane.core.message.Context;
 
 /** Tells the controller's {@link Standing} at this instant, and logs once a second whether its limit has changed. */
-final class StandingMonitor {
+public final class StandingMonitor {
     private final Context context;
     private final Membership membership;
     private final Cancellations cancellations;
     private Standing.Limit logged = Standing.Limit.NOT_JOINED;
 
-    StandingMonitor(Context context, Membership membership, Cancellations cancellations) {
+    public StandingMonitor(Context context, Membership membership, Cancellations cancellations) {
         this.context = context;
         this.membership = membership;
         this.cancellations = cancellations;
     }
 
-    Standing now() {
+    public Standing now() {
         return new Standing(
                 membership.joined(),
                 membership.superseded(),
@@ -23,7 +26,7 @@
                 cancellations.mayLaunch());
     }
 
-    void tick() {
+    public void tick() {
         Standing.Limit limit = now().limit();
         if (limit != logged) {
             logged = limit;
--- a/src/main/java/dewlane/core/Context.java
+++ b/src/main/java/dewlane/core/message/Context.java
@@ -1,5 +1,6 @@
-package dewlane.core;
+package dewlane.core.message;
 
+import dewlane.core.config.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -18,7 +19,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    void at(long nowMs, long wallMs) {
+    public void at(long nowMs, long wallMs) {
         now = nowMs;
         wall = wallMs;
     }
@@ -54,11 +55,11 @@
     }
 
     /** Whether lines that are written for each order are wanted; they cost too much to be made and thrown away. */
-    void logOrders(boolean wanted) {
+    public void logOrders(boolean wanted) {
         ordersLogged = wanted;
     }
 
-    boolean ordersLogged() {
+    public boolean ordersLogged() {
         return ordersLogged;
     }
 
@@ -67,7 +68,7 @@
         effects.add(new Effect.Log(Effect.Level.DEBUG, text));
     }
 
-    List<Effect> takeEffects() {
+    public List<Effect> takeEffects() {
         List<Effect> taken = effects;
         effects = new ArrayList<>();
         return taken;
--- a/src/main/java/dewlane/core/Counters.java
+++ b/src/main/java/dewlane/core/message/Counters.java
@@ -1,33 +1,34 @@
-package dewlane.core;
+package dewlane.core.message;
 
+import dewlane.core.store.TransactionQueue;
 import java.util.Locale;
 
 /** What a controller has done since it last said so; plain counts: equal runs have equal ones. */
-final class Counters {
-    long reports;
-    long reportsRefused;
-    long changesSeen;
-    long attemptsSeen;
-    long passes;
-    long jobsLookedAt;
-    long machinesLookedAt;
-    long commands;
-    long probes;
-    long suspicions;
-    long launchesGivenUp;
-    long fencesRaised;
-    long forgetsHeld;
-    long handed;
+public final class Counters {
+    public long reports;
+    public long reportsRefused;
+    public long changesSeen;
+    public long attemptsSeen;
+    public long passes;
+    public long jobsLookedAt;
+    public long machinesLookedAt;
+    public long commands;
+    public long probes;
+    public long suspicions;
+    public long launchesGivenUp;
+    public long fencesRaised;
+    public long forgetsHeld;
+    public long handed;
     long writes;
     long changesWritten;
-    long launched;
+    public long launched;
     private final long[] changesBy = new long[TransactionQueue.Urgency.values().length];
-    long conflicts;
-    long refused;
-    long invalid;
-    long unreadable;
+    public long conflicts;
+    public long refused;
+    public long invalid;
+    public long unreadable;
 
-    void wrote(TransactionQueue.Urgency urgency, int changes) {
+    public void wrote(TransactionQueue.Urgency urgency, int changes) {
         writes++;
         changesWritten += changes;
         changesBy[urgency.ordinal()] += changes;
@@ -44,7 +45,7 @@
         return text.toString();
     }
 
-    String text() {
+    public String text() {
         return "reports " + reports + ", refused reports " + reportsRefused + ", changes seen " + changesSeen + " with "
                 + attemptsSeen + " attempts, passes "
                 + passes
--- a/src/main/java/dewlane/core/Effect.java
+++ b/src/main/java/dewlane/core/message/Effect.java
@@ -1,5 +1,8 @@
-package dewlane.core;
+package dewlane.core.message;
 
+import dewlane.core.model.Order;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.schema.Transaction;
 import java.util.List;
 
 /** What the core wants done by the sockets and timers round it. */
--- a/src/main/java/dewlane/core/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -1,5 +1,12 @@
-package dewlane.core;
-
+package dewlane.core.message;
+
+import dewlane.core.model.Job;
+import dewlane.core.model.ListedMachine;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.model.Report;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
 import java.util.List;
 
 /** Messages to the core. Ids are chosen by whoever expects the matching effect or answer. */
--- a/src/main/java/dewlane/core/RateLimit.java
+++ b/src/main/java/dewlane/core/message/RateLimit.java
@@ -1,20 +1,20 @@
-package dewlane.core;
+package dewlane.core.message;
 
 /** A token bucket: so many a second, and a burst of what was not used. */
-final class RateLimit {
+public final class RateLimit {
     private final double perS;
     private final double burst;
     private double tokens;
     private long refilledAt = Long.MIN_VALUE;
 
-    RateLimit(double perS, double burst) {
+    public RateLimit(double perS, double burst) {
         this.perS = perS;
         this.burst = burst;
         this.tokens = burst;
     }
 
     /** Takes one token; false if there is none. */
-    boolean take(long now) {
+    public boolean take(long now) {
         if (refilledAt != Long.MIN_VALUE) {
             tokens = Math.min(burst, tokens + perS * (now - refilledAt) / 1000.0);
         }
--- a/src/main/java/dewlane/core/Attempt.java
+++ b/src/main/java/dewlane/core/model/Attempt.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.model;
 
 /**
  * One launch of a task that may be on its machine until its end or a proof of gone is durable.
--- a/src/main/java/dewlane/core/ListedMachine.java
+++ b/src/main/java/dewlane/core/model/ListedMachine.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.model;
 
 /** A machine as the cloud's lagging list shows it. */
 public record ListedMachine(
--- a/src/main/java/dewlane/core/Order.java
+++ b/src/main/java/dewlane/core/model/Order.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.model;
 
 /** A command to a worker. */
 public record Order(Kind kind, String job, int task, int attempt, double graceS) {
--- a/src/main/java/dewlane/core/Priority.java
+++ b/src/main/java/dewlane/core/model/Priority.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.model;
 
 /** Priorities, lowest first, so that {@link #compareTo} ranks them. */
 public enum Priority {
--- a/src/main/java/dewlane/core/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -1,16 +1,18 @@
-package dewlane.core;
+package dewlane.core.model;
+
+import dewlane.core.config.Settings;
 
 /** CPUs, GPUs and memory in use, counted in millionths so that what is added and taken away leaves no rest. */
-final class ResourceUsage {
+public final class ResourceUsage {
     private static final double UNIT = 1e6;
 
     private long cpus;
     private long gpus;
     private long memory;
 
-    ResourceUsage() {}
+    public ResourceUsage() {}
 
-    ResourceUsage(ResourceUsage other) {
+    public ResourceUsage(ResourceUsage other) {
         cpus = other.cpus;
         gpus = other.gpus;
         memory = other.memory;
@@ -20,55 +22,55 @@
         return Math.round(amount * UNIT);
     }
 
-    ResourceUsage add(ResourceUsage other) {
+    public ResourceUsage add(ResourceUsage other) {
         cpus += other.cpus;
         gpus += other.gpus;
         memory += other.memory;
         return this;
     }
 
-    void add(Job job) {
+    public void add(Job job) {
         add(job, 1);
     }
 
-    void add(Job job, int tasks) {
+    public void add(Job job, int tasks) {
         cpus += tasks * units(job.cpus());
         gpus += tasks * units(job.gpus());
         memory += tasks * units(job.memoryGb());
     }
 
-    void remove(Job job) {
+    public void remove(Job job) {
         add(job, -1);
     }
 
-    double cpus() {
+    public double cpus() {
         return cpus / UNIT;
     }
 
-    double gpus() {
+    public double gpus() {
         return gpus / UNIT;
     }
 
-    boolean none() {
+    public boolean none() {
         return cpus == 0 && gpus == 0 && memory == 0;
     }
 
     /** How many tasks of the job fit beside this use on a machine of the type. */
-    int room(MachineType type, Job job) {
+    public int room(MachineType type, Job job) {
         return (int) Math.min(
                 most(type.cpus(), cpus, job.cpus()),
                 Math.min(most(type.gpus(), gpus, job.gpus()), most(type.memoryGb(), memory, job.memoryGb())));
     }
 
     /** How many tasks of the job fit beside this use within a team's limits, of which 0 is none. */
-    int room(Settings.Team team, Job job) {
+    public int room(Settings.Team team, Job job) {
         long byCpus = team.cpusMax() <= 0 ? Integer.MAX_VALUE : most(team.cpusMax(), cpus, job.cpus());
         long byGpus = team.gpusMax() <= 0 ? Integer.MAX_VALUE : most(team.gpusMax(), gpus, job.gpus());
         return (int) Math.min(byCpus, byGpus);
     }
 
     /** How many tasks fit into a share of a limit of CPUs or else GPUs; a limit of 0 is none. */
-    int room(double limit, double share, boolean ofCpus, Job job) {
+    public int room(double limit, double share, boolean ofCpus, Job job) {
         return limit <= 0 ? 1_000_000 : (int) (ofCpus ? most(share, cpus, job.cpus()) : most(share, gpus, job.gpus()));
     }
 
--- a/src/main/java/dewlane/core/Quota.java
+++ b/src/main/java/dewlane/core/quota/Quota.java
@@ -1,5 +1,15 @@
-package dewlane.core;
-
+package dewlane.core.quota;
+
+import dewlane.core.config.Settings;
+import dewlane.core.fleet.Machines;
+import dewlane.core.model.Job;
+import dewlane.core.model.Priority;
+import dewlane.core.model.ResourceUsage;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -19,14 +29,14 @@
  * knows its own use. Another may come to own more than its share when a controller leaves; it then starts nothing, and
  * the others keep that much of theirs free.
  */
-final class Quota {
+public final class Quota {
     private final Settings settings;
     private final Replica replica;
     private final Machines machines;
     /** Teams with a launch under way: until the replica has reached the revision, its count is not the latest. */
     private final Map<String, Long> settledAt = new HashMap<>();
 
-    Quota(Settings settings, Replica replica, Machines machines) {
+    public Quota(Settings settings, Replica replica, Machines machines) {
         this.settings = settings;
         this.replica = replica;
         this.machines = machines;
@@ -71,16 +81,16 @@
     }
 
     /** True if the team's limit is lent launch by launch. */
-    boolean lends(Job job) {
+    public boolean lends(Job job) {
         return limited(job) && !shared(team(job));
     }
 
-    boolean busy(Job job) {
+    public boolean busy(Job job) {
         return lends(job) && settledAt.getOrDefault(job.team(), 0L) > replica.revision();
     }
 
     /** How many more tasks of the job this controller may start under the team's limit; none for an unknown team. */
-    int room(Job job) {
+    public int room(Job job) {
         Settings.Team team = team(job);
         if (team == null || limited(job) && mayUseMore(job.team())) {
             return 0;
@@ -123,7 +133,7 @@
     }
 
     /** How many tasks of the job a controller has room for under the team's limit, in its share where it has one. */
-    int room(Job job, String node) {
+    public int room(Job job, String node) {
         Settings.Team team = team(job);
         if (!limited(job)) {
             return Integer.MAX_VALUE;
@@ -141,12 +151,12 @@
     }
 
     /** True if the team as a whole has room for more, though perhaps not in this controller's share. */
-    boolean spare(Job job) {
+    public boolean spare(Job job) {
         return team(job) != null && room(job, machines.teamUsage().of(job.team())) > 0;
     }
 
     /** How many more fit if the team used so much in all. */
-    int room(Job job, ResourceUsage use) {
+    public int room(Job job, ResourceUsage use) {
         Settings.Team team = team(job);
         return team == null ? 0 : use.room(team, job);
     }
@@ -158,7 +168,7 @@
      *
      * @param ready unfinished jobs in ready order
      */
-    Set<String> guaranteed(List<JobEntry> ready) {
+    public Set<String> guaranteed(List<JobEntry> ready) {
         Map<String, double[]> sums = new HashMap<>();
         Set<String> within = new HashSet<>();
         for (boolean idle : new boolean[] {false, true}) {
@@ -181,14 +191,14 @@
     }
 
     /** True if the team uses more than its guarantee. */
-    boolean borrows(Job job) {
+    public boolean borrows(Job job) {
         Settings.Team team = team(job);
         ResourceUsage use = machines.teamUsage().of(job.team());
         return team == null || use.cpus() > team.cpus() + 1e-9 || use.gpus() > team.gpus() + 1e-9;
     }
 
     /** Makes a launch conditional on the count it was decided by. */
-    void guard(Transaction.Builder txn, Job job) {
+    public void guard(Transaction.Builder txn, Job job) {
         if (lends(job)) {
             ResourceUsage use = machines.teamUsage().of(job.team());
             txn.when(Keys.team(job.team()), replica.teamVersion(job.team()));
@@ -197,7 +207,7 @@
         }
     }
 
-    void answered(Job job, long revision) {
+    public void answered(Job job, long revision) {
         if (limited(job)) {
             settledAt.put(job.team(), revision);
         }
--- a/src/main/java/dewlane/core/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -1,6 +1,14 @@
-package dewlane.core;
+package dewlane.core.quota;
 
-import dewlane.core.Value.Member;
+import dewlane.core.job.Release;
+import dewlane.core.membership.Membership;
+import dewlane.core.membership.StandingMonitor;
+import dewlane.core.message.Context;
+import dewlane.core.model.Job;
+import dewlane.core.scheduling.JobDistributor;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.List;
 
 /**
@@ -11,7 +19,7 @@
  * <p>The shares stand in the map, which every launch is conditional on, so all controllers change them at the same
  * revision.
  */
-final class QuotaRebalancer {
+public final class QuotaRebalancer {
     /** So long a job waits before the shares are changed for it, and so long they then stay as they are. */
     private static final long WAIT_MS = 15_000;
 
@@ -26,7 +34,7 @@
     private final Release release;
     private long lentAt = Long.MIN_VALUE / 2;
 
-    QuotaRebalancer(
+    public QuotaRebalancer(
             Context context,
             Replica replica,
             Membership membership,
@@ -43,7 +51,7 @@
         this.distributor = distributor;
     }
 
-    void tick() {
+    public void tick() {
         if (!standing.now().mayDecide() || context.now() - lentAt < PAUSE_MS) {
             return;
         }
--- a/src/main/java/dewlane/core/Candidates.java
+++ b/src/main/java/dewlane/core/scheduling/Candidates.java
@@ -1,5 +1,12 @@
-package dewlane.core;
+package dewlane.core.scheduling;
 
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machines;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.store.JobEntry;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/dewlane/core/JobDistributor.java
+++ b/src/main/java/dewlane/core/scheduling/JobDistributor.java
@@ -1,7 +1,20 @@
-package dewlane.core;
+package dewlane.core.scheduling;
 
-import dewlane.core.Value.Deal;
-import dewlane.core.Value.Member;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Release;
+import dewlane.core.job.SliceSize;
+import dewlane.core.message.Context;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Priority;
+import dewlane.core.quota.Quota;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Value.Deal;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -9,7 +22,7 @@
 import java.util.Map;
 
 /** Deals jobs among the parts by free room, as slices of their tasks: few, as each slice costs changes. */
-final class JobDistributor {
+public final class JobDistributor {
     /** Keeps a slice's done marks well within the smallest value the state service takes. */
     private static final int MAX_SLICE = 20_000;
     /** Tasks that find no room wait in no more slices than so many each make worth while. */
@@ -39,7 +52,7 @@
     private long countedAt = Long.MIN_VALUE / 2;
     private long countedFor;
 
-    JobDistributor(Context context, Replica replica, Machines machines, Quota quota, Release release) {
+    public JobDistributor(Context context, Replica replica, Machines machines, Quota quota, Release release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
@@ -62,7 +75,7 @@
     }
 
     /** Tasks of the job that each part of the map has room for. */
-    int[] rooms(Job job, Job.Shape shape) {
+    public int[] rooms(Job job, Job.Shape shape) {
         keepFresh();
         return rooms.computeIfAbsent(shape, k -> {
             List<Member> members = replica.map().members();
@@ -161,7 +174,7 @@
      * The slices of a new job: one if a part has room for all of it, or else as few as its room is spread over; what
      * finds no room waits where least does. A slice holds no more tasks than its value can tell of at once.
      */
-    List<Deal> deal(Job job) {
+    public List<Deal> deal(Job job) {
         List<Offer> offers = offers(job, newJob(job));
         List<Deal> deals = new ArrayList<>();
         if (job.placesLinked()) {
@@ -186,7 +199,7 @@
     }
 
     /** All of a job's tasks as one slice, for a record that has no room for more. */
-    List<Deal> dealWhole(Job job) {
+    public List<Deal> dealWhole(Job job) {
         return List.of(new Deal(offers(job, newJob(job)).get(0).node(), 0, job.tasks()));
     }
 
--- a/src/main/java/dewlane/core/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -1,6 +1,11 @@
-package dewlane.core;
-
-import dewlane.core.Value.Slice;
+package dewlane.core.scheduling;
+
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value.Slice;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- a/src/main/java/dewlane/core/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -1,8 +1,29 @@
-package dewlane.core;
+package dewlane.core.scheduling;
 
-import dewlane.core.JobProgress.Outcome;
-import dewlane.core.Machine.Key;
-import dewlane.core.Value.Slice;
+import dewlane.core.config.Settings;
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.fleet.JobProgress.Outcome;
+import dewlane.core.fleet.Machine.Key;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Cancellations;
+import dewlane.core.job.Dependencies;
+import dewlane.core.job.SliceSplitter;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
+import dewlane.core.quota.Quota;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
+import dewlane.core.schema.Value.Slice;
+import dewlane.core.schema.ValueSize;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
+import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -15,7 +36,7 @@
  * <p>Writes are built when they can be sent: while the rate of changes is short, what is to be said of a job gathers,
  * and one change says more.
  */
-final class JobWriter {
+public final class JobWriter {
     /** How long outcomes gather, and how long while the rate of changes is short. */
     private static final long GATHER_MS = 1000;
 
@@ -42,7 +63,7 @@
     private final ValueSize size;
     private final String self;
 
-    JobWriter(
+    public JobWriter(
             Context context,
             Replica replica,
             Machines machines,
--- a/src/main/java/dewlane/core/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -1,6 +1,19 @@
-package dewlane.core;
+package dewlane.core.scheduling;
 
-import dewlane.core.Value.Slice;
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.SliceSize;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
+import dewlane.core.quota.Quota;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Value.Slice;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -13,7 +26,7 @@
  * Plans launches of a job's waiting tasks on the machines of this part, hands tasks on to parts with room, and has room
  * made by preemption where neither helps.
  */
-final class LaunchPlanner {
+public final class LaunchPlanner {
     /** How often a waiting job looks for room in other parts. */
     private static final long LOOK_MS = 400;
     /** How long after it was handed on a job stays where it is. */
@@ -40,7 +53,7 @@
     /** Shapes for which this pass found no room. */
     private final Set<Job.Shape> full = new HashSet<>();
 
-    LaunchPlanner(
+    public LaunchPlanner(
             Context context,
             Replica replica,
             Machines machines,
--- a/src/main/java/dewlane/core/LeftoverCleaner.java
+++ b/src/main/java/dewlane/core/scheduling/LeftoverCleaner.java
@@ -1,5 +1,13 @@
-package dewlane.core;
+package dewlane.core.scheduling;
 
+import dewlane.core.message.Context;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Transaction;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
+import dewlane.core.store.TransactionQueue;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -7,14 +15,14 @@
  * Deletes what is left of jobs that are over. A job with many slices ends by one transaction that removes its record;
  * slices that do not fit into it are deleted afterwards, by whoever is there then.
  */
-final class LeftoverCleaner {
+public final class LeftoverCleaner {
     private final Context context;
     private final Replica replica;
     private final TransactionQueue transactions;
     /** Jobs with a deletion under way, or whose answer the replica has not reached, and the revision of that. */
     private final Map<String, Long> settledAt = new HashMap<>();
 
-    LeftoverCleaner(Context context, Replica replica, TransactionQueue transactions) {
+    public LeftoverCleaner(Context context, Replica replica, TransactionQueue transactions) {
         this.context = context;
         this.replica = replica;
         this.transactions = transactions;
--- a/src/main/java/dewlane/core/Placement.java
+++ b/src/main/java/dewlane/core/scheduling/Placement.java
@@ -1,8 +1,21 @@
-package dewlane.core;
+package dewlane.core.scheduling;
 
-import dewlane.core.JobProgress.Outcome;
-import dewlane.core.Machine.Live;
-import dewlane.core.Value.Slice;
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.fleet.JobProgress.Outcome;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machine.Live;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Release;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.model.Job;
+import dewlane.core.quota.Quota;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Value.Slice;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -12,7 +25,7 @@
  * Goes through the machines of this part and the jobs that are not over, in the order in which jobs are served, and has
  * {@link JobWriter} say what there is to say of each.
  */
-final class Placement {
+public final class Placement {
     private final Context context;
     private final Replica replica;
     private final Machines machines;
@@ -28,7 +41,7 @@
     /** Usable machines that are not full. */
     private final List<Machine> free = new ArrayList<>();
 
-    Placement(
+    public Placement(
             Context context,
             Replica replica,
             Machines machines,
@@ -53,7 +66,7 @@
     }
 
     /** True if the machine, which must be of this part, can be given tasks. */
-    boolean takesTasks(Machine m) {
+    public boolean takesTasks(Machine m) {
         return !m.leaving
                 && m.type != null
                 && machines.type(m) != null
@@ -76,12 +89,12 @@
     }
 
     /** Machines of this part that take tasks, as of the latest pass. */
-    List<Machine> usable() {
+    public List<Machine> usable() {
         return usable;
     }
 
     /** Looks at all jobs for what can be written, at the machines of this part, and at no other. */
-    void pass() {
+    public void pass() {
         machines.progress().settle();
         if (!membership.joined()) {
             usable = List.of();
@@ -165,7 +178,7 @@
     }
 
     /** Notes an outcome that is to be made durable; true if it is the first for the attempt. */
-    boolean record(JobProgress work, Live live, Outcome outcome) {
+    public boolean record(JobProgress work, Live live, Outcome outcome) {
         work.gather(live.slice.number, context.now());
         return work.outcomes.putIfAbsent(live.key, outcome) == null;
     }
--- a/src/main/java/dewlane/core/Preemption.java
+++ b/src/main/java/dewlane/core/scheduling/Preemption.java
@@ -1,7 +1,17 @@
-package dewlane.core;
-
-import dewlane.core.Machine.Key;
-import dewlane.core.Machine.Live;
+package dewlane.core.scheduling;
+
+import dewlane.core.config.Settings;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machine.Key;
+import dewlane.core.fleet.Machine.Live;
+import dewlane.core.fleet.Machines;
+import dewlane.core.message.Context;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Priority;
+import dewlane.core.model.ResourceUsage;
+import dewlane.core.quota.Quota;
+import dewlane.core.store.JobEntry;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/dewlane/core/Keys.java
+++ b/src/main/java/dewlane/core/schema/Keys.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.schema;
 
 /** Names of the keys in the state service. Final states sort first, so that a restart can skip them. */
 public final class Keys {
--- a/src/main/java/dewlane/core/Partitions.java
+++ b/src/main/java/dewlane/core/schema/Partitions.java
@@ -1,8 +1,8 @@
-package dewlane.core;
+package dewlane.core.schema;
 
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.Member;
-import dewlane.core.Value.Slice;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.schema.Value.Slice;
 import it.unimi.dsi.fastutil.HashCommon;
 
 /**
--- a/src/main/java/dewlane/core/StoredFormat.java
+++ b/src/main/java/dewlane/core/schema/StoredFormat.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.schema;
 
 /**
  * Forms of what is kept in the state service. Each controller names the newest one that it knows in its
--- a/src/main/java/dewlane/core/Transaction.java
+++ b/src/main/java/dewlane/core/schema/Transaction.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.schema;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dewlane/core/Value.java
+++ b/src/main/java/dewlane/core/schema/Value.java
@@ -1,5 +1,7 @@
-package dewlane.core;
+package dewlane.core.schema;
 
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -22,7 +24,7 @@
          * The same record with the mark that the job is cancelled. Nothing of it is launched any more, so how it was
          * dealt is left out where a value has no room for it.
          */
-        JobRecord cancelled(long atMs, ValueSize size, int mostBytes) {
+        public JobRecord cancelled(long atMs, ValueSize size, int mostBytes) {
             JobRecord marked = new JobRecord(job, deals, atMs, unknown);
             return size.bytes(marked) <= mostBytes ? marked : new JobRecord(job, List.of(), atMs, unknown);
         }
@@ -35,7 +37,7 @@
 
     /** A run of a job's tasks and the controller they are dealt to. */
     record Deal(String owner, int first, int count) {
-        Slice slice() {
+        public Slice slice() {
             return new Slice(owner, first, count, 0, new BitSet(), List.of());
         }
     }
@@ -64,22 +66,22 @@
         }
 
         /** The same slice with other outcomes. */
-        Slice withOutcomes(BitSet nowDone, List<Attempt> left) {
+        public Slice withOutcomes(BitSet nowDone, List<Attempt> left) {
             return new Slice(owner, first, count, launches, nowDone, List.copyOf(left), unknown);
         }
 
         /** The same slice owned by the launching controller, after one more launch. */
-        Slice withLaunch(String launcher, List<Attempt> live) {
+        public Slice withLaunch(String launcher, List<Attempt> live) {
             return new Slice(launcher, first, count, launches + 1, done, List.copyOf(live), unknown);
         }
 
         /** The same slice dealt to another controller. */
-        Slice withOwner(String other) {
+        public Slice withOwner(String other) {
             return new Slice(other, first, count, launches, done, attempts, unknown);
         }
 
         /** The run of {@code length} tasks that begins {@code from} tasks after the first. */
-        Slice part(int from, int length) {
+        public Slice part(int from, int length) {
             BitSet doneThere = done.get(from, from + length);
             List<Attempt> there = new ArrayList<>();
             for (Attempt a : attempts) {
--- a/src/main/java/dewlane/core/ValueSize.java
+++ b/src/main/java/dewlane/core/schema/ValueSize.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.schema;
 
 /** Tells how many bytes a value takes in the state service. */
 public interface ValueSize {
--- a/src/main/java/dewlane/core/Delta.java
+++ b/src/main/java/dewlane/core/store/Delta.java
@@ -1,13 +1,13 @@
-package dewlane.core;
+package dewlane.core.store;
 
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.FinalRecord;
-import dewlane.core.Value.JobRecord;
-import dewlane.core.Value.MachineRecord;
-import dewlane.core.Value.Slice;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.Value.MachineRecord;
+import dewlane.core.schema.Value.Slice;
 
 /** What a change of the state service changed in the {@link Replica}; told after the change is in place. */
-sealed interface Delta {
+public sealed interface Delta {
     /** A slice has another value; null where it is new or gone. */
     record SliceChanged(JobEntry job, SliceEntry slice, Slice before, Slice after) implements Delta {}
 
--- a/src/main/java/dewlane/core/FinalReader.java
+++ b/src/main/java/dewlane/core/store/FinalReader.java
@@ -1,17 +1,23 @@
-package dewlane.core;
+package dewlane.core.store;
 
-import dewlane.core.Value.FinalRecord;
+import dewlane.core.config.Settings;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.message.RateLimit;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.FinalRecord;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
 /** Reads final states that the replica does not know, within a part of the state service's request rate. */
-final class FinalReader {
+public final class FinalReader {
     /** The part of the requests that all controllers' reads together may take. */
     private static final double REQUEST_SHARE = 0.2;
 
     private static final double LEAST_BURST = 5;
 
     /** Told what a read found. */
-    interface Listener {
+    public interface Listener {
         /** The job is over. */
         void found(FinalRecord result);
 
@@ -30,7 +36,7 @@
     private final Long2ObjectOpenHashMap<Read> reads = new Long2ObjectOpenHashMap<>();
     private long nextRead = 1;
 
-    FinalReader(Context context, Replica replica) {
+    public FinalReader(Context context, Replica replica) {
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
@@ -40,7 +46,7 @@
     }
 
     /** Asks for a job's final state; false if that is more than the rate allows now, and then nobody is told. */
-    boolean read(String job, Listener listener) {
+    public boolean read(String job, Listener listener) {
         if (!rate.take(context.now())) {
             return false;
         }
@@ -51,7 +57,7 @@
     }
 
     /** Takes an answer of the state service. */
-    void answered(Input.ValueRead in) {
+    public void answered(Input.ValueRead in) {
         Read read = reads.remove(in.id());
         if (read == null) {
             return;
--- a/src/main/java/dewlane/core/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -1,6 +1,8 @@
-package dewlane.core;
+package dewlane.core.store;
 
-import dewlane.core.Value.JobRecord;
+import dewlane.core.model.Job;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Value.JobRecord;
 import java.util.Collection;
 import java.util.TreeMap;
 
@@ -38,7 +40,7 @@
     }
 
     /** The job's record, or null if it has none any more. */
-    JobRecord record() {
+    public JobRecord record() {
         return record;
     }
 
@@ -71,18 +73,18 @@
     }
 
     /** Time of day of the job's own deadline, counted from its submission however long it awaits others. */
-    long ownDeadlineMs() {
+    public long ownDeadlineMs() {
         Job job = record.job();
         return job.deadlineS() > 0 ? job.acceptedMs() + (long) (1000 * job.deadlineS()) : NO_DEADLINE;
     }
 
-    void expect(Priority highest, long earliestDeadlineMs) {
+    public void expect(Priority highest, long earliestDeadlineMs) {
         priority = highest;
         deadlineMs = earliestDeadlineMs;
     }
 
     /** The last job that this one awaited ended at the given time of day. */
-    void released(long atMs) {
+    public void released(long atMs) {
         waitsSinceMs = Math.max(waitsSinceMs, atMs);
     }
 
@@ -130,7 +132,7 @@
     }
 
     /** Tasks that are neither done nor may be on a machine. */
-    int waiting() {
+    public int waiting() {
         int n = 0;
         for (SliceEntry s : slices.values()) {
             n += s.value().waiting();
@@ -144,7 +146,7 @@
     }
 
     /** A number that no slice of the job has had, since slices go only with their job. */
-    int nextSlice() {
+    public int nextSlice() {
         return slices.isEmpty() ? 0 : slices.lastKey() + 1;
     }
 
--- a/src/main/java/dewlane/core/MachineRecordIndex.java
+++ b/src/main/java/dewlane/core/store/MachineRecordIndex.java
@@ -1,6 +1,8 @@
-package dewlane.core;
+package dewlane.core.store;
 
-import dewlane.core.Value.MachineRecord;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.MachineRecord;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/dewlane/core/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -1,5 +1,9 @@
-package dewlane.core;
+package dewlane.core.store;
 
+import dewlane.core.config.Settings;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -13,7 +17,7 @@
  * <p>One request serves all questions that came before it was sent. A read for each used up the state service's request
  * rate when hundreds of jobs were asked about, until leases could not be renewed either and nothing ran.
  */
-final class ReadBarrier {
+public final class ReadBarrier {
     /** The part of the state service's requests that all controllers' barriers together may take. */
     private static final double REQUEST_SHARE = 0.2;
     /** A question that waited for so long is answered as if the state service had not. */
@@ -36,7 +40,7 @@
     private boolean asking;
     private long askedAt = Long.MIN_VALUE / 2;
 
-    ReadBarrier(Context context, Replica replica) {
+    public ReadBarrier(Context context, Replica replica) {
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
@@ -45,13 +49,13 @@
     }
 
     /** Runs {@code proceed} once the replica holds all that is durable now, or {@code fail} if that cannot be known. */
-    void await(Runnable proceed, Runnable fail) {
+    public void await(Runnable proceed, Runnable fail) {
         arrived.add(new Question(context.now(), proceed, fail));
         pump();
     }
 
     /** Takes the answer to the request under way. */
-    void answered(Input.RevisionRead in) {
+    public void answered(Input.RevisionRead in) {
         asking = false;
         List<Question> batch = asked;
         asked = List.of();
@@ -72,7 +76,7 @@
     }
 
     /** Asks for what waits, and gives up on what has waited for too long. */
-    void tick() {
+    public void tick() {
         while (!proven.isEmpty() && late(proven.peek().questions().get(0))) {
             proven.poll().questions().forEach(q -> q.fail().run());
         }
--- a/src/main/java/dewlane/core/Replica.java
+++ b/src/main/java/dewlane/core/store/Replica.java
@@ -1,12 +1,16 @@
-package dewlane.core;
+package dewlane.core.store;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.FinalRecord;
-import dewlane.core.Value.JobRecord;
-import dewlane.core.Value.Presence;
-import dewlane.core.Value.Slice;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.Value;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.Value.Presence;
+import dewlane.core.schema.Value.Slice;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Collection;
 import java.util.Comparator;
@@ -39,7 +43,7 @@
     private long revision;
     private boolean loading;
 
-    Replica(Consumer<Delta> follower) {
+    public Replica(Consumer<Delta> follower) {
         this.follower = follower;
     }
 
@@ -72,7 +76,7 @@
     }
 
     /** Applies one change of the watch. A change older than what is held is one that the listing already had. */
-    void apply(Input.Change change) {
+    public void apply(Input.Change change) {
         String key = change.key();
         if (change.value() instanceof Value.Unreadable bad) {
             noteUnreadable(key, bad.reason());
@@ -127,7 +131,7 @@
     }
 
     /** Jobs of which something cannot be read. */
-    Set<String> held() {
+    public Set<String> held() {
         return unreadable.jobs();
     }
 
@@ -275,7 +279,7 @@
     }
 
     /** Jobs that are over and of which only slices are left, to be deleted. */
-    Collection<JobEntry> leftovers() {
+    public Collection<JobEntry> leftovers() {
         return leftovers;
     }
 
@@ -305,7 +309,7 @@
     }
 
     /** The job, or null if it has no record: it is over or was never accepted, or its record cannot be read. */
-    JobEntry recorded(String id) {
+    public JobEntry recorded(String id) {
         JobEntry entry = jobs.get(id);
         return entry == null || entry.record() == null ? null : entry;
     }
@@ -315,7 +319,7 @@
         return finals.getIfPresent(id);
     }
 
-    void rememberFinal(String id, FinalRecord fin) {
+    public void rememberFinal(String id, FinalRecord fin) {
         finals.put(id, fin);
         follower.accept(new Delta.Ended(id, fin));
     }
--- a/src/main/java/dewlane/core/SliceEntry.java
+++ b/src/main/java/dewlane/core/store/SliceEntry.java
@@ -1,6 +1,7 @@
-package dewlane.core;
+package dewlane.core.store;
 
-import dewlane.core.Value.Slice;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.Slice;
 
 /** A slice of a job as the replica holds it, and the version of its key. */
 public final class SliceEntry {
--- a/src/main/java/dewlane/core/StateFollower.java
+++ b/src/main/java/dewlane/core/store/StateFollower.java
@@ -1,7 +1,14 @@
-package dewlane.core;
+package dewlane.core.store;
+
+import dewlane.core.job.Cancellations;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
 
 /** Keeps the replica up to date: reads the whole state once, then follows it by one watch after the other. */
-final class StateFollower {
+public final class StateFollower {
     /** A listing that failed is tried again after so long. */
     private static final long LIST_AGAIN_MS = 500;
 
@@ -19,7 +26,7 @@
     private boolean loaded;
     private long loadedFrom;
 
-    StateFollower(
+    public StateFollower(
             Context context,
             Replica replica,
             Membership membership,
@@ -35,17 +42,17 @@
     }
 
     /** True if the state has been read and is followed. */
-    boolean loaded() {
+    public boolean loaded() {
         return loaded;
     }
 
     /** True if the replica holds all that was durable at some moment, with nothing of a later one in between. */
-    boolean caughtUp() {
+    public boolean caughtUp() {
         return loaded && replica.revision() >= loadedFrom;
     }
 
     /** Asks for the whole state if it is not followed. */
-    void tick() {
+    public void tick() {
         if (!loaded && !listing && context.now() - listedAt > LIST_AGAIN_MS) {
             listing = true;
             listedAt = context.now();
@@ -54,7 +61,7 @@
     }
 
     /** The whole state was read. */
-    void listed(Input.StateListed in) {
+    public void listed(Input.StateListed in) {
         membership.contact();
         listing = false;
         loaded = true;
@@ -68,7 +75,7 @@
     }
 
     /** The state could not be read. */
-    void listFailed() {
+    public void listFailed() {
         listing = false;
     }
 
@@ -78,7 +85,7 @@
     }
 
     /** A watch was answered; true if it brought changes. */
-    boolean changed(Input.Changes in) {
+    public boolean changed(Input.Changes in) {
         if (!loaded) {
             return false;
         }
@@ -103,7 +110,7 @@
     }
 
     /** A watch ended without an answer. */
-    void watchFailed(Input.WatchFailed in) {
+    public void watchFailed(Input.WatchFailed in) {
         if (in.tooOld()) {
             context.info("the watch fell behind, reading the state anew");
             loaded = false;
--- a/src/main/java/dewlane/core/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -1,5 +1,11 @@
-package dewlane.core;
-
+package dewlane.core.store;
+
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.ValueSize;
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -84,7 +90,7 @@
     private final ValueSize size;
     private boolean sizeRefused;
 
-    TransactionQueue(Context context, Counters counters, ValueSize size) {
+    public TransactionQueue(Context context, Counters counters, ValueSize size) {
         this.context = context;
         this.counters = counters;
         this.size = size;
@@ -92,7 +98,7 @@
     }
 
     /** Live controllers share the write rate. */
-    void shareAmong(int controllers) {
+    public void shareAmong(int controllers) {
         budget.shareAmong(controllers);
     }
 
@@ -100,11 +106,11 @@
      * True once a write within the present limits was called invalid: the coming ones are in force, which they are only
      * after every controller has been upgraded.
      */
-    boolean sizeWasRefused() {
+    public boolean sizeWasRefused() {
         return sizeRefused;
     }
 
-    void submit(Urgency urgency, Transaction txn, Listener listener) {
+    public void submit(Urgency urgency, Transaction txn, Listener listener) {
         enqueue(new Entry(nextId++, urgency, txn, listener, context.now()));
         pump();
     }
@@ -113,7 +119,7 @@
      * True if a write of this urgency would be sent soon. Whoever builds writes from what is known asks first: what
      * waits unbuilt gathers, what waits in the queue only grows old.
      */
-    boolean open(Urgency urgency) {
+    public boolean open(Urgency urgency) {
         int before = 0;
         for (int i = 0; i <= urgency.ordinal(); i++) {
             before += waiting[i];
@@ -125,7 +131,7 @@
      * True if a submission can be written soon, and then counts it. What is beyond that is better told to come back:
      * submissions that were all tried again and again took every change there was, and nothing accepted could run.
      */
-    boolean admitsUser() {
+    public boolean admitsUser() {
         return waiting[Urgency.USER.ordinal()] < MOST_USERS_WAITING && budget.admitsUser();
     }
 
@@ -144,11 +150,11 @@
     }
 
     /** True if changes are short, so that it pays to say more with each. */
-    boolean scarce() {
+    public boolean scarce() {
         return budget.tokens() < budget.capacity() / 2;
     }
 
-    void answered(Input.TxnAnswer answer) {
+    public void answered(Input.TxnAnswer answer) {
         Entry entry = inFlight.remove(answer.id());
         if (entry == null) {
             return;
@@ -215,7 +221,7 @@
         enqueue(entry);
     }
 
-    void pump() {
+    public void pump() {
         List<Entry> later = new ArrayList<>();
         while (!queue.isEmpty() && inFlight.size() < MAX_IN_FLIGHT) {
             Entry entry = queue.poll();
--- a/src/main/java/dewlane/core/UnreadableKeys.java
+++ b/src/main/java/dewlane/core/store/UnreadableKeys.java
@@ -1,5 +1,6 @@
-package dewlane.core;
+package dewlane.core.store;
 
+import dewlane.core.schema.Keys;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/dewlane/core/UnreadableLog.java
+++ b/src/main/java/dewlane/core/store/UnreadableLog.java
@@ -1,7 +1,11 @@
-package dewlane.core;
+package dewlane.core.store;
+
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.message.RateLimit;
 
 /** Says which keys have values that cannot be read; of many, only some a minute. */
-final class UnreadableLog {
+public final class UnreadableLog {
     /** Some lines at once, then one every ten seconds. */
     private static final double LINES_PER_S = 0.1;
 
@@ -11,12 +15,12 @@
     private final Counters counters;
     private final RateLimit rate = new RateLimit(LINES_PER_S, MOST_LINES);
 
-    UnreadableLog(Context context, Counters counters) {
+    public UnreadableLog(Context context, Counters counters) {
         this.context = context;
         this.counters = counters;
     }
 
-    void note(Delta.Unread unread) {
+    public void note(Delta.Unread unread) {
         counters.unreadable++;
         if (rate.take(context.now())) {
             context.info(
--- a/src/main/java/dewlane/core/WriteBudget.java
+++ b/src/main/java/dewlane/core/store/WriteBudget.java
@@ -1,4 +1,7 @@
-package dewlane.core;
+package dewlane.core.store;
+
+import dewlane.core.config.StateLimits;
+import dewlane.core.message.Context;
 
 /**
  * This controller's share of the rate of changes, as a token bucket. It is an equal share, and more as long as the
--- a/src/main/java/dewlane/core/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -1,7 +1,18 @@
-package dewlane.core;
-
-import dewlane.core.Value.MachineFate;
-import dewlane.core.Value.MachineRecord;
+package dewlane.core.worker;
+
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.MachineRecords;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Cancellations;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.Context;
+import dewlane.core.message.Effect;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value.MachineFate;
+import dewlane.core.schema.Value.MachineRecord;
+import dewlane.core.store.Replica;
+import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -10,7 +21,7 @@
 import java.util.Set;
 
 /** Asks for the deletion of machines of this part that fell silent or are faulty. */
-final class FailureDetector {
+public final class FailureDetector {
     /** As many as the cloud deletes at once. */
     private static final int MOST_AT_ONCE = 100;
 
@@ -44,7 +55,7 @@
     private long endedAt = Long.MIN_VALUE / 2;
     private long mostSilentAt = Long.MIN_VALUE / 2;
 
-    FailureDetector(
+    public FailureDetector(
             Context context,
             Replica replica,
             Machines machines,
@@ -60,7 +71,7 @@
     }
 
     /** Looks at all machines of this part, once a second. */
-    void tick() {
+    public void tick() {
         noteStandstill();
         if (!membership.joined()) {
             return;
--- a/src/main/java/dewlane/core/OrderLog.java
+++ b/src/main/java/dewlane/core/worker/OrderLog.java
@@ -1,6 +1,11 @@
-package dewlane.core;
+package dewlane.core.worker;
 
-import dewlane.core.Machine.Key;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machine.Key;
+import dewlane.core.message.Context;
+import dewlane.core.message.Input;
+import dewlane.core.model.Order;
+import dewlane.core.store.Replica;
 import java.util.List;
 import java.util.StringJoiner;
 
--- a/src/main/java/dewlane/core/OrderPlanner.java
+++ b/src/main/java/dewlane/core/worker/OrderPlanner.java
@@ -1,9 +1,20 @@
-package dewlane.core;
+package dewlane.core.worker;
 
-import dewlane.core.Machine.Key;
-import dewlane.core.Machine.Live;
-import dewlane.core.Report.Phase;
-import dewlane.core.Report.TaskState;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machine.Key;
+import dewlane.core.fleet.Machine.Live;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Cancellations;
+import dewlane.core.membership.StandingMonitor;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Order;
+import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Report.TaskState;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
+import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/dewlane/core/WorkerSessions.java
+++ b/src/main/java/dewlane/core/worker/WorkerSessions.java
@@ -1,10 +1,27 @@
-package dewlane.core;
+package dewlane.core.worker;
 
-import dewlane.core.JobProgress.Outcome;
-import dewlane.core.Machine.Key;
-import dewlane.core.Machine.Live;
-import dewlane.core.Report.Phase;
-import dewlane.core.Report.TaskState;
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.fleet.JobProgress.Outcome;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.Machine.Key;
+import dewlane.core.fleet.Machine.Live;
+import dewlane.core.fleet.Machines;
+import dewlane.core.job.Cancellations;
+import dewlane.core.membership.Membership;
+import dewlane.core.membership.PeerTable;
+import dewlane.core.membership.StandingMonitor;
+import dewlane.core.message.Context;
+import dewlane.core.message.Counters;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Order;
+import dewlane.core.model.Report;
+import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Report.TaskState;
+import dewlane.core.scheduling.Placement;
+import dewlane.core.store.Replica;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,7 +33,7 @@
  * Speaks to the workers of this controller's part: takes reports, gives orders, and finds proof that an attempt is
  * gone. All orders follow from the replica and the latest report, so a lost or repeated message changes nothing.
  */
-final class WorkerSessions {
+public final class WorkerSessions {
     /** A worker that cannot reach its owner comes round again within this time. */
     private static final long STRAY_MS = 30_000;
 
@@ -41,7 +58,7 @@
     private final OrderPlanner planner;
     private final OrderLog orderLog;
 
-    WorkerSessions(
+    public WorkerSessions(
             Context context,
             Replica replica,
             Machines machines,
@@ -70,7 +87,7 @@
      * <p>A controller whose view is stale may miss a cancellation. It lets its workers' leases run out while there is
      * still time for that: see {@link Standing} and {@link Cancellations}.
      */
-    void report(long id, Report r) {
+    public void report(long id, Report r) {
         counters.reports++;
         if (!standing.now().mayAnswerWorkers()) {
             counters.reportsRefused++;
@@ -260,7 +277,7 @@
     }
 
     /** Sends what is new straight to the workers; the answers to their reports repeat it. */
-    void command() {
+    public void command() {
         if (!membership.joined() || machines.changed().isEmpty()) {
             return;
         }
@@ -297,7 +314,7 @@
     }
 
     /** Looks again at suspected machines, or ones with tasks that are still to show: an order may have been lost. */
-    void tick() {
+    public void tick() {
         for (Machine m : machines.own()) {
             if (m.reachability.isSuspected()
                     || !m.stops.isEmpty()
@@ -307,7 +324,7 @@
         }
     }
 
-    void answered(Input.CommandAnswered in) {
+    public void answered(Input.CommandAnswered in) {
         Machine m = machines.get(in.machine());
         if (m == null) {
             return;
--- a/src/main/java/dewlane/io/CloudClient.java
+++ b/src/main/java/dewlane/io/CloudClient.java
@@ -1,8 +1,8 @@
 package dewlane.io;
 
-import dewlane.core.Effect;
-import dewlane.core.Input;
-import dewlane.core.ListedMachine;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.ListedMachine;
 import dewlane.wire.CloudWire;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
--- a/src/main/java/dewlane/io/EffectQueue.java
+++ b/src/main/java/dewlane/io/EffectQueue.java
@@ -1,6 +1,6 @@
 package dewlane.io;
 
-import dewlane.core.Effect;
+import dewlane.core.message.Effect;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
--- a/src/main/java/dewlane/io/Node.java
+++ b/src/main/java/dewlane/io/Node.java
@@ -1,10 +1,10 @@
 package dewlane.io;
 
-import dewlane.core.Controller;
-import dewlane.core.Effect;
-import dewlane.core.Input;
-import dewlane.core.Report;
-import dewlane.core.Settings;
+import dewlane.core.config.Settings;
+import dewlane.core.controller.Controller;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Report;
 import dewlane.wire.PeerWire;
 import dewlane.wire.UserWire;
 import dewlane.wire.ValueCodec;
--- a/src/main/java/dewlane/io/PeerClient.java
+++ b/src/main/java/dewlane/io/PeerClient.java
@@ -1,7 +1,7 @@
 package dewlane.io;
 
-import dewlane.core.Effect;
-import dewlane.core.PeerStatus;
+import dewlane.core.message.Effect;
+import dewlane.core.model.PeerStatus;
 import dewlane.wire.PeerWire;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
--- a/src/main/java/dewlane/io/StateClient.java
+++ b/src/main/java/dewlane/io/StateClient.java
@@ -1,8 +1,8 @@
 package dewlane.io;
 
-import dewlane.core.Input;
-import dewlane.core.Keys;
-import dewlane.core.Transaction;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
 import dewlane.wire.StateWire;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
--- a/src/main/java/dewlane/io/WorkerCommands.java
+++ b/src/main/java/dewlane/io/WorkerCommands.java
@@ -1,8 +1,8 @@
 package dewlane.io;
 
-import dewlane.core.Effect;
-import dewlane.core.Input;
-import dewlane.core.Report;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Report;
 import dewlane.wire.WorkerWire;
 import java.io.IOException;
 import java.util.function.Consumer;
--- a/src/main/java/dewlane/wire/CloudWire.java
+++ b/src/main/java/dewlane/wire/CloudWire.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
-import dewlane.core.ListedMachine;
-import dewlane.core.MachineType;
+import dewlane.core.model.ListedMachine;
+import dewlane.core.model.MachineType;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dewlane/wire/JobCodec.java
+++ b/src/main/java/dewlane/wire/JobCodec.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dewlane.core.Job;
+import dewlane.core.model.Job;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/dewlane/wire/PeerWire.java
+++ b/src/main/java/dewlane/wire/PeerWire.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
-import dewlane.core.PeerStatus;
-import dewlane.core.PeerStatus.PeerMachine;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.model.PeerStatus.PeerMachine;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dewlane/wire/StateWire.java
+++ b/src/main/java/dewlane/wire/StateWire.java
@@ -1,10 +1,10 @@
 package dewlane.wire;
 
-import dewlane.core.Input.Change;
-import dewlane.core.Input.Row;
-import dewlane.core.Keys;
-import dewlane.core.Transaction;
-import dewlane.core.Value;
+import dewlane.core.message.Input.Change;
+import dewlane.core.message.Input.Row;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dewlane/wire/StoredWords.java
+++ b/src/main/java/dewlane/wire/StoredWords.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
-import dewlane.core.Priority;
-import dewlane.core.Value.MachineFate;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Value.MachineFate;
 
 /**
  * The words that stand for constants in stored values. They are kept apart from the names of the Java constants, as
--- a/src/main/java/dewlane/wire/UserWire.java
+++ b/src/main/java/dewlane/wire/UserWire.java
@@ -1,9 +1,9 @@
 package dewlane.wire;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Effect.JobState;
-import dewlane.core.Job;
-import dewlane.core.Priority;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobState;
+import dewlane.core.model.Job;
+import dewlane.core.model.Priority;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/dewlane/wire/ValueCodec.java
+++ b/src/main/java/dewlane/wire/ValueCodec.java
@@ -1,11 +1,11 @@
 package dewlane.wire;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dewlane.core.Attempt;
-import dewlane.core.Keys;
-import dewlane.core.StoredFormat;
-import dewlane.core.UnknownFields;
-import dewlane.core.Value;
+import dewlane.core.model.Attempt;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.UnknownFields;
+import dewlane.core.schema.Value;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.BitSet;
--- a/src/main/java/dewlane/wire/WorkerWire.java
+++ b/src/main/java/dewlane/wire/WorkerWire.java
@@ -1,11 +1,11 @@
 package dewlane.wire;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dewlane.core.Order;
-import dewlane.core.Report;
-import dewlane.core.Report.End;
-import dewlane.core.Report.Phase;
-import dewlane.core.Report.TaskState;
+import dewlane.core.model.Order;
+import dewlane.core.model.Report;
+import dewlane.core.model.Report.End;
+import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Report.TaskState;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Settings;
+import dewlane.core.config.Settings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/dewlane/core/TestSettings.java
+++ b/src/test/java/dewlane/core/config/TestSettings.java
@@ -1,22 +1,23 @@
-package dewlane.core;
+package dewlane.core.config;
 
 import java.util.List;
 import java.util.Map;
 
 /** Settings for tests of single parts of a controller. */
-final class TestSettings {
-    static final StateLimits LIMITS = StateLimits.constant(100, 100, 16_384, 16);
-    static final double CANCEL_S = 60;
+public final class TestSettings {
+    public static final StateLimits LIMITS = StateLimits.constant(100, 100, 16_384, 16);
+    public static final double CANCEL_S = 60;
 
     private TestSettings() {}
 
     /** A controller without peers or teams. */
-    static Settings alone() {
+    public static Settings alone() {
         return of(List.of(), Map.of(), CANCEL_S, LIMITS);
     }
 
     /** Controller n0 in one zone, with workers' leases of 30 s. */
-    static Settings of(List<String> peers, Map<String, Settings.Team> teams, double cancelS, StateLimits limits) {
+    public static Settings of(
+            List<String> peers, Map<String, Settings.Team> teams, double cancelS, StateLimits limits) {
         return new Settings(
                 "n0",
                 peers,
--- a/src/test/java/dewlane/core/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -1,20 +1,31 @@
-package dewlane.core;
+package dewlane.core.controller;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.Member;
-import dewlane.core.Value.Presence;
+import dewlane.core.config.Settings;
+import dewlane.core.config.TestSettings;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Report;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.schema.Value.Presence;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
 /** One controller core that has joined alone, and the messages that tests give it. */
-abstract class ControllerFixture {
+public abstract class ControllerFixture {
     static final MachineType BOX = new MachineType("box", 4, 0, 16, 20, 1, 0.2, 0.1, 30, List.of("east"));
 
-    final Controller controller = new Controller(
+    public final Controller controller = new Controller(
             TestSettings.of(
                     List.of("n1"),
                     Map.of("blue", new Settings.Team("blue", 0, 0, 4, 0), "red", new Settings.Team("red", 0, 0, 0, 0)),
@@ -24,9 +35,9 @@
             value -> 0);
     final List<Effect> effects = new ArrayList<>();
     long now;
-    long revision = 10;
+    public long revision = 10;
 
-    void hear(long afterMs, Input input) {
+    public void hear(long afterMs, Input input) {
         now += afterMs;
         effects.addAll(controller.handle(now, now, input));
     }
@@ -36,14 +47,14 @@
         hear(60, new Input.Changes(List.of(new Input.Change(key, value, revision)), revision));
     }
 
-    <T extends Effect> List<T> take(Class<T> kind) {
+    public <T extends Effect> List<T> take(Class<T> kind) {
         List<T> found =
                 effects.stream().filter(kind::isInstance).map(kind::cast).toList();
         effects.clear();
         return found;
     }
 
-    Report report(long session, long sequence, long token) {
+    public Report report(long session, long sequence, long token) {
         return new Report("m1", "h:1", "box", "east", true, session, sequence, token, Double.NaN, List.of());
     }
 
--- a/src/test/java/dewlane/core/ControllerTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerTest.java
@@ -1,14 +1,23 @@
-package dewlane.core;
+package dewlane.core.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Value.ClusterMap;
-import dewlane.core.Value.JobRecord;
-import dewlane.core.Value.Member;
-import dewlane.core.Value.Presence;
-import dewlane.core.Value.Slice;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Report;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
+import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.Value.Member;
+import dewlane.core.schema.Value.Presence;
+import dewlane.core.schema.Value.Slice;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
--- a/src/test/java/dewlane/core/ForgetTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetTest.java
@@ -1,14 +1,20 @@
-package dewlane.core;
+package dewlane.core.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Report.End;
-import dewlane.core.Report.Phase;
-import dewlane.core.Report.TaskState;
-import dewlane.core.Value.JobRecord;
-import dewlane.core.Value.Slice;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Order;
+import dewlane.core.model.Report;
+import dewlane.core.model.Report.End;
+import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Report.TaskState;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.Value.Slice;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dewlane/core/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -1,6 +1,6 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
-import dewlane.core.Machine.Key;
+import dewlane.core.fleet.Machine.Key;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashSet;
--- a/src/test/java/dewlane/core/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -1,12 +1,12 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.ChannelModel.Message;
-import dewlane.core.ChannelModel.OnWorker;
-import dewlane.core.ChannelModel.Recorded;
-import dewlane.core.ChannelModel.Task;
+import dewlane.core.fleet.ChannelModel.Message;
+import dewlane.core.fleet.ChannelModel.OnWorker;
+import dewlane.core.fleet.ChannelModel.Recorded;
+import dewlane.core.fleet.ChannelModel.Task;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
--- a/src/test/java/dewlane/core/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -1,9 +1,10 @@
-package dewlane.core;
+package dewlane.core.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewlane.core.model.Report;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/dewlane/core/DependenciesTest.java
+++ b/src/test/java/dewlane/core/job/DependenciesTest.java
@@ -1,11 +1,21 @@
-package dewlane.core;
+package dewlane.core.job;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Value.FinalRecord;
-import dewlane.core.Value.JobRecord;
+import dewlane.core.config.TestSettings;
+import dewlane.core.message.Context;
+import dewlane.core.message.Input;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.store.FinalReader;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dewlane/core/ReleaseTest.java
+++ b/src/test/java/dewlane/core/job/ReleaseTest.java
@@ -1,10 +1,10 @@
-package dewlane.core;
+package dewlane.core.job;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Release.Result;
+import dewlane.core.job.Release.Result;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dewlane/core/SliceSizes.java
+++ b/src/test/java/dewlane/core/job/SliceSizes.java
@@ -1,6 +1,6 @@
-package dewlane.core;
+package dewlane.core.job;
 
-import dewlane.core.Value.Slice;
+import dewlane.core.schema.Value.Slice;
 import java.util.List;
 
 /** Lets tests of other packages see how slices are measured and cut. */
--- a/src/test/java/dewlane/core/StandingTest.java
+++ b/src/test/java/dewlane/core/membership/StandingTest.java
@@ -1,10 +1,16 @@
-package dewlane.core;
+package dewlane.core.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Standing.Limit;
+import dewlane.core.config.TestSettings;
+import dewlane.core.controller.Controller;
+import dewlane.core.controller.ControllerFixture;
+import dewlane.core.membership.Standing.Limit;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.PeerStatus;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dewlane/core/JobBuilder.java
+++ b/src/test/java/dewlane/core/model/JobBuilder.java
@@ -1,4 +1,4 @@
-package dewlane.core;
+package dewlane.core.model;
 
 import java.util.List;
 
--- a/src/test/java/dewlane/core/QuotaTest.java
+++ b/src/test/java/dewlane/core/quota/QuotaTest.java
@@ -1,8 +1,17 @@
-package dewlane.core;
+package dewlane.core.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewlane.core.Value.JobRecord;
+import dewlane.core.config.Settings;
+import dewlane.core.config.TestSettings;
+import dewlane.core.message.Input;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.Replica;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/dewlane/core/WriteBudgetTest.java
+++ b/src/test/java/dewlane/core/store/WriteBudgetTest.java
@@ -1,7 +1,10 @@
-package dewlane.core;
+package dewlane.core.store;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewlane.core.config.StateLimits;
+import dewlane.core.config.TestSettings;
+import dewlane.core.message.Context;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dewlane/io/EffectQueueTest.java
+++ b/src/test/java/dewlane/io/EffectQueueTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewlane.core.Effect;
+import dewlane.core.message.Effect;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/dewlane/sim/Checker.java
+++ b/src/test/java/dewlane/sim/Checker.java
@@ -1,8 +1,8 @@
 package dewlane.sim;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Job;
-import dewlane.core.Settings;
+import dewlane.core.config.Settings;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.model.Job;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -212,8 +212,9 @@
                         broken(
                                 "left_waiting",
                                 id + " waits beside room on " + m.name + " of "
-                                        + dewlane.core.Partitions.owner(
-                                                (dewlane.core.Value.ClusterMap) world.state.get(dewlane.core.Keys.MAP),
+                                        + dewlane.core.schema.Partitions.owner(
+                                                (dewlane.core.schema.Value.ClusterMap)
+                                                        world.state.get(dewlane.core.schema.Keys.MAP),
                                                 m.name)
                                         + "\n" + world.lately(m.name) + world.describe(id));
                     }
@@ -229,7 +230,7 @@
         long held = done.getOrDefault(job.id(), Set.of()).size();
         for (SimWorker m : world.cloud.machines.values()) {
             held += m.tasks.values().stream()
-                    .filter(t -> t.job.equals(job.id()) && t.phase != dewlane.core.Report.Phase.EXITED)
+                    .filter(t -> t.job.equals(job.id()) && t.phase != dewlane.core.model.Report.Phase.EXITED)
                     .count();
         }
         return held < job.tasks();
@@ -240,7 +241,7 @@
         for (SimWorker m : world.cloud.machines.values()) {
             for (SimTask t : m.tasks.values()) {
                 Job other = world.users.job(t.job);
-                used += t.phase != dewlane.core.Report.Phase.EXITED
+                used += t.phase != dewlane.core.model.Report.Phase.EXITED
                                 && other.team().equals(job.team())
                         ? other.cpus()
                         : 0;
--- a/src/test/java/dewlane/sim/CombinedFailuresTest.java
+++ b/src/test/java/dewlane/sim/CombinedFailuresTest.java
@@ -12,11 +12,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Job;
-import dewlane.core.Keys;
-import dewlane.core.Priority;
-import dewlane.core.Report;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.model.Job;
+import dewlane.core.model.Priority;
+import dewlane.core.model.Report;
+import dewlane.core.schema.Keys;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/dewlane/sim/HeldCommandsTest.java
+++ b/src/test/java/dewlane/sim/HeldCommandsTest.java
@@ -5,7 +5,7 @@
 import static dewlane.sim.Scenarios.world;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Priority;
+import dewlane.core.model.Priority;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/dewlane/sim/ProductionView.java
+++ b/src/test/java/dewlane/sim/ProductionView.java
@@ -1,12 +1,12 @@
 package dewlane.sim;
 
-import dewlane.core.Input;
-import dewlane.core.Job;
-import dewlane.core.Keys;
-import dewlane.core.StoredFormat;
-import dewlane.core.Transaction;
-import dewlane.core.UnknownFields;
-import dewlane.core.Value;
+import dewlane.core.message.Input;
+import dewlane.core.model.Job;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.UnknownFields;
+import dewlane.core.schema.Value;
 import java.util.List;
 
 /**
--- a/src/test/java/dewlane/sim/RandomRunsTest.java
+++ b/src/test/java/dewlane/sim/RandomRunsTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Keys;
-import dewlane.core.Settings;
-import dewlane.core.StateLimits;
+import dewlane.core.config.Settings;
+import dewlane.core.config.StateLimits;
+import dewlane.core.schema.Keys;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
--- a/src/test/java/dewlane/sim/ScaleTest.java
+++ b/src/test/java/dewlane/sim/ScaleTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Job;
-import dewlane.core.JobBuilder;
-import dewlane.core.Keys;
-import dewlane.core.Settings;
-import dewlane.core.StateLimits;
-import dewlane.core.Value;
+import dewlane.core.config.Settings;
+import dewlane.core.config.StateLimits;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
--- a/src/test/java/dewlane/sim/ScenarioTest.java
+++ b/src/test/java/dewlane/sim/ScenarioTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Job;
-import dewlane.core.JobBuilder;
-import dewlane.core.Keys;
-import dewlane.core.Partitions;
-import dewlane.core.Priority;
-import dewlane.core.Settings;
-import dewlane.core.Value;
+import dewlane.core.config.Settings;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Partitions;
+import dewlane.core.schema.Value;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -273,7 +273,7 @@
     void aLateCopyBringsNoMachineBackAndMovesNone() {
         World world = quietWorld(6);
         SimWorker machine = world.cloud.machines.values().iterator().next();
-        List<dewlane.core.Report> copies = List.of(machine.report(), machine.report(), machine.report());
+        List<dewlane.core.model.Report> copies = List.of(machine.report(), machine.report(), machine.report());
         world.cloud.machines.remove(machine.name);
         machine.vanish();
         world.run(50_000);
--- a/src/test/java/dewlane/sim/Scenarios.java
+++ b/src/test/java/dewlane/sim/Scenarios.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import dewlane.core.Job;
-import dewlane.core.JobBuilder;
-import dewlane.core.Keys;
-import dewlane.core.Priority;
-import dewlane.core.Settings;
-import dewlane.core.Value.ClusterMap;
+import dewlane.core.config.Settings;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value.ClusterMap;
 import java.util.List;
 import java.util.Map;
 
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -1,10 +1,10 @@
 package dewlane.sim;
 
-import dewlane.core.Effect;
-import dewlane.core.Input;
-import dewlane.core.ListedMachine;
-import dewlane.core.MachineType;
-import dewlane.core.Order;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.ListedMachine;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Order;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/test/java/dewlane/sim/SimLimits.java
+++ b/src/test/java/dewlane/sim/SimLimits.java
@@ -1,8 +1,8 @@
 package dewlane.sim;
 
-import dewlane.core.StateLimits;
-import dewlane.core.Transaction;
-import dewlane.core.Value;
+import dewlane.core.config.StateLimits;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
 import dewlane.wire.StateWire;
 import dewlane.wire.ValueCodec;
 
--- a/src/test/java/dewlane/sim/SimNode.java
+++ b/src/test/java/dewlane/sim/SimNode.java
@@ -1,12 +1,12 @@
 package dewlane.sim;
 
-import dewlane.core.Controller;
-import dewlane.core.Effect;
-import dewlane.core.Input;
-import dewlane.core.Order;
-import dewlane.core.PeerStatus;
-import dewlane.core.Report;
-import dewlane.core.StateLimits;
+import dewlane.core.config.StateLimits;
+import dewlane.core.controller.Controller;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Order;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.model.Report;
 import dewlane.wire.PeerWire;
 import dewlane.wire.ValueCodec;
 import java.io.IOException;
@@ -65,9 +65,9 @@
         ticks(life);
     }
 
-    private dewlane.core.Settings settingsOf(String node) {
-        dewlane.core.Settings s = world.settings;
-        return new dewlane.core.Settings(
+    private dewlane.core.config.Settings settingsOf(String node) {
+        dewlane.core.config.Settings s = world.settings;
+        return new dewlane.core.config.Settings(
                 node,
                 s.peers(),
                 s.teams(),
@@ -186,7 +186,7 @@
         });
     }
 
-    void submit(dewlane.core.Job job, Consumer<Effect.AnswerUser> then) {
+    void submit(dewlane.core.model.Job job, Consumer<Effect.AnswerUser> then) {
         ask(id -> new Input.Submit(id, job.id(), job, null), then);
     }
 
--- a/src/test/java/dewlane/sim/SimState.java
+++ b/src/test/java/dewlane/sim/SimState.java
@@ -1,9 +1,9 @@
 package dewlane.sim;
 
-import dewlane.core.Input;
-import dewlane.core.Keys;
-import dewlane.core.Transaction;
-import dewlane.core.Value;
+import dewlane.core.message.Input;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.Value;
 import dewlane.wire.StateWire;
 import dewlane.wire.ValueCodec;
 import java.util.ArrayList;
--- a/src/test/java/dewlane/sim/SimTask.java
+++ b/src/test/java/dewlane/sim/SimTask.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
-import dewlane.core.Report.End;
-import dewlane.core.Report.Phase;
+import dewlane.core.model.Report.End;
+import dewlane.core.model.Report.Phase;
 
 /** An attempt on the machine. */
 final class SimTask {
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -1,10 +1,10 @@
 package dewlane.sim;
 
-import dewlane.core.Effect;
-import dewlane.core.Effect.Condition;
-import dewlane.core.Job;
-import dewlane.core.JobBuilder;
-import dewlane.core.Priority;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -1,13 +1,13 @@
 package dewlane.sim;
 
-import dewlane.core.Effect;
-import dewlane.core.ListedMachine;
-import dewlane.core.MachineType;
-import dewlane.core.Order;
-import dewlane.core.Report;
-import dewlane.core.Report.End;
-import dewlane.core.Report.Phase;
-import dewlane.core.Report.TaskState;
+import dewlane.core.message.Effect;
+import dewlane.core.model.ListedMachine;
+import dewlane.core.model.MachineType;
+import dewlane.core.model.Order;
+import dewlane.core.model.Report;
+import dewlane.core.model.Report.End;
+import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Report.TaskState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -91,7 +91,7 @@
     }
 
     /** True if it serves as it should and has room for a task of the job, by what is really on it. */
-    boolean hasRoom(dewlane.core.Job job) {
+    boolean hasRoom(dewlane.core.model.Job job) {
         double cpus = job.cpus();
         for (SimTask t : tasks.values()) {
             cpus += t.phase == Phase.EXITED ? 0 : world.users.job(t.job).cpus();
--- a/src/test/java/dewlane/sim/World.java
+++ b/src/test/java/dewlane/sim/World.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
-import dewlane.core.Settings;
-import dewlane.core.StateLimits;
+import dewlane.core.config.Settings;
+import dewlane.core.config.StateLimits;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -136,12 +136,12 @@
 
     /** What stands in a job's way, for a failure's message. */
     String describe(String job) {
-        StringBuilder text = new StringBuilder(String.valueOf(state.get(dewlane.core.Keys.job(job))));
-        state.all(dewlane.core.Keys.SLICES)
+        StringBuilder text = new StringBuilder(String.valueOf(state.get(dewlane.core.schema.Keys.job(job))));
+        state.all(dewlane.core.schema.Keys.SLICES)
                 .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        state.all(dewlane.core.Keys.MACHINES)
+        state.all(dewlane.core.schema.Keys.MACHINES)
                 .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        text.append('\n').append(state.get(dewlane.core.Keys.MAP));
+        text.append('\n').append(state.get(dewlane.core.schema.Keys.MAP));
         cloud.machines.values().forEach(m -> text.append('\n')
                 .append(m.name)
                 .append(' ')
--- a/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewlane.core.ListedMachine;
-import dewlane.core.ListedMachine.State;
-import dewlane.core.MachineType;
+import dewlane.core.model.ListedMachine;
+import dewlane.core.model.ListedMachine.State;
+import dewlane.core.model.MachineType;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewlane.core.PeerStatus;
-import dewlane.core.PeerStatus.PeerMachine;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.model.PeerStatus.PeerMachine;
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.List;
--- a/src/test/java/dewlane/wire/SliceSizeTest.java
+++ b/src/test/java/dewlane/wire/SliceSizeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Attempt;
-import dewlane.core.SliceSizes;
-import dewlane.core.Value.Slice;
+import dewlane.core.job.SliceSizes;
+import dewlane.core.model.Attempt;
+import dewlane.core.schema.Value.Slice;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
--- a/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewlane.core.Job;
-import dewlane.core.JobBuilder;
-import dewlane.core.Keys;
-import dewlane.core.Priority;
-import dewlane.core.Value;
-import dewlane.core.Value.MachineFate;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Keys;
+import dewlane.core.schema.Value;
+import dewlane.core.schema.Value.MachineFate;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Effect.Condition;
-import dewlane.core.Effect.JobState;
-import dewlane.core.Job;
-import dewlane.core.JobBuilder;
-import dewlane.core.Priority;
+import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobState;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.model.Priority;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dewlane.core.Order;
-import dewlane.core.Report;
-import dewlane.core.Report.End;
-import dewlane.core.Report.Phase;
-import dewlane.core.Report.TaskState;
+import dewlane.core.model.Order;
+import dewlane.core.model.Report;
+import dewlane.core.model.Report.End;
+import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Report.TaskState;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
