--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/DeployFile.java
@@ -1,10 +1,10 @@
 package dewlane.cli;
 
 import dewlane.core.config.Settings;
-import dewlane.core.config.Settings.Objective;
-import dewlane.core.config.Settings.Team;
+import dewlane.core.config.Settings.ServiceLevelObjective;
+import dewlane.core.config.Settings.TeamQuota;
 import dewlane.core.config.Settings.Tuning;
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import dewlane.io.Endpoints;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
 public record DeployFile(Settings settings, Endpoints endpoints) {
     private static final String VALUE_KB = "value_kb";
     private static final String TXN_OPS = "txn_ops";
-    private static final int LEAST_OPS = StateLimits.LEAST_TXN_OPS;
+    private static final int LEAST_OPS = StoreLimits.LEAST_TXN_OPS;
 
     /**
      * Reads and checks both files.
@@ -23,15 +23,15 @@
      * @param operators the operators' own settings, or null for the defaults
      */
     public static DeployFile read(String file, String operators) throws SettingsException {
-        Tuning tuning = operators == null ? Tuning.defaults() : tuning(TomlFile.read(operators));
-        TomlFile top = TomlFile.read(file);
+        Tuning tuning = operators == null ? Tuning.defaults() : tuning(TomlTable.read(operators));
+        TomlTable top = TomlTable.read(file);
         Map<String, String> peers = new LinkedHashMap<>();
-        for (TomlFile peer : top.tables("known")) {
+        for (TomlTable peer : top.tables("known")) {
             peer.text("area");
             peers.put(peer.text("node_name"), peer.address("address"));
         }
-        TomlFile services = top.table("services");
-        TomlFile resources = top.table("settings").table("resources");
+        TomlTable services = top.table("services");
+        TomlTable resources = top.table("settings").table("resources");
         Endpoints endpoints = new Endpoints(
                 top.address("serve_on"),
                 top.address("peer_bind"),
@@ -40,30 +40,30 @@
                 services.address("state"),
                 resources.count("max_sockets", Endpoints.fewestSockets(peers.size())));
         top.text("area");
-        TomlFile all = top.table("settings");
+        TomlTable all = top.table("settings");
         all.count("initial_size", 1);
         all.number("time_bound_ms", 0);
-        Map<String, Team> teams = new LinkedHashMap<>();
-        for (TomlFile t : all.tables("teams")) {
+        Map<String, TeamQuota> teams = new LinkedHashMap<>();
+        for (TomlTable t : all.tables("teams")) {
             teams.put(
                     t.text("name"),
-                    new Team(
+                    new TeamQuota(
                             t.text("name"),
                             t.number("cpus", 0, 0),
                             t.number("gpus", 0, 0),
                             t.number("cpus_max", 0, 0),
                             t.number("gpus_max", 0, 0)));
         }
-        List<Objective> objectives = new ArrayList<>();
-        for (TomlFile objective : all.tables("objectives")) {
-            objectives.add(new Objective(
+        List<ServiceLevelObjective> objectives = new ArrayList<>();
+        for (TomlTable objective : all.tables("objectives")) {
+            objectives.add(new ServiceLevelObjective(
                     objective.text("kind"),
                     objective.has("class") ? objective.text("class") : null,
                     objective.number("within_s", 0, Double.POSITIVE_INFINITY)));
         }
-        TomlFile workers = all.table("workers");
-        TomlFile state = all.table("state");
-        TomlFile cloud = all.table("cloud");
+        TomlTable workers = all.table("workers");
+        TomlTable state = all.table("state");
+        TomlTable cloud = all.table("cloud");
         resources.positive("cpu_share");
         resources.positive("ram_mb");
         Settings settings = new Settings(
@@ -83,27 +83,27 @@
     }
 
     /** The limits in force now and, where a key of {@code next} says so, those that replace them without notice. */
-    private static StateLimits stateLimits(TomlFile state) throws SettingsException {
-        StateLimits.Limits present = new StateLimits.Limits(
+    private static StoreLimits stateLimits(TomlTable state) throws SettingsException {
+        StoreLimits.Limits present = new StoreLimits.Limits(
                 state.positive("rps"), state.positive("write_rps"), valueBytes(state), state.count(TXN_OPS, LEAST_OPS));
         if (!state.has("next")) {
-            return new StateLimits(present, present);
+            return new StoreLimits(present, present);
         }
-        TomlFile next = state.table("next");
-        return new StateLimits(
+        TomlTable next = state.table("next");
+        return new StoreLimits(
                 present,
-                new StateLimits.Limits(
+                new StoreLimits.Limits(
                         next.has("rps") ? next.positive("rps") : present.rps(),
                         next.has("write_rps") ? next.positive("write_rps") : present.writeRps(),
                         next.has(VALUE_KB) ? valueBytes(next) : present.valueBytes(),
                         next.has(TXN_OPS) ? next.count(TXN_OPS, LEAST_OPS) : present.txnOps()));
     }
 
-    private static int valueBytes(TomlFile limits) throws SettingsException {
-        return (int) (1024 * limits.number(VALUE_KB, StateLimits.LEAST_VALUE_BYTES / 1024.0));
+    private static int valueBytes(TomlTable limits) throws SettingsException {
+        return (int) (1024 * limits.number(VALUE_KB, StoreLimits.LEAST_VALUE_BYTES / 1024.0));
     }
 
-    private static Tuning tuning(TomlFile in) throws SettingsException {
+    private static Tuning tuning(TomlTable in) throws SettingsException {
         Tuning d = Tuning.defaults();
         return new Tuning(
                 (long) (1000 * in.number("member_ttl_s", 1, d.memberTtlMs() / 1000.0)),
--- a/src/main/java/dewlane/cli/Main.java
+++ b/src/main/java/dewlane/cli/Main.java
@@ -1,6 +1,6 @@
 package dewlane.cli;
 
-import dewlane.io.Node;
+import dewlane.io.ControllerServer;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.security.SecureRandom;
@@ -111,7 +111,7 @@
         }
         try {
             DeployFile file = DeployFile.read(config, operators);
-            new Node(file.settings(), file.endpoints(), new SecureRandom().nextLong()).start();
+            new ControllerServer(file.settings(), file.endpoints(), new SecureRandom().nextLong()).start();
         } catch (SettingsException e) {
             System.err.println(e.getMessage());
             System.exit(WRONG_SETTINGS);
--- a/src/main/java/dewlane/cli/TomlFile.java
+++ b/src/main/java/dewlane/cli/TomlTable.java
@@ -12,20 +12,20 @@
 import java.util.List;
 
 /** A table of a TOML file whose values are checked as they are read. Unknown keys are ignored. */
-final class TomlFile {
+final class TomlTable {
     private final String file;
     private final String path;
     private final UnmodifiableConfig table;
 
-    private TomlFile(String file, String path, UnmodifiableConfig table) {
+    private TomlTable(String file, String path, UnmodifiableConfig table) {
         this.file = file;
         this.path = path;
         this.table = table;
     }
 
-    static TomlFile read(String file) throws SettingsException {
+    static TomlTable read(String file) throws SettingsException {
         try (Reader reader = Files.newBufferedReader(Path.of(file))) {
-            return new TomlFile(file, "", new TomlParser().parse(reader));
+            return new TomlTable(file, "", new TomlParser().parse(reader));
         } catch (IOException | InvalidPathException e) {
             throw new SettingsException(file + ": cannot be read");
         } catch (ParsingException e) {
@@ -46,16 +46,16 @@
         return value(key) != null;
     }
 
-    TomlFile table(String key) throws SettingsException {
+    TomlTable table(String key) throws SettingsException {
         if (value(key) instanceof UnmodifiableConfig c) {
-            return new TomlFile(file, path + key + ".", c);
+            return new TomlTable(file, path + key + ".", c);
         }
         throw wrong(key, "a table");
     }
 
     /** The tables of an array; none if the key is missing. */
-    List<TomlFile> tables(String key) throws SettingsException {
-        List<TomlFile> tables = new ArrayList<>();
+    List<TomlTable> tables(String key) throws SettingsException {
+        List<TomlTable> tables = new ArrayList<>();
         if (value(key) == null) {
             return tables;
         }
@@ -66,7 +66,7 @@
             if (!(o instanceof UnmodifiableConfig c)) {
                 throw wrong(key, "an array of tables");
             }
-            tables.add(new TomlFile(file, path + key + ".", c));
+            tables.add(new TomlTable(file, path + key + ".", c));
         }
         return tables;
     }
--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -1,22 +1,22 @@
 package dewlane.cli;
 
 import dewlane.core.config.Settings;
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import dewlane.core.controller.Controller;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.Attempt;
+import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.Priority;
-import dewlane.core.model.Report;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
+import dewlane.io.ControllerServer;
 import dewlane.io.Endpoints;
-import dewlane.io.Node;
-import dewlane.wire.StateWire;
-import dewlane.wire.ValueCodec;
+import dewlane.wire.StoreProtocol;
+import dewlane.wire.StoredValueCodec;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.security.SecureRandom;
@@ -46,13 +46,13 @@
         return new Settings(
                 "self",
                 List.of(),
-                Map.of("team", new Settings.Team("team", 1, 0, 2, 0)),
+                Map.of("team", new Settings.TeamQuota("team", 1, 0, 2, 0)),
                 List.of(),
                 List.of("zone"),
                 3,
                 30,
                 60,
-                StateLimits.constant(100, 100, 16_384, 16),
+                StoreLimits.constant(100, 100, 16_384, 16),
                 5,
                 5,
                 Settings.Tuning.defaults());
@@ -60,7 +60,7 @@
 
     /** A controller that joins, takes a job and launches it, with every answer of the state service made up. */
     private static void core() throws IOException {
-        Controller controller = new Controller(settings(), 1, value -> ValueCodec.bytes(value).length);
+        Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.bytes(value).length);
         Job job = new Job(
                 "wk-1",
                 "lot",
@@ -82,27 +82,30 @@
                 0,
                 0,
                 0);
-        Value map = new Value.ClusterMap(1, List.of(new Value.Member("self", 1)), Map.of());
-        Value slice = new Value.Slice("self", 0, 2, 0, new BitSet(), List.of(new Attempt(1, 1, "m", 1, 1, 1)));
+        StoredValue map = new StoredValue.PartitionMap(1, List.of(new StoredValue.Member("self", 1)), Map.of());
+        StoredValue slice =
+                new StoredValue.Slice("self", 0, 2, 0, new BitSet(), List.of(new Attempt(1, 1, "m", 1, 1, 1)));
         List<Input> inputs = List.of(
                 new Input.Tick(),
                 new Input.LeaseGranted(1),
-                new Input.StateListed(List.of(), 1, 1),
-                new Input.CatalogRead(List.of(new MachineType(TYPE, 4, 0, 8, 10, 1, 1, 1, 30, List.of("zone")))),
+                new Input.StoreListed(List.of(), 1, 1),
+                new Input.MachineTypesListed(List.of(new MachineType(TYPE, 4, 0, 8, 10, 1, 1, 1, 30, List.of("zone")))),
                 new Input.Tick(),
-                new Input.TxnAnswer(1, Transaction.Status.COMMITTED, 2),
-                new Input.Changes(List.of(new Input.Change(Keys.MAP, map, 2)), 2),
+                new Input.TransactionCompleted(1, Transaction.Status.COMMITTED, 2),
+                new Input.WatchEvents(List.of(new Input.KeyChange(StoreKeys.MAP, map, 2)), 2),
                 new Input.Tick(),
-                new Input.Submit(1, job.id(), job, null),
-                new Input.TxnAnswer(2, Transaction.Status.COMMITTED, 3),
-                new Input.Changes(
+                new Input.SubmitJob(1, job.id(), job, null),
+                new Input.TransactionCompleted(2, Transaction.Status.COMMITTED, 3),
+                new Input.WatchEvents(
                         List.of(
-                                new Input.Change(Keys.job(job.id()), new Value.JobRecord(job, List.of(), 0), 3),
-                                new Input.Change(Keys.slice(job.id(), 0), slice, 3)),
+                                new Input.KeyChange(
+                                        StoreKeys.job(job.id()), new StoredValue.JobRecord(job, List.of(), 0), 3),
+                                new Input.KeyChange(StoreKeys.slice(job.id(), 0), slice, 3)),
                         3),
-                new Input.ReportReceived(2, new Report("m", "h:1", TYPE, "zone", true, 1, 1, 0, Double.NaN, List.of())),
+                new Input.HeartbeatReceived(
+                        2, new Heartbeat("m", "h:1", TYPE, "zone", true, 1, 1, 0, Double.NaN, List.of())),
                 new Input.Tick(),
-                new Input.Poll(3, job.id()),
+                new Input.GetJobStatus(3, job.id()),
                 new Input.RevisionRead(true, 3),
                 new Input.ValueRead(1, true, null, 0),
                 new Input.Tick());
@@ -110,22 +113,23 @@
         for (Input input : inputs) {
             now += 200;
             for (Effect effect : controller.handle(now, now, input)) {
-                if (effect instanceof Effect.SendTxn e) {
-                    StateWire.txn(e.txn());
+                if (effect instanceof Effect.CommitTransaction e) {
+                    StoreProtocol.txn(e.txn());
                 }
             }
         }
-        StateWire.events("{\"ledger\":1,\"log\":[]}".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+        StoreProtocol.events("{\"ledger\":1,\"log\":[]}".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
     }
 
     /** A controller on free loopback ports that takes itself for all the other services. */
     private static void sockets() throws IOException, InterruptedException, SettingsException {
         String own = "127.0.0.1:" + freePort();
         String peer = "127.0.0.1:" + freePort();
-        Node node = new Node(settings(), new Endpoints(own, peer, Map.of("other", peer), own, own, 500), 1);
+        ControllerServer node =
+                new ControllerServer(settings(), new Endpoints(own, peer, Map.of("other", peer), own, own, 500), 1);
         node.start();
         Thread.sleep(700);
-        TomlFile.read("deploy/service.toml");
+        TomlTable.read("deploy/service.toml");
         node.stop();
     }
 
--- a/src/main/java/dewlane/core/admission/Users.java
+++ b/src/main/java/dewlane/core/admission/JobRequestHandler.java
@@ -1,46 +1,46 @@
 package dewlane.core.admission;
 
-import dewlane.core.job.Cancellations;
-import dewlane.core.job.Dependencies;
-import dewlane.core.message.Context;
-import dewlane.core.message.Effect.Condition;
-import dewlane.core.message.Effect.JobState;
+import dewlane.core.job.CancellationTracker;
+import dewlane.core.job.DependencyTracker;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.message.Effect.JobStatus;
 import dewlane.core.message.Input;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.JobResult;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value.FinalRecord;
-import dewlane.core.schema.Value.JobRecord;
-import dewlane.core.schema.ValueSize;
-import dewlane.core.store.FinalReader;
+import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
+import dewlane.core.store.JobResultReader;
 import dewlane.core.store.ReadBarrier;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 
 /**
  * Answers polls and cancellations. What is not known to be final is told only behind a {@link ReadBarrier}, so that no
  * controller shows a state older than one that another has shown.
  */
-public final class Users {
-    private final Context context;
-    private final Replica replica;
+public final class JobRequestHandler {
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final TransactionQueue transactions;
-    private final Cancellations cancellations;
-    private final Dependencies dependencies;
+    private final CancellationTracker cancellations;
+    private final DependencyTracker dependencies;
     private final ReadBarrier barrier;
-    private final FinalReader finals;
-    private final UserReplies replies;
-    private final ValueSize size;
+    private final JobResultReader finals;
+    private final UserResponses replies;
+    private final ValueSizer size;
 
-    public Users(
-            Context context,
-            Replica replica,
+    public JobRequestHandler(
+            ControllerContext context,
+            StoreReplica replica,
             TransactionQueue transactions,
-            Cancellations cancellations,
-            Dependencies dependencies,
+            CancellationTracker cancellations,
+            DependencyTracker dependencies,
             ReadBarrier barrier,
-            FinalReader finals,
-            ValueSize size) {
+            JobResultReader finals,
+            ValueSizer size) {
         this.context = context;
         this.replica = replica;
         this.transactions = transactions;
@@ -48,16 +48,16 @@
         this.dependencies = dependencies;
         this.barrier = barrier;
         this.finals = finals;
-        this.replies = new UserReplies(context);
+        this.replies = new UserResponses(context);
         this.size = size;
     }
 
-    public void poll(Input.Poll in) {
+    public void poll(Input.GetJobStatus in) {
         lookUp(in.id(), in.job(), () -> replies.refused(in.id(), 404, "no such job"));
     }
 
-    public void abort(Input.Abort in) {
-        FinalRecord fin = replica.fin(in.job());
+    public void abort(Input.CancelJob in) {
+        JobResult fin = replica.fin(in.job());
         if (fin != null) {
             replies.finalState(in.id(), in.job(), fin);
             return;
@@ -70,8 +70,8 @@
         }
     }
 
-    private void abortKnown(Input.Abort in) {
-        FinalRecord fin = replica.fin(in.job());
+    private void abortKnown(Input.CancelJob in) {
+        JobResult fin = replica.fin(in.job());
         JobEntry entry = replica.recorded(in.job());
         if (fin != null) {
             replies.finalState(in.id(), in.job(), fin);
@@ -86,15 +86,15 @@
         }
     }
 
-    private void cancel(Input.Abort in, JobRecord record, long version) {
+    private void cancel(Input.CancelJob in, JobRecord record, long version) {
         String job = record.job().id();
-        FinalRecord fin = new FinalRecord(true, context.wall());
+        JobResult fin = new JobResult(true, context.wall());
         JobRecord marked =
                 record.cancelled(context.wall(), size, context.settings().valueBytes());
         Transaction txn = new Transaction.Builder()
-                .when(Keys.job(job), version)
-                .set(Keys.job(job), marked)
-                .set(Keys.fin(job), fin)
+                .when(StoreKeys.job(job), version)
+                .set(StoreKeys.job(job), marked)
+                .set(StoreKeys.fin(job), fin)
                 .build();
         transactions.submit(TransactionQueue.Urgency.SAFETY, txn, (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
@@ -121,7 +121,7 @@
      * service says nothing.
      */
     void lookUp(long id, String job, Runnable unknown, Runnable silent) {
-        FinalRecord fin = replica.fin(job);
+        JobResult fin = replica.fin(job);
         if (fin != null) {
             replies.finalState(id, job, fin);
             return;
@@ -130,7 +130,7 @@
     }
 
     private void answerKnown(long id, String job, Runnable unknown) {
-        FinalRecord fin = replica.fin(job);
+        JobResult fin = replica.fin(job);
         JobEntry entry = replica.recorded(job);
         if (fin != null) {
             replies.finalState(id, job, fin);
@@ -149,15 +149,15 @@
         }
     }
 
-    private static JobState active(JobEntry job) {
+    private static JobStatus active(JobEntry job) {
         int live = job.live();
-        return new JobState(job.id, live > 0 ? Condition.RUNNING : Condition.PENDING, job.done(), live);
+        return new JobStatus(job.id, live > 0 ? JobCondition.RUNNING : JobCondition.PENDING, job.done(), live);
     }
 
     private void lookUpFinal(long id, String job, Runnable unknown) {
-        boolean asked = finals.read(job, new FinalReader.Listener() {
+        boolean asked = finals.read(job, new JobResultReader.Listener() {
             @Override
-            public void found(FinalRecord result) {
+            public void found(JobResult result) {
                 replies.finalState(id, job, result);
             }
 
--- a/src/main/java/dewlane/core/admission/Submissions.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -1,24 +1,24 @@
 package dewlane.core.admission;
 
 import dewlane.core.config.Settings;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Dependencies;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.DependencyTracker;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
-import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.message.Input;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
-import dewlane.core.scheduling.JobDistributor;
-import dewlane.core.schema.Keys;
+import dewlane.core.scheduling.SliceAssigner;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.JobResult;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value.FinalRecord;
-import dewlane.core.schema.Value.JobRecord;
-import dewlane.core.schema.ValueSize;
-import dewlane.core.store.FinalReader;
+import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
+import dewlane.core.store.JobResultReader;
 import dewlane.core.store.ReadBarrier;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,37 +29,37 @@
  * Takes submissions: decides whether a job can run at all, whether the jobs that it awaits were ever accepted, and
  * writes it.
  */
-public final class Submissions {
+public final class SubmissionHandler {
     /** When those come back whose submission is more than can be written. */
     private static final int OVERLOAD_RETRY_S = 4;
     /** When those come back who ask for what an older version that still runs does not know. */
     private static final int UPGRADE_RETRY_S = 5;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final Membership membership;
     private final TransactionQueue transactions;
-    private final JobDistributor distributor;
-    private final Dependencies dependencies;
+    private final SliceAssigner distributor;
+    private final DependencyTracker dependencies;
     private final ReadBarrier barrier;
-    private final FinalReader finals;
-    private final Users users;
-    private final UserReplies replies;
-    private final ValueSize size;
+    private final JobResultReader finals;
+    private final JobRequestHandler users;
+    private final UserResponses replies;
+    private final ValueSizer size;
 
-    public Submissions(
-            Context context,
-            Replica replica,
-            Machines machines,
+    public SubmissionHandler(
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             Membership membership,
             TransactionQueue transactions,
-            JobDistributor distributor,
-            Dependencies dependencies,
+            SliceAssigner distributor,
+            DependencyTracker dependencies,
             ReadBarrier barrier,
-            FinalReader finals,
-            Users users,
-            ValueSize size) {
+            JobResultReader finals,
+            JobRequestHandler users,
+            ValueSizer size) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
@@ -70,11 +70,11 @@
         this.barrier = barrier;
         this.finals = finals;
         this.users = users;
-        this.replies = new UserReplies(context);
+        this.replies = new UserResponses(context);
         this.size = size;
     }
 
-    public void submit(Input.Submit in) {
+    public void submit(Input.SubmitJob in) {
         if (in.uid() == null) {
             replies.refused(in.id(), 400, in.reason());
             return;
@@ -101,11 +101,11 @@
     }
 
     /** Refuses a job that can never run, unless it was accepted earlier. */
-    private void reject(Input.Submit in, String reason) {
+    private void reject(Input.SubmitJob in, String reason) {
         users.lookUp(in.id(), in.uid(), () -> replies.refused(in.id(), 422, reason));
     }
 
-    private void take(Input.Submit in) {
+    private void take(Input.SubmitJob in) {
         if (in.job() == null) {
             replies.refused(in.id(), 400, in.reason());
         } else if (!membership.joined()) {
@@ -126,7 +126,7 @@
     }
 
     /** Awaited jobs of which neither the replica nor a read says that they were accepted. */
-    private List<String> unknown(Job job, Map<String, FinalRecord> read) {
+    private List<String> unknown(Job job, Map<String, JobResult> read) {
         List<String> unknown = new ArrayList<>();
         for (String id : job.awaits()) {
             if (replica.recorded(id) == null && result(id, read) == null) {
@@ -137,13 +137,13 @@
     }
 
     /** The final state of an awaited job, if it is known. */
-    private FinalRecord result(String id, Map<String, FinalRecord> read) {
-        FinalRecord known = replica.fin(id);
+    private JobResult result(String id, Map<String, JobResult> read) {
+        JobResult known = replica.fin(id);
         return known == null ? read.get(id) : known;
     }
 
     /** The replica holds all that was accepted and is not over; the others have a final state, or never were. */
-    private void lookUpAwaited(Input.Submit in, Map<String, FinalRecord> read) {
+    private void lookUpAwaited(Input.SubmitJob in, Map<String, JobResult> read) {
         List<String> unknown = unknown(in.job(), read);
         if (unknown.isEmpty()) {
             accept(in, read);
@@ -154,9 +154,9 @@
             replies.later(in.id(), "the state of " + next + " cannot be read, try again");
             return;
         }
-        boolean asked = finals.read(next, new FinalReader.Listener() {
+        boolean asked = finals.read(next, new JobResultReader.Listener() {
             @Override
-            public void found(FinalRecord result) {
+            public void found(JobResult result) {
                 read.put(next, result);
                 lookUpAwaited(in, read);
             }
@@ -177,7 +177,7 @@
         }
     }
 
-    private void accept(Input.Submit in, Map<String, FinalRecord> read) {
+    private void accept(Input.SubmitJob in, Map<String, JobResult> read) {
         Job job = in.job().withAccepted(context.wall()).withAwaits(notDone(in.job(), read));
         if (cancelledFromTheStart(job, read)) {
             acceptCancelled(in, job);
@@ -196,22 +196,22 @@
             replies.later(in.id(), "too many submissions, try again", OVERLOAD_RETRY_S);
             return;
         }
-        Transaction.Builder txn = newJob(job.id()).set(Keys.job(job.id()), record);
-        write(in, txn, () -> replies.accepted(in.id(), job.id(), Condition.PENDING));
+        Transaction.Builder txn = newJob(job.id()).set(StoreKeys.job(job.id()), record);
+        write(in, txn, () -> replies.accepted(in.id(), job.id(), JobCondition.PENDING));
     }
 
     /** A job whose record fits no value is malformed for this service: its lists or names are too long. */
-    private void rejectTooLarge(Input.Submit in, int most) {
+    private void rejectTooLarge(Input.SubmitJob in, int most) {
         String reason = "the job, with " + in.job().awaits().size()
                 + " awaited jobs, does not fit into a stored value of " + most + " bytes";
         users.lookUp(in.id(), in.uid(), () -> replies.refused(in.id(), 400, reason));
     }
 
     /** What is known to be done need not be awaited, and not be looked up again after a restart. */
-    private List<String> notDone(Job job, Map<String, FinalRecord> read) {
+    private List<String> notDone(Job job, Map<String, JobResult> read) {
         List<String> left = new ArrayList<>();
         for (String id : job.awaits()) {
-            FinalRecord result = result(id, read);
+            JobResult result = result(id, read);
             if (result == null || result.aborted()) {
                 left.add(id);
             }
@@ -219,10 +219,10 @@
         return left;
     }
 
-    private boolean cancelledFromTheStart(Job job, Map<String, FinalRecord> read) {
+    private boolean cancelledFromTheStart(Job job, Map<String, JobResult> read) {
         for (String id : job.awaits()) {
             JobEntry entry = replica.recorded(id);
-            FinalRecord result = result(id, read);
+            JobResult result = result(id, read);
             if (result != null && result.aborted() || entry != null && dependencies.cancelled(entry)) {
                 return true;
             }
@@ -231,25 +231,25 @@
     }
 
     /** A job that names a cancelled one is accepted all the same. It is over, so its final state is all there is. */
-    private void acceptCancelled(Input.Submit in, Job job) {
+    private void acceptCancelled(Input.SubmitJob in, Job job) {
         if (!transactions.admitsUser()) {
             replies.later(in.id(), "too many submissions, try again", OVERLOAD_RETRY_S);
             return;
         }
-        FinalRecord result = new FinalRecord(true, context.wall());
-        Transaction.Builder txn = newJob(job.id()).set(Keys.fin(job.id()), result);
+        JobResult result = new JobResult(true, context.wall());
+        Transaction.Builder txn = newJob(job.id()).set(StoreKeys.fin(job.id()), result);
         write(in, txn, () -> {
             context.info("job " + job.id() + " is cancelled from the start, through one that it awaits");
             replica.rememberFinal(job.id(), result);
-            replies.accepted(in.id(), job.id(), Condition.ABORTED);
+            replies.accepted(in.id(), job.id(), JobCondition.ABORTED);
         });
     }
 
     private static Transaction.Builder newJob(String id) {
-        return new Transaction.Builder().when(Keys.job(id), 0).when(Keys.fin(id), 0);
+        return new Transaction.Builder().when(StoreKeys.job(id), 0).when(StoreKeys.fin(id), 0);
     }
 
-    private void write(Input.Submit in, Transaction.Builder txn, Runnable accepted) {
+    private void write(Input.SubmitJob in, Transaction.Builder txn, Runnable accepted) {
         transactions.submit(TransactionQueue.Urgency.USER, txn.build(), (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
                 accepted.run();
@@ -263,7 +263,7 @@
 
     /** Why the job can never run, or null. */
     private String unfit(Job job) {
-        Settings.Team team = context.settings().teams().get(job.team());
+        Settings.TeamQuota team = context.settings().teams().get(job.team());
         if (team == null) {
             return "unknown team " + job.team();
         }
--- a/src/main/java/dewlane/core/admission/UserReplies.java
+++ b/src/main/java/dewlane/core/admission/UserResponses.java
@@ -1,40 +1,40 @@
 package dewlane.core.admission;
 
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
-import dewlane.core.message.Effect.Condition;
-import dewlane.core.message.Effect.JobState;
-import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.message.Effect.JobStatus;
+import dewlane.core.schema.StoredValue.JobResult;
 
 /** Answers to users' requests. */
-final class UserReplies {
+final class UserResponses {
     /** When those come back who find the service busy. */
     private static final int RETRY_S = 1;
 
-    private final Context context;
+    private final ControllerContext context;
 
-    UserReplies(Context context) {
+    UserResponses(ControllerContext context) {
         this.context = context;
     }
 
     /** The job is new, and this is its state. */
-    void accepted(long id, String job, Condition condition) {
-        context.emit(new Effect.AnswerUser(id, 201, new JobState(job, condition, 0, 0), null, RETRY_S));
+    void accepted(long id, String job, JobCondition condition) {
+        context.emit(new Effect.AnswerUser(id, 201, new JobStatus(job, condition, 0, 0), null, RETRY_S));
     }
 
     /** The job's state. */
-    void state(long id, JobState state) {
+    void state(long id, JobStatus state) {
         context.emit(new Effect.AnswerUser(id, 200, state, null, RETRY_S));
     }
 
     /** The job's state once it is over. */
-    void finalState(long id, String job, FinalRecord result) {
-        state(id, new JobState(job, result.aborted() ? Condition.ABORTED : Condition.DONE, 0, 0));
+    void finalState(long id, String job, JobResult result) {
+        state(id, new JobStatus(job, result.aborted() ? JobCondition.ABORTED : JobCondition.DONE, 0, 0));
     }
 
     /** The job is cancelled. */
     void aborted(long id, String job) {
-        state(id, new JobState(job, Condition.ABORTED, 0, 0));
+        state(id, new JobStatus(job, JobCondition.ABORTED, 0, 0));
     }
 
     /** The request cannot be served, whenever it is repeated. */
--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -1,23 +1,23 @@
 package dewlane.core.autoscaling;
 
-import dewlane.core.autoscaling.Rental.Place;
-import dewlane.core.fleet.Machines;
+import dewlane.core.autoscaling.InstanceRequest.InstancePool;
+import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.Priority;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
  * Rents machines for the demand in sight, while this controller leads. What idles goes back by its partition's owner
- * (see {@link ScaleDown}), and {@link CloudInventory} deletes it.
+ * (see {@link ScaleIn}), and {@link InstanceInventory} deletes it.
  */
 public final class Autoscaler {
     private static final long LIST_MS = 2000;
@@ -48,27 +48,27 @@
     /** The time over which a machine's boot and its first image fetch count as lost. */
     private static final double LIFE_S = 300;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final Membership membership;
-    private final CloudInventory inventory;
+    private final InstanceInventory inventory;
     private final CapacityDemand demand;
     /** Rentals that the cloud has not answered yet, by request. */
-    private final Map<String, Rental> asked = new HashMap<>();
+    private final Map<String, InstanceRequest> asked = new HashMap<>();
 
-    private final Map<Place, Long> scarceUntil = new HashMap<>();
+    private final Map<InstancePool, Long> scarceUntil = new HashMap<>();
     private long catalogAt = Long.MIN_VALUE;
     private long listAskedAt = Long.MIN_VALUE;
     private long ledSince;
     private boolean planned;
 
     public Autoscaler(
-            Context context,
-            Replica replica,
-            Machines machines,
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             Membership membership,
-            CloudInventory inventory,
+            InstanceInventory inventory,
             CapacityDemand demand) {
         this.context = context;
         this.replica = replica;
@@ -95,7 +95,7 @@
         }
         if (listAskedAt == Long.MIN_VALUE || now - listAskedAt >= listPauseMs()) {
             listAskedAt = now;
-            context.emit(new Effect.ListMachines());
+            context.emit(new Effect.ListInstances());
         }
         if (!membership.reachesState() || machines.types().isEmpty()) {
             return;
@@ -119,7 +119,7 @@
         long every = machines.types().isEmpty() ? FIRST_CATALOG_MS : CATALOG_MS;
         if (catalogAt == Long.MIN_VALUE || context.now() - catalogAt > every) {
             catalogAt = context.now();
-            context.emit(new Effect.ReadCatalog());
+            context.emit(new Effect.ListMachineTypes());
         }
     }
 
@@ -131,23 +131,23 @@
                 || replica.map().epoch() <= replica.map().members().size();
     }
 
-    public void listed(Input.MachinesListed in) {
+    public void listed(Input.InstancesListed in) {
         inventory.listed(in.machines());
     }
 
-    public void deleted(Input.Deleted in) {
+    public void deleted(Input.InstancesDeleted in) {
         inventory.deleted(in);
         if (membership.leads()) {
             inventory.carryOut();
         }
     }
 
-    public void rented(Input.Rented in) {
-        Rental rental = asked.remove(in.request());
+    public void rented(Input.InstancesCreated in) {
+        InstanceRequest rental = asked.remove(in.request());
         if (rental == null) {
             return;
         }
-        Place place = rental.place();
+        InstancePool place = rental.place();
         switch (in.status()) {
             case RENTED -> {
                 inventory.rented(in.machines(), rental);
@@ -172,9 +172,9 @@
         if (asked.size() >= MOST_ASKED) {
             return;
         }
-        Map<Place, Double> wanted = new LinkedHashMap<>();
+        Map<InstancePool, Double> wanted = new LinkedHashMap<>();
         demand.unmet(inventory.booting(), asked.values()).forEach((job, slots) -> {
-            Place place = cheapest(job);
+            InstancePool place = cheapest(job);
             if (place != null) {
                 wanted.merge(place, slots / machines.type(place.type()).fits(job.job()), Double::sum);
             }
@@ -187,22 +187,22 @@
         });
     }
 
-    private void ask(Place place, int count) {
+    private void ask(InstancePool place, int count) {
         String request = "dewlane-" + Long.toHexString(context.random().nextLong())
                 + Long.toHexString(context.random().nextLong());
-        asked.put(request, new Rental(place, count, context.now()));
-        context.emit(new Effect.Rent(request, place.type(), place.zone(), place.spot(), count));
+        asked.put(request, new InstanceRequest(place, count, context.now()));
+        context.emit(new Effect.CreateInstances(request, place.type(), place.zone(), place.spot(), count));
     }
 
     /** Where a task of the job costs least, by price, room and the time lost to boot and fetch; null: nowhere now. */
-    private Place cheapest(JobEntry entry) {
+    private InstancePool cheapest(JobEntry entry) {
         Job job = entry.job();
-        Place best = null;
+        InstancePool best = null;
         double bestCost = Double.POSITIVE_INFINITY;
         for (MachineType type : machines.types()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    Place place = new Place(type.name(), zone, spot);
+                    InstancePool place = new InstancePool(type.name(), zone, spot);
                     double cost = mayRent(place, type, entry) ? cost(type, spot, job) : Double.POSITIVE_INFINITY;
                     if (cost < bestCost) {
                         best = place;
@@ -214,7 +214,7 @@
         return best;
     }
 
-    private boolean mayRent(Place place, MachineType type, JobEntry entry) {
+    private boolean mayRent(InstancePool place, MachineType type, JobEntry entry) {
         Job job = entry.job();
         return type.fits(job) >= 1
                 && job.allows(place.type(), place.zone(), place.spot())
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -1,18 +1,18 @@
 package dewlane.core.autoscaling;
 
-import dewlane.core.autoscaling.Rental.Place;
+import dewlane.core.autoscaling.InstanceRequest.InstancePool;
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Release;
-import dewlane.core.message.Context;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.DependencyGraph;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.ResourceUsage;
-import dewlane.core.quota.Quota;
-import dewlane.core.scheduling.Placement;
+import dewlane.core.quota.QuotaEnforcer;
+import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -57,15 +57,20 @@
         }
     }
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
-    private final Placement placement;
-    private final Quota quota;
-    private final Release release;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
+    private final SchedulingCycle placement;
+    private final QuotaEnforcer quota;
+    private final DependencyGraph release;
 
     public CapacityDemand(
-            Context context, Replica replica, Machines machines, Placement placement, Quota quota, Release release) {
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
+            SchedulingCycle placement,
+            QuotaEnforcer quota,
+            DependencyGraph release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
@@ -80,11 +85,11 @@
      * @param booting machines that are rented but not up, by name
      * @param asked rentals that the cloud has not answered yet
      */
-    Map<JobEntry, Double> unmet(Map<String, Rental> booting, Collection<Rental> asked) {
-        Map<Place, List<Bin>> bins = bins(booting, asked);
+    Map<JobEntry, Double> unmet(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
+        Map<InstancePool, List<Bin>> bins = bins(booting, asked);
         Map<JobEntry, Double> unmet = new LinkedHashMap<>();
         Map<String, ResourceUsage> teams = new HashMap<>();
-        Set<Job.Shape> full = new HashSet<>();
+        Set<Job.Requirements> full = new HashSet<>();
         for (JobEntry job : waitingJobs()) {
             Job spec = job.job();
             ResourceUsage team = teams.computeIfAbsent(
@@ -101,12 +106,12 @@
     }
 
     /** Room by place, so that a job looks only at machines that it may use, and each full one is dropped at once. */
-    private Map<Place, List<Bin>> bins(Map<String, Rental> booting, Collection<Rental> asked) {
-        Map<Place, List<Bin>> bins = new LinkedHashMap<>();
+    private Map<InstancePool, List<Bin>> bins(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
+        Map<InstancePool, List<Bin>> bins = new LinkedHashMap<>();
         for (Machine m : machines.all()) {
             MachineType type = machines.type(m);
             if (type != null && takesTasks(m) && m.use.cpus() < type.cpus()) {
-                add(bins, new Place(type.name(), m.zone, m.spot), new Bin(type, new ResourceUsage(m.use)));
+                add(bins, new InstancePool(type.name(), m.zone, m.spot), new Bin(type, new ResourceUsage(m.use)));
             }
         }
         booting.forEach((name, rental) -> {
@@ -117,7 +122,7 @@
                 add(bins, rental.place(), new Bin(type, new ResourceUsage()));
             }
         });
-        for (Rental rental : asked) {
+        for (InstanceRequest rental : asked) {
             MachineType type = machines.type(rental.place().type());
             for (int i = 0; type != null && i < rental.count(); i++) {
                 add(bins, rental.place(), new Bin(type, new ResourceUsage()));
@@ -126,7 +131,7 @@
         return bins;
     }
 
-    private static void add(Map<Place, List<Bin>> bins, Place place, Bin bin) {
+    private static void add(Map<InstancePool, List<Bin>> bins, InstancePool place, Bin bin) {
         bins.computeIfAbsent(place, p -> new ArrayList<>()).add(bin);
     }
 
@@ -148,10 +153,10 @@
     }
 
     /** Puts tasks into the bins; returns how many find no room. */
-    private static int fill(Map<Place, List<Bin>> bins, JobEntry job, int tasks) {
+    private static int fill(Map<InstancePool, List<Bin>> bins, JobEntry job, int tasks) {
         int left = tasks;
-        for (Map.Entry<Place, List<Bin>> e : bins.entrySet()) {
-            Place place = e.getKey();
+        for (Map.Entry<InstancePool, List<Bin>> e : bins.entrySet()) {
+            InstancePool place = e.getKey();
             if (left > 0 && job.job().allows(place.type(), place.zone(), place.spot())) {
                 left = fill(e.getValue(), job.job(), left);
             }
@@ -175,22 +180,22 @@
      * Short tasks share a slot one after the other while a machine is there. Where no machine would ever do, the
      * smallest demand still needs one, or the job would wait for ever.
      */
-    private double slots(JobEntry job, int tasks, Map<String, Rental> booting) {
+    private double slots(JobEntry job, int tasks, Map<String, InstanceRequest> booting) {
         Job spec = job.job();
         double slots = tasks * Math.min(1, Math.max(LEAST_SLOT, spec.estimateS() / SLOT_S));
         return hosted(spec, job.shape(), booting) ? slots : Math.max(slots, mostOnOne(spec));
     }
 
     /** True if there is or soon will be a machine on which tasks of the shape can run at all. */
-    private boolean hosted(Job spec, Job.Shape shape, Map<String, Rental> booting) {
+    private boolean hosted(Job spec, Job.Requirements shape, Map<String, InstanceRequest> booting) {
         for (Machine m : machines.all()) {
             MachineType type = machines.type(m);
             if (type != null && type.holds(shape) && spec.allows(m.type, m.zone, m.spot) && takesTasks(m)) {
                 return true;
             }
         }
-        for (Rental rental : booting.values()) {
-            Place place = rental.place();
+        for (InstanceRequest rental : booting.values()) {
+            InstancePool place = rental.place();
             MachineType type = machines.type(place.type());
             if (type != null && type.holds(shape) && spec.allows(place.type(), place.zone(), place.spot())) {
                 return true;
--- a/src/main/java/dewlane/core/autoscaling/CloudInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -1,21 +1,21 @@
 package dewlane.core.autoscaling;
 
-import dewlane.core.autoscaling.Rental.Place;
+import dewlane.core.autoscaling.InstanceRequest.InstancePool;
+import dewlane.core.fleet.DecommissionBatches;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.MachineRecords;
-import dewlane.core.fleet.Machines;
-import dewlane.core.message.Context;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.model.ListedMachine;
+import dewlane.core.model.CloudInstance;
 import dewlane.core.model.MachineType;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.DecommissionRecord;
+import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.UnknownFields;
-import dewlane.core.schema.Value.MachineFate;
-import dewlane.core.schema.Value.MachineRecord;
-import dewlane.core.store.MachineRecordIndex;
-import dewlane.core.store.Replica;
+import dewlane.core.store.DecommissionIndex;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
  * What the leader knows of the cloud's machines: those on its lagging list, those on their way, and those proven gone.
  * It deletes machines whose records ask for it, and records the proof.
  */
-public final class CloudInventory {
+public final class InstanceInventory {
     private static final long DELETE_RETRY_MS = 6000;
     /** As many as the cloud deletes by one request. */
     private static final int MOST_DELETED = 100;
@@ -42,13 +42,13 @@
     /** How long a machine of an unknown type may take to come up. */
     private static final double UNKNOWN_BOOT_S = 300;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final TransactionQueue transactions;
     private final Map<String, Long> listedAt = new HashMap<>();
     /** Machines that have not been seen up yet. */
-    private final Map<String, Rental> booting = new LinkedHashMap<>();
+    private final Map<String, InstanceRequest> booting = new LinkedHashMap<>();
 
     private final Map<String, Long> deletingAt = new HashMap<>();
     private final Map<String, Long> goneAt = new HashMap<>();
@@ -58,7 +58,8 @@
     private final Set<String> writing = new HashSet<>();
     private final Set<String> up = new HashSet<>();
 
-    public CloudInventory(Context context, Replica replica, Machines machines, TransactionQueue transactions) {
+    public InstanceInventory(
+            ControllerContext context, StoreReplica replica, MachineRegistry machines, TransactionQueue transactions) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
@@ -82,13 +83,13 @@
     }
 
     /** Machines that are rented but have not been seen up, by name. */
-    Map<String, Rental> booting() {
+    Map<String, InstanceRequest> booting() {
         return booting;
     }
 
     /** Takes a page of the cloud's list, which may be older than the one before. */
-    void listed(List<ListedMachine> page) {
-        for (ListedMachine listed : page) {
+    void listed(List<CloudInstance> page) {
+        for (CloudInstance listed : page) {
             if (!machines.isGone(listed.name())) {
                 take(listed);
             }
@@ -96,22 +97,22 @@
         listedAt.values().removeIf(at -> context.now() - at > LISTED_MS);
     }
 
-    private void take(ListedMachine listed) {
+    private void take(CloudInstance listed) {
         String name = listed.name();
         listedAt.put(name, context.now());
-        if (listed.state() == ListedMachine.State.FAILED) {
+        if (listed.state() == CloudInstance.State.FAILED) {
             gone.add(name);
-            record(name, MachineFate.GONE, "failed");
-        } else if (listed.state() == ListedMachine.State.RUNNING) {
+            record(name, DecommissionState.GONE, "failed");
+        } else if (listed.state() == CloudInstance.State.RUNNING) {
             machines.learn(name, listed.address(), listed.type(), listed.zone(), listed.spot());
         } else if (!booting.containsKey(name) && !up.contains(name) && !gone.contains(name)) {
-            Place place = new Place(listed.type(), listed.zone(), listed.spot());
-            booting.put(name, new Rental(place, 1, context.now() - (long) (listed.ageS() * 1000)));
+            InstancePool place = new InstancePool(listed.type(), listed.zone(), listed.spot());
+            booting.put(name, new InstanceRequest(place, 1, context.now() - (long) (listed.ageS() * 1000)));
         }
     }
 
     /** Takes machines that the cloud said it rented. */
-    void rented(List<String> names, Rental rental) {
+    void rented(List<String> names, InstanceRequest rental) {
         names.forEach(name -> booting.put(name, rental));
     }
 
@@ -135,7 +136,7 @@
     /** Acts on the machines' records. */
     void carryOut() {
         List<String> delete = new ArrayList<>();
-        for (MachineRecordIndex.Entry entry : replica.machineRecords()) {
+        for (DecommissionIndex.Entry entry : replica.machineRecords()) {
             switch (entry.record().fate()) {
                 case RETURN -> carryOutReturn(entry, delete);
                 case DELETE -> carryOutDelete(entry, delete);
@@ -147,11 +148,11 @@
             List<String> some = List.copyOf(delete.subList(0, Math.min(MOST_DELETED, delete.size())));
             some.forEach(name -> deletingAt.put(name, context.now()));
             context.debug("deleting " + some);
-            context.emit(new Effect.Delete(some));
+            context.emit(new Effect.DeleteInstances(some));
         }
     }
 
-    private void carryOutReturn(MachineRecordIndex.Entry entry, List<String> delete) {
+    private void carryOutReturn(DecommissionIndex.Entry entry, List<String> delete) {
         if (gone.containsAll(entry.names())) {
             if (context.now() - goneAt.computeIfAbsent(entry.key(), k -> context.now()) > KEEP_RETURNED_MS) {
                 drop(entry);
@@ -166,15 +167,15 @@
         }
     }
 
-    private void carryOutDelete(MachineRecordIndex.Entry entry, List<String> delete) {
+    private void carryOutDelete(DecommissionIndex.Entry entry, List<String> delete) {
         if (gone.containsAll(entry.names())) {
-            replace(entry, MachineFate.GONE, "deleted");
+            replace(entry, DecommissionState.GONE, "deleted");
         } else {
             delete.addAll(entry.names());
         }
     }
 
-    private void carryOutGone(MachineRecordIndex.Entry entry, List<String> delete) {
+    private void carryOutGone(DecommissionIndex.Entry entry, List<String> delete) {
         long since = goneAt.computeIfAbsent(entry.key(), k -> context.now());
         if (context.now() - since < KEEP_GONE_MS / 2) {
             entry.names().stream().filter(listedAt::containsKey).forEach(delete::add);
@@ -190,7 +191,7 @@
     }
 
     /** Notes what a deletion's answer proves. */
-    void deleted(Input.Deleted in) {
+    void deleted(Input.InstancesDeleted in) {
         if (!in.gone()) {
             return;
         }
@@ -210,23 +211,23 @@
             boolean late = context.now() - rental.at() > patienceS * 1000;
             if (late && !replica.machines().containsKey(name)) {
                 context.info("machine " + name + " did not come up, to be deleted");
-                record(name, MachineFate.DELETE, "never came up");
+                record(name, DecommissionState.DELETE, "never came up");
             }
         });
     }
 
-    private void record(String name, MachineFate fate, String reason) {
-        MachineRecordIndex.Entry known = replica.machines().get(name);
+    private void record(String name, DecommissionState fate, String reason) {
+        DecommissionIndex.Entry known = replica.machines().get(name);
         if (known == null) {
-            write(Keys.machine(name), 0, new MachineRecord(fate, reason, List.of()));
+            write(StoreKeys.machine(name), 0, new DecommissionRecord(fate, reason, List.of()));
         } else if (known.record().fate() != fate && known.record().names().isEmpty()) {
             replace(known, fate, reason);
         }
     }
 
-    private void replace(MachineRecordIndex.Entry entry, MachineFate fate, String reason) {
-        List<List<String>> parts =
-                MachineRecords.split(entry.record().names(), context.settings().valueBytes());
+    private void replace(DecommissionIndex.Entry entry, DecommissionState fate, String reason) {
+        List<List<String>> parts = DecommissionBatches.split(
+                entry.record().names(), context.settings().valueBytes());
         if (parts.size() > 1) {
             replaceLarge(entry, fate, reason, parts);
             return;
@@ -235,12 +236,12 @@
         write(
                 entry.key(),
                 entry.version(),
-                new MachineRecord(fate, reason, entry.record().names(), unknown));
+                new DecommissionRecord(fate, reason, entry.record().names(), unknown));
     }
 
     /** A record that was stored under larger limits becomes several, as many as one transaction holds at a time. */
     private void replaceLarge(
-            MachineRecordIndex.Entry entry, MachineFate fate, String reason, List<List<String>> parts) {
+            DecommissionIndex.Entry entry, DecommissionState fate, String reason, List<List<String>> parts) {
         if (!writing.add(entry.key())) {
             return;
         }
@@ -252,13 +253,13 @@
                 txn.when(key, 0);
             }
             // The names that find no room now stay condemned one by one, by whoever has their part.
-            txn.set(key, new MachineRecord(fate, reason, parts.get(i)));
+            txn.set(key, new DecommissionRecord(fate, reason, parts.get(i)));
         }
         transactions.submit(
                 TransactionQueue.Urgency.OUTCOME, txn.build(), (status, revision) -> writing.remove(entry.key()));
     }
 
-    private void write(String key, long version, MachineRecord record) {
+    private void write(String key, long version, DecommissionRecord record) {
         if (writing.add(key)) {
             Transaction txn = new Transaction.Builder()
                     .when(key, version)
@@ -268,7 +269,7 @@
         }
     }
 
-    private void drop(MachineRecordIndex.Entry entry) {
+    private void drop(DecommissionIndex.Entry entry) {
         String key = entry.key();
         if (writing.add(key)) {
             Transaction txn = new Transaction.Builder()
--- a/src/main/java/dewlane/core/autoscaling/Rental.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceRequest.java
@@ -5,8 +5,8 @@
  *
  * @param at when, in steady time
  */
-record Rental(Place place, int count, long at) {
+record InstanceRequest(InstancePool place, int count, long at) {
 
     /** Where machines can be rented, and on what terms. */
-    record Place(String type, String zone, boolean spot) {}
+    record InstancePool(String type, String zone, boolean spot) {}
 }
--- a/src/main/java/dewlane/core/autoscaling/ScaleDown.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -1,19 +1,19 @@
 package dewlane.core.autoscaling;
 
+import dewlane.core.fleet.DecommissionBatches;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.MachineRecords;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Release;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.DependencyGraph;
+import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.membership.Membership;
-import dewlane.core.membership.StandingMonitor;
-import dewlane.core.message.Context;
-import dewlane.core.scheduling.Placement;
-import dewlane.core.schema.Keys;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.scheduling.SchedulingCycle;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.DecommissionRecord;
+import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value.MachineFate;
-import dewlane.core.schema.Value.MachineRecord;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,33 +25,33 @@
  * <p>The partition's owner alone launches on a machine, and the record is conditional on the map, so nothing can be on
  * the machines once it is written; the leader deletes them.
  */
-public final class ScaleDown {
-    private static final int MOST_AT_ONCE = MachineRecords.MOST_NAMES;
+public final class ScaleIn {
+    private static final int MOST_AT_ONCE = DecommissionBatches.MOST_NAMES;
     /** Those that become idle soon after one another share a record. */
     private static final long GATHER_MS = 4000;
     /** While work waits, idle machines are kept for so many times as long: it may be about to reach them. */
     private static final int PATIENCE_WHILE_WORK_WAITS = 3;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final Membership membership;
-    private final StandingMonitor standing;
+    private final AuthorityMonitor standing;
     private final TransactionQueue transactions;
-    private final Placement placement;
-    private final Release release;
+    private final SchedulingCycle placement;
+    private final DependencyGraph release;
     private long records;
     private long returnedAt = Long.MIN_VALUE / 2;
 
-    public ScaleDown(
-            Context context,
-            Replica replica,
-            Machines machines,
+    public ScaleIn(
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             Membership membership,
-            StandingMonitor standing,
+            AuthorityMonitor standing,
             TransactionQueue transactions,
-            Placement placement,
-            Release release) {
+            SchedulingCycle placement,
+            DependencyGraph release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
@@ -100,15 +100,15 @@
         // What a record has no room for goes back by the next one.
         List<String> all = idle.stream().map(m -> m.name).toList();
         List<String> names =
-                MachineRecords.split(all, context.settings().valueBytes()).get(0);
+                DecommissionBatches.split(all, context.settings().valueBytes()).get(0);
         context.info("returning idle machines " + names);
         List<Machine> leaving = idle.subList(0, names.size());
         leaving.forEach(m -> m.leaving = true);
-        String key = Keys.machines(context.settings().node() + "-idle", membership.incarnation(), ++records);
+        String key = StoreKeys.machines(context.settings().node() + "-idle", membership.incarnation(), ++records);
         Transaction txn = new Transaction.Builder()
                 .when(key, 0)
-                .when(Keys.MAP, replica.mapVersion())
-                .set(key, new MachineRecord(MachineFate.RETURN, "idle", names))
+                .when(StoreKeys.MAP, replica.mapVersion())
+                .set(key, new DecommissionRecord(DecommissionState.RETURN, "idle", names))
                 .build();
         transactions.submit(TransactionQueue.Urgency.LATER, txn, (status, revision) -> {
             if (status != Transaction.Status.COMMITTED) {
--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -7,13 +7,13 @@
 public record Settings(
         String node,
         List<String> peers,
-        Map<String, Team> teams,
-        List<Objective> objectives,
+        Map<String, TeamQuota> teams,
+        List<ServiceLevelObjective> objectives,
         List<String> zones,
         double reportS,
         double leaseS,
         double cancelS,
-        StateLimits state,
+        StoreLimits state,
         double cloudRps,
         double listLagS,
         Tuning tuning) {
@@ -23,7 +23,7 @@
     private static final int LEAST_OPS_OF_0_1 = 8;
 
     /** A team's guarantee and limit; a limit of 0 is none. */
-    public record Team(String name, double cpus, double gpus, double cpusMax, double gpusMax) {
+    public record TeamQuota(String name, double cpus, double gpus, double cpusMax, double gpusMax) {
         /** True if the team has a limit of CPUs or GPUs. */
         public boolean limited() {
             return cpusMax > 0 || gpusMax > 0;
@@ -31,7 +31,7 @@
     }
 
     /** An aim of the users for a class of jobs; {@code lot} is null if it is for all. */
-    public record Objective(String kind, String lot, double withinS) {}
+    public record ServiceLevelObjective(String kind, String lot, double withinS) {}
 
     /** A machine not heard for so long takes no tasks. */
     public long heardMs() {
@@ -70,7 +70,7 @@
     /** The shortest time that an aim of the kind gives jobs of the class, or infinity. */
     public double within(String kind, String lot) {
         double least = Double.POSITIVE_INFINITY;
-        for (Objective o : objectives) {
+        for (ServiceLevelObjective o : objectives) {
             if (o.kind().equals(kind) && (o.lot() == null || o.lot().equals(lot))) {
                 least = Math.min(least, o.withinS());
             }
--- a/src/main/java/dewlane/core/config/StateLimits.java
+++ b/src/main/java/dewlane/core/config/StoreLimits.java
@@ -6,9 +6,9 @@
  *
  * <p>Sizes keep within the smaller of both from the start, since a value or transaction that is too large once the
  * limits change could not be written at all. The larger rate is used until the service refuses changes (see
- * {@link WriteBudget}).
+ * {@link WriteRateLimiter}).
  */
-public record StateLimits(Limits present, Limits next) {
+public record StoreLimits(Limits present, Limits next) {
     /** The least number of changes a transaction must allow: a cancellation writes the job and its final state. */
     public static final int LEAST_TXN_OPS = 2;
     /** The least size of a value, in bytes, in which a job with names of ordinary length and a slice of it fit. */
@@ -18,9 +18,9 @@
     public record Limits(double rps, double writeRps, int valueBytes, int txnOps) {}
 
     /** Limits that never change. */
-    public static StateLimits constant(double rps, double writeRps, int valueBytes, int txnOps) {
+    public static StoreLimits constant(double rps, double writeRps, int valueBytes, int txnOps) {
         Limits limits = new Limits(rps, writeRps, valueBytes, txnOps);
-        return new StateLimits(limits, limits);
+        return new StoreLimits(limits, limits);
     }
 
     /** Requests a second that are allowed now and later. */
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -1,44 +1,44 @@
 package dewlane.core.controller;
 
-import dewlane.core.admission.Submissions;
-import dewlane.core.admission.Users;
+import dewlane.core.admission.JobRequestHandler;
+import dewlane.core.admission.SubmissionHandler;
 import dewlane.core.autoscaling.Autoscaler;
 import dewlane.core.autoscaling.CapacityDemand;
-import dewlane.core.autoscaling.CloudInventory;
-import dewlane.core.autoscaling.ScaleDown;
+import dewlane.core.autoscaling.InstanceInventory;
+import dewlane.core.autoscaling.ScaleIn;
 import dewlane.core.config.Settings;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Cancellations;
-import dewlane.core.job.Dependencies;
-import dewlane.core.job.Release;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.CancellationTracker;
+import dewlane.core.job.DependencyGraph;
+import dewlane.core.job.DependencyTracker;
+import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.membership.Membership;
 import dewlane.core.membership.PeerTable;
-import dewlane.core.membership.StandingMonitor;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.quota.Quota;
+import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
-import dewlane.core.scheduling.JobDistributor;
 import dewlane.core.scheduling.JobWriter;
 import dewlane.core.scheduling.LaunchPlanner;
-import dewlane.core.scheduling.LeftoverCleaner;
-import dewlane.core.scheduling.Placement;
-import dewlane.core.schema.Partitions;
+import dewlane.core.scheduling.SchedulingCycle;
+import dewlane.core.scheduling.SliceAssigner;
+import dewlane.core.scheduling.SliceGarbageCollector;
+import dewlane.core.schema.Partitioner;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.ValueSize;
-import dewlane.core.store.Delta;
-import dewlane.core.store.FinalReader;
+import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
+import dewlane.core.store.JobResultReader;
 import dewlane.core.store.ReadBarrier;
-import dewlane.core.store.Replica;
-import dewlane.core.store.StateFollower;
+import dewlane.core.store.ReplicaChange;
+import dewlane.core.store.StoreReplica;
+import dewlane.core.store.StoreWatcher;
 import dewlane.core.store.TransactionQueue;
-import dewlane.core.store.UnreadableLog;
+import dewlane.core.store.UnreadableValueLog;
 import dewlane.core.worker.FailureDetector;
-import dewlane.core.worker.WorkerSessions;
+import dewlane.core.worker.HeartbeatHandler;
 import java.util.List;
 
 /**
@@ -52,61 +52,62 @@
     private static final long QUIET_PASS_MS = 300;
     private static final long SLOW_MS = 1000;
 
-    private final Context context;
-    private final Replica replica = new Replica(this::follow);
-    private final Counters counters = new Counters();
-    private final Release release = new Release();
+    private final ControllerContext context;
+    private final StoreReplica replica = new StoreReplica(this::follow);
+    private final ControllerCounters counters = new ControllerCounters();
+    private final DependencyGraph release = new DependencyGraph();
     private final TransactionQueue transactions;
     private final Membership membership;
-    private final Cancellations cancellations;
-    private final StandingMonitor standing;
-    private final Machines machines;
+    private final CancellationTracker cancellations;
+    private final AuthorityMonitor standing;
+    private final MachineRegistry machines;
     private final PeerTable peers;
-    private final WorkerSessions sessions;
-    private final Placement placement;
-    private final Dependencies dependencies;
-    private final FinalReader finals;
-    private final Submissions submissions;
+    private final HeartbeatHandler sessions;
+    private final SchedulingCycle placement;
+    private final DependencyTracker dependencies;
+    private final JobResultReader finals;
+    private final SubmissionHandler submissions;
     private final FailureDetector failureDetector;
     private final Autoscaler autoscaler;
-    private final Users users;
+    private final JobRequestHandler users;
     private final ReadBarrier barrier;
-    private final StateFollower state;
+    private final StoreWatcher state;
     private final QuotaRebalancer rebalancer;
-    private final ScaleDown scaleDown;
-    private final PeerBroadcast broadcast;
-    private final UnreadableLog unreadableLog;
+    private final ScaleIn scaleDown;
+    private final PeerStatusBroadcaster broadcast;
+    private final UnreadableValueLog unreadableLog;
     private boolean dirty;
     private long passedAt = Long.MIN_VALUE / 2;
     private long slowAt = Long.MIN_VALUE / 2;
 
-    public Controller(Settings settings, long seed, ValueSize size) {
-        context = new Context(settings, seed);
-        unreadableLog = new UnreadableLog(context, counters);
-        cancellations = new Cancellations(context);
+    public Controller(Settings settings, long seed, ValueSizer size) {
+        context = new ControllerContext(settings, seed);
+        unreadableLog = new UnreadableValueLog(context, counters);
+        cancellations = new CancellationTracker(context);
         transactions = new TransactionQueue(context, counters, size);
         peers = new PeerTable(context, replica);
-        machines = new Machines(context, replica, peers);
+        machines = new MachineRegistry(context, replica, peers);
         membership = new Membership(context, replica, peers, transactions, size);
-        standing = new StandingMonitor(context, membership, cancellations);
-        finals = new FinalReader(context, replica);
-        dependencies = new Dependencies(context, replica, release, finals);
-        Quota quota = new Quota(settings, replica, machines);
-        JobDistributor distributor = new JobDistributor(context, replica, machines, quota, release);
+        standing = new AuthorityMonitor(context, membership, cancellations);
+        finals = new JobResultReader(context, replica);
+        dependencies = new DependencyTracker(context, replica, release, finals);
+        QuotaEnforcer quota = new QuotaEnforcer(settings, replica, machines);
+        SliceAssigner distributor = new SliceAssigner(context, replica, machines, quota, release);
         rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, distributor, release);
         placement = placement(quota, distributor, size);
-        sessions = new WorkerSessions(
+        sessions = new HeartbeatHandler(
                 context, replica, machines, peers, membership, placement, cancellations, standing, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
-        scaleDown = new ScaleDown(context, replica, machines, membership, standing, transactions, placement, release);
-        broadcast = new PeerBroadcast(context, replica, membership, cancellations, placement);
-        CloudInventory inventory = new CloudInventory(context, replica, machines, transactions);
+        scaleDown = new ScaleIn(context, replica, machines, membership, standing, transactions, placement, release);
+        broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
+        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
         CapacityDemand demand = new CapacityDemand(context, replica, machines, placement, quota, release);
         autoscaler = new Autoscaler(context, replica, machines, membership, inventory, demand);
         barrier = new ReadBarrier(context, replica);
-        state = new StateFollower(context, replica, membership, cancellations, barrier, counters);
-        users = new Users(context, replica, transactions, cancellations, dependencies, barrier, finals, size);
-        submissions = new Submissions(
+        state = new StoreWatcher(context, replica, membership, cancellations, barrier, counters);
+        users = new JobRequestHandler(
+                context, replica, transactions, cancellations, dependencies, barrier, finals, size);
+        submissions = new SubmissionHandler(
                 context,
                 replica,
                 machines,
@@ -120,7 +121,7 @@
                 size);
     }
 
-    private Placement placement(Quota quota, JobDistributor distributor, ValueSize size) {
+    private SchedulingCycle placement(QuotaEnforcer quota, SliceAssigner distributor, ValueSizer size) {
         LaunchPlanner planner = new LaunchPlanner(context, replica, machines, quota, distributor, counters);
         JobWriter writer = new JobWriter(
                 context,
@@ -134,8 +135,8 @@
                 cancellations,
                 counters,
                 size);
-        LeftoverCleaner cleaner = new LeftoverCleaner(context, replica, transactions);
-        return new Placement(
+        SliceGarbageCollector cleaner = new SliceGarbageCollector(context, replica, transactions);
+        return new SchedulingCycle(
                 context, replica, machines, membership, release, quota, writer, planner, cleaner, counters);
     }
 
@@ -188,7 +189,7 @@
     private void take(Input input) {
         if (input instanceof Input.Tick) {
             tick();
-        } else if (input instanceof Input.PeerHeard in) {
+        } else if (input instanceof Input.PeerStatusReceived in) {
             heardPeer(in.status());
         } else {
             boolean taken = takeFromWorkers(input) || takeFromUsers(input) || takeFromState(input);
@@ -199,9 +200,9 @@
     }
 
     private boolean takeFromWorkers(Input input) {
-        if (input instanceof Input.ReportReceived in) {
+        if (input instanceof Input.HeartbeatReceived in) {
             sessions.report(in.id(), in.report());
-        } else if (input instanceof Input.CommandAnswered in) {
+        } else if (input instanceof Input.CommandCompleted in) {
             sessions.answered(in);
         } else {
             return false;
@@ -211,11 +212,11 @@
     }
 
     private boolean takeFromUsers(Input input) {
-        if (input instanceof Input.Submit in) {
+        if (input instanceof Input.SubmitJob in) {
             submissions.submit(in);
-        } else if (input instanceof Input.Poll in) {
+        } else if (input instanceof Input.GetJobStatus in) {
             users.poll(in);
-        } else if (input instanceof Input.Abort in) {
+        } else if (input instanceof Input.CancelJob in) {
             users.abort(in);
         } else {
             return false;
@@ -225,9 +226,9 @@
 
     /** Takes what the state service answered; whatever shows that it did proves that it can be reached. */
     private boolean takeFromState(Input input) {
-        if (input instanceof Input.Changes in) {
+        if (input instanceof Input.WatchEvents in) {
             dirty |= state.changed(in);
-        } else if (input instanceof Input.TxnAnswer in) {
+        } else if (input instanceof Input.TransactionCompleted in) {
             noteContact(in.status() == Transaction.Status.COMMITTED || in.status() == Transaction.Status.CONFLICT);
             transactions.answered(in);
             dirty = true;
@@ -241,12 +242,12 @@
         } else if (input instanceof Input.LeaseGranted in) {
             noteContact(in.lease() != 0);
             membership.granted(in.lease());
-        } else if (input instanceof Input.LeaseTouched in) {
+        } else if (input instanceof Input.LeaseRenewalCompleted in) {
             noteContact(in.renewed() || in.ended());
             membership.touched(in);
-        } else if (input instanceof Input.StateListed in) {
+        } else if (input instanceof Input.StoreListed in) {
             state.listed(in);
-        } else if (input instanceof Input.ListFailed) {
+        } else if (input instanceof Input.StoreListFailed) {
             state.listFailed();
         } else if (input instanceof Input.WatchFailed in) {
             state.watchFailed(in);
@@ -263,14 +264,14 @@
     }
 
     private void takeFromCloud(Input input) {
-        if (input instanceof Input.CatalogRead in) {
+        if (input instanceof Input.MachineTypesListed in) {
             machines.catalog(in.types());
             dirty = true;
-        } else if (input instanceof Input.MachinesListed in) {
+        } else if (input instanceof Input.InstancesListed in) {
             autoscaler.listed(in);
-        } else if (input instanceof Input.Rented in) {
+        } else if (input instanceof Input.InstancesCreated in) {
             autoscaler.rented(in);
-        } else if (input instanceof Input.Deleted in) {
+        } else if (input instanceof Input.InstancesDeleted in) {
             autoscaler.deleted(in);
         }
     }
@@ -312,16 +313,16 @@
     }
 
     /** Each change of the replica goes to those that keep something which follows from it. */
-    private void follow(Delta delta) {
+    private void follow(ReplicaChange delta) {
         machines.follow(delta);
         cancellations.follow(delta);
         dependencies.follow(delta);
-        if (delta instanceof Delta.SliceChanged d && d.after() != null) {
+        if (delta instanceof ReplicaChange.SliceChanged d && d.after() != null) {
             counters.attemptsSeen += d.after().attempts().size();
-        } else if (delta instanceof Delta.MapChanged d) {
+        } else if (delta instanceof ReplicaChange.PartitionMapChanged d) {
             context.info("map " + d.after().epoch() + ": " + d.after().members() + ", led by "
-                    + Partitions.leader(d.after()));
-        } else if (delta instanceof Delta.Unread d) {
+                    + Partitioner.leader(d.after()));
+        } else if (delta instanceof ReplicaChange.ValueUnreadable d) {
             unreadableLog.note(d);
         }
     }
--- a/src/main/java/dewlane/core/controller/PeerBroadcast.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -1,19 +1,19 @@
 package dewlane.core.controller;
 
 import dewlane.core.fleet.Machine;
-import dewlane.core.job.Cancellations;
+import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.model.PeerStatus.PeerMachine;
-import dewlane.core.scheduling.Placement;
-import dewlane.core.store.Replica;
+import dewlane.core.model.PeerStatus.MachineStatus;
+import dewlane.core.scheduling.SchedulingCycle;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Tells the other controllers about this one and the machines of its part. It only adds speed. */
-final class PeerBroadcast {
+final class PeerStatusBroadcaster {
     /** Machines that one message tells of: a controller that is alone for a while may have all of them. */
     private static final int MACHINES_A_PAGE = 300;
     /** What peers are told costs each of them something, so the more there are, the seldomer; at most so seldom. */
@@ -21,15 +21,19 @@
 
     private static final long PAUSE_PER_PEER_MS = 1000 / 3;
 
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final Membership membership;
-    private final Cancellations cancellations;
-    private final Placement placement;
+    private final CancellationTracker cancellations;
+    private final SchedulingCycle placement;
     private long toldAt = Long.MIN_VALUE / 2;
 
-    PeerBroadcast(
-            Context context, Replica replica, Membership membership, Cancellations cancellations, Placement placement) {
+    PeerStatusBroadcaster(
+            ControllerContext context,
+            StoreReplica replica,
+            Membership membership,
+            CancellationTracker cancellations,
+            SchedulingCycle placement) {
         this.context = context;
         this.replica = replica;
         this.membership = membership;
@@ -40,7 +44,7 @@
     /** Passes on at once what this controller has confirmed: others' watches may be refused just now. */
     void tick() {
         if (cancellations.takeNews() && membership.joined()) {
-            context.emit(new Effect.TellPeers(List.of(status(List.of()))));
+            context.emit(new Effect.BroadcastStatus(List.of(status(List.of()))));
         }
     }
 
@@ -58,18 +62,18 @@
         if (!membership.joined()) {
             return;
         }
-        List<PeerMachine> usable = new ArrayList<>();
+        List<MachineStatus> usable = new ArrayList<>();
         for (Machine m : placement.usable()) {
-            usable.add(new PeerMachine(m.name, m.address, m.type, m.zone, m.spot, m.session, m.sequence));
+            usable.add(new MachineStatus(m.name, m.address, m.type, m.zone, m.spot, m.session, m.sequence));
         }
         List<PeerStatus> pages = new ArrayList<>();
         for (int from = 0; from == 0 || from < usable.size(); from += MACHINES_A_PAGE) {
             pages.add(status(usable.subList(from, Math.min(from + MACHINES_A_PAGE, usable.size()))));
         }
-        context.emit(new Effect.TellPeers(pages));
+        context.emit(new Effect.BroadcastStatus(pages));
     }
 
-    private PeerStatus status(List<PeerMachine> page) {
+    private PeerStatus status(List<MachineStatus> page) {
         return new PeerStatus(
                 context.settings().node(),
                 replica.map().epoch(),
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -1,6 +1,6 @@
 package dewlane.core.fleet;
 
-import dewlane.core.fleet.Machine.Key;
+import dewlane.core.fleet.Machine.AttemptId;
 import java.util.HashSet;
 import java.util.Set;
 
@@ -21,16 +21,16 @@
     private long epoch;
     private int fence;
     /** The launches of the direct command under way, and its token; 0 while none is under way. */
-    private final Set<Key> commandLaunches = new HashSet<>();
+    private final Set<AttemptId> commandLaunches = new HashSet<>();
 
     private long commandToken;
     private long commandSentAt;
     /** The launches in the answer to the latest report, and its token; 0 before the first. */
-    private final Set<Key> answerLaunches = new HashSet<>();
+    private final Set<AttemptId> answerLaunches = new HashSet<>();
 
     private long answerToken;
     /** Launches of direct commands that were given up on, under the present token. */
-    private final Set<Key> abandonedLaunches = new HashSet<>();
+    private final Set<AttemptId> abandonedLaunches = new HashSet<>();
 
     /** The token of the present owner: the epoch at which it got the machine, then the machine's own fence. */
     long token() {
@@ -66,7 +66,7 @@
     }
 
     /** A direct command goes out. */
-    public void commandSent(Set<Key> launches, long now) {
+    public void commandSent(Set<AttemptId> launches, long now) {
         commandToken = token();
         commandSentAt = now;
         commandLaunches.addAll(launches);
@@ -98,7 +98,7 @@
     }
 
     /** A report is answered. */
-    public void answerSent(Set<Key> launches) {
+    public void answerSent(Set<AttemptId> launches) {
         answerToken = token();
         answerLaunches.clear();
         answerLaunches.addAll(launches);
@@ -115,18 +115,18 @@
     }
 
     /** The launches in the latest answer to a report, which the next report must show. */
-    public Set<Key> answerLaunches() {
+    public Set<AttemptId> answerLaunches() {
         return answerLaunches;
     }
 
     /** True if a launch of the attempt is under way with the present token, and it will be known what became of it. */
-    public boolean launchUnderWay(Key attempt) {
+    public boolean launchUnderWay(AttemptId attempt) {
         return commandToken == token() && commandLaunches.contains(attempt)
                 || answerToken == token() && answerLaunches.contains(attempt);
     }
 
     /** True if a launch of the attempt may arrive with the present token at any time. */
-    public boolean launchAbandoned(Key attempt) {
+    public boolean launchAbandoned(AttemptId attempt) {
         return abandonedLaunches.contains(attempt);
     }
 }
--- a/src/main/java/dewlane/core/fleet/MachineRecords.java
+++ b/src/main/java/dewlane/core/fleet/DecommissionBatches.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** How many machines a record in the state service names. */
-public final class MachineRecords {
+public final class DecommissionBatches {
     /** As many as the cloud deletes by one request. */
     public static final int MOST_NAMES = 100;
     /** The names of a record's fields, its fate and its reason, with quotes and brackets. */
@@ -12,7 +12,7 @@
     /** Quotes and a comma. */
     private static final int FRAME_OF_NAME = 3;
 
-    private MachineRecords() {}
+    private DecommissionBatches() {}
 
     /** Divides names into as few records as their size and number allow, in order. */
     public static List<List<String>> split(List<String> names, int valueBytes) {
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -20,7 +20,7 @@
         GONE
     }
 
-    public final Map<Machine.Key, Outcome> outcomes = new HashMap<>();
+    public final Map<Machine.AttemptId, Outcome> outcomes = new HashMap<>();
     /** By slice, since when outcomes gather that are still to be made durable. */
     private final Map<Integer, Long> gatheringSince = new HashMap<>();
     /** Launches in the write under way, or in one that the replica does not show yet. */
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -1,9 +1,9 @@
 package dewlane.core.fleet;
 
-import dewlane.core.message.Context;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -15,14 +15,14 @@
  * decided, until the replica shows it or it turns out that it was not written.
  */
 public final class JobProgressTable {
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final TeamUsage teamUsage;
     private final Map<String, JobProgress> byJob = new HashMap<>();
     /** Jobs with launches that the replica does not show yet, and jobs that are over. */
     private final Set<String> settling = new LinkedHashSet<>();
 
-    JobProgressTable(Context context, Replica replica, TeamUsage teamUsage) {
+    JobProgressTable(ControllerContext context, StoreReplica replica, TeamUsage teamUsage) {
         this.context = context;
         this.replica = replica;
         this.teamUsage = teamUsage;
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -1,9 +1,9 @@
 package dewlane.core.fleet;
 
 import dewlane.core.model.Attempt;
+import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
-import dewlane.core.model.Report;
 import dewlane.core.model.ResourceUsage;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
@@ -18,11 +18,11 @@
 /** What this controller knows of a machine. */
 public final class Machine {
     /** Names one launch of one task. */
-    public record Key(String job, int task, int number) {
+    public record AttemptId(String job, int task, int number) {
         // Written out, as this is the key of the busiest maps and a record's own are linked at run time and stay slow.
         @Override
         public boolean equals(Object o) {
-            return o instanceof Key k && task == k.task && number == k.number && job.equals(k.job);
+            return o instanceof AttemptId k && task == k.task && number == k.number && job.equals(k.job);
         }
 
         @Override
@@ -32,21 +32,21 @@
     }
 
     /** An attempt that the state service holds against this machine. */
-    public static final class Live {
+    public static final class AssignedAttempt {
         public final JobEntry job;
         public final SliceEntry slice;
         public final Attempt attempt;
-        public final Key key;
+        public final AttemptId key;
         /** The controller against whose share of the team's limit it counts. */
         String countedFor;
         /** The machine reported its end, so it needs no room there any more. */
         public boolean over;
 
-        Live(JobEntry job, SliceEntry slice, Attempt attempt) {
+        AssignedAttempt(JobEntry job, SliceEntry slice, Attempt attempt) {
             this.job = job;
             this.slice = slice;
             this.attempt = attempt;
-            this.key = new Key(job.id, attempt.task(), attempt.number());
+            this.key = new AttemptId(job.id, attempt.task(), attempt.number());
         }
     }
 
@@ -75,7 +75,7 @@
     String listedBy;
 
     long listedAt;
-    public final StrayReports strayReports = new StrayReports();
+    public final MisroutedHeartbeats strayReports = new MisroutedHeartbeats();
     /** It was to be returned when it was last heard of: if it is silent, it is gone as it should be. */
     public boolean returned;
     /** It is being returned, though no record shows that yet. */
@@ -83,13 +83,13 @@
     /** When the cloud takes the machine away; 0: not announced. */
     public long takenAt;
 
-    public Map<Key, Report.TaskState> reported = Map.of();
+    public Map<AttemptId, Heartbeat.TaskStatus> reported = Map.of();
 
-    public final Object2LongOpenHashMap<Key> commanded = new Object2LongOpenHashMap<>();
+    public final Object2LongOpenHashMap<AttemptId> commanded = new Object2LongOpenHashMap<>();
     /** Attempts to be stopped although their job goes on, and the grace they get. */
-    public final Map<Key, Double> stops = new HashMap<>();
+    public final Map<AttemptId, Double> stops = new HashMap<>();
 
-    public final Object2LongOpenHashMap<Key> unaccounted = new Object2LongOpenHashMap<>();
+    public final Object2LongOpenHashMap<AttemptId> unaccounted = new Object2LongOpenHashMap<>();
 
     /** Jobs of which a task failed here since a task last completed. */
     public final Set<String> failedJobs = new HashSet<>();
@@ -98,7 +98,7 @@
 
     private double imageGb;
 
-    public final Map<Key, Live> live = new LinkedHashMap<>();
+    public final Map<AttemptId, AssignedAttempt> live = new LinkedHashMap<>();
     /** What the attempts take that may be on the machine, those in a write under way included. */
     public final ResourceUsage use = new ResourceUsage();
     /** Room that this pass keeps for jobs that others were stopped for; null: none. */
@@ -157,7 +157,7 @@
      */
     public void suspect(long now) {
         boolean launchUnderWay = false;
-        for (Live l : live.values()) {
+        for (AssignedAttempt l : live.values()) {
             launchUnderWay |=
                     l.attempt.token() == token() && l.attempt.session() == session && !reported.containsKey(l.key);
         }
--- a/src/main/java/dewlane/core/fleet/Machines.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -1,19 +1,19 @@
 package dewlane.core.fleet;
 
 import dewlane.core.membership.PeerTable;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value;
-import dewlane.core.schema.Value.ClusterMap;
-import dewlane.core.schema.Value.Slice;
-import dewlane.core.store.Delta;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.PartitionMap;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.ReplicaChange;
 import dewlane.core.store.SliceEntry;
+import dewlane.core.store.StoreReplica;
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.Collection;
 import java.util.HashSet;
@@ -27,9 +27,9 @@
  * All machines heard of, whoever owns them, with what the replica and the writes under way put on them. It follows the
  * replica change by change: nothing here is counted anew.
  */
-public final class Machines {
-    private final Context context;
-    private final Replica replica;
+public final class MachineRegistry {
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final PeerTable peers;
     private final String self;
     private final Map<String, Machine> byName = new LinkedHashMap<>();
@@ -42,9 +42,9 @@
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final TeamUsage teamUsage = new TeamUsage();
     private final JobProgressTable progress;
-    private final ShapeRivalry rivalry = new ShapeRivalry(types);
+    private final MachineTypeContention rivalry = new MachineTypeContention(types);
 
-    public Machines(Context context, Replica replica, PeerTable peers) {
+    public MachineRegistry(ControllerContext context, StoreReplica replica, PeerTable peers) {
         this.context = context;
         this.replica = replica;
         this.peers = peers;
@@ -66,7 +66,7 @@
     }
 
     /** Which jobs could use which types. */
-    public ShapeRivalry rivalry() {
+    public MachineTypeContention rivalry() {
         return rivalry;
     }
 
@@ -130,31 +130,31 @@
         return teamUsage;
     }
 
-    public void follow(Delta delta) {
-        if (delta instanceof Delta.SliceChanged d) {
+    public void follow(ReplicaChange delta) {
+        if (delta instanceof ReplicaChange.SliceChanged d) {
             slice(d.job(), d.slice(), d.before(), d.after());
-        } else if (delta instanceof Delta.JobChanged d) {
+        } else if (delta instanceof ReplicaChange.JobChanged d) {
             job(d);
-        } else if (delta instanceof Delta.MapChanged d) {
+        } else if (delta instanceof ReplicaChange.PartitionMapChanged d) {
             map(d);
-        } else if (delta instanceof Delta.MachineChanged d) {
+        } else if (delta instanceof ReplicaChange.MachineDecommissioned d) {
             fate(d.name(), d.after().fate());
         }
     }
 
-    private void fate(String name, Value.MachineFate fate) {
+    private void fate(String name, StoredValue.DecommissionState fate) {
         Machine m = byName.get(name);
-        if (fate == Value.MachineFate.GONE) {
+        if (fate == StoredValue.DecommissionState.GONE) {
             gone.add(name);
             if (m != null) {
                 dropIfGone(m);
             }
-        } else if (fate == Value.MachineFate.RETURN && m != null) {
+        } else if (fate == StoredValue.DecommissionState.RETURN && m != null) {
             m.returned = true;
         }
     }
 
-    private void job(Delta.JobChanged d) {
+    private void job(ReplicaChange.JobChanged d) {
         JobEntry job = d.job();
         if (d.before() == null && d.after() != null) {
             rivalry.came(d.after().job().shape());
@@ -200,18 +200,18 @@
 
     private void add(JobEntry job, Job spec, SliceEntry slice, Attempt a) {
         Machine m = of(a.machine());
-        Machine.Live live = new Machine.Live(job, slice, a);
+        Machine.AssignedAttempt live = new Machine.AssignedAttempt(job, slice, a);
         m.live.put(live.key, live);
         m.use.add(spec);
-        live.countedFor = Partitions.owner(replica.map(), slice.key, slice.value());
+        live.countedFor = Partitioner.owner(replica.map(), slice.key, slice.value());
         teamUsage.add(spec, live.countedFor, 1);
         touch(m);
     }
 
     private void remove(JobEntry job, Job spec, Attempt a) {
         Machine m = of(a.machine());
-        Machine.Key key = new Machine.Key(job.id, a.task(), a.number());
-        Machine.Live live = m.live.remove(key);
+        Machine.AttemptId key = new Machine.AttemptId(job.id, a.task(), a.number());
+        Machine.AssignedAttempt live = m.live.remove(key);
         if (live == null) {
             return;
         }
@@ -230,7 +230,7 @@
     }
 
     /** A task's end was reported: its room is free, though its team's limit still counts it until that is durable. */
-    public void over(Machine m, Machine.Live live) {
+    public void over(Machine m, Machine.AssignedAttempt live) {
         if (!live.over) {
             live.over = true;
             m.use.remove(live.job.job());
@@ -245,7 +245,7 @@
         }
     }
 
-    private void map(Delta.MapChanged d) {
+    private void map(ReplicaChange.PartitionMapChanged d) {
         long was = d.before() == null ? 0 : d.before().incarnation(self);
         boolean kept = d.complete() && was != 0 && was == d.after().incarnation(self);
         byName.values().forEach(m -> settleOwner(m, !kept));
@@ -256,8 +256,8 @@
     private void recount() {
         teamUsage.forgetOwners();
         for (Machine m : byName.values()) {
-            for (Machine.Live l : m.live.values()) {
-                l.countedFor = Partitions.owner(replica.map(), l.slice.key, l.slice.value());
+            for (Machine.AssignedAttempt l : m.live.values()) {
+                l.countedFor = Partitioner.owner(replica.map(), l.slice.key, l.slice.value());
                 teamUsage.addToOwner(l.job.job(), l.countedFor, 1);
             }
         }
@@ -266,9 +266,9 @@
 
     /** The machine's owner under the present map; one that this controller did not have all along begins anew. */
     private void settleOwner(Machine m, boolean anew) {
-        ClusterMap map = replica.map();
+        PartitionMap map = replica.map();
         String before = m.owner;
-        m.owner = Partitions.owner(map, m.name);
+        m.owner = Partitioner.owner(map, m.name);
         if (anew || m.owner == null || !m.owner.equals(before)) {
             m.ownerSince = context.now();
         }
@@ -302,7 +302,7 @@
     /** Learns the machines that a peer told of. */
     public void learnFrom(PeerStatus status) {
         String start = peers.start(status.node());
-        for (PeerStatus.PeerMachine p : status.machines()) {
+        for (PeerStatus.MachineStatus p : status.machines()) {
             Machine m = learn(p.name(), p.address(), p.type(), p.zone(), p.spot());
             if (m != null) {
                 m.listedBy = start;
--- a/src/main/java/dewlane/core/fleet/ShapeRivalry.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeContention.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /** Tells which machine types had better be left to jobs that have fewer to choose from. */
-public final class ShapeRivalry {
-    private record Rivalry(Job.Shape shape, String type) {}
+public final class MachineTypeContention {
+    private record Rivalry(Job.Requirements shape, String type) {}
 
     private final Map<String, MachineType> types;
     /** Shapes of the jobs that are not over, and how many have each. */
-    private final Object2IntOpenHashMap<Job.Shape> shapes = new Object2IntOpenHashMap<>();
+    private final Object2IntOpenHashMap<Job.Requirements> shapes = new Object2IntOpenHashMap<>();
     /** As of the present shapes and types: the question is asked for every job and type. */
     private final Map<Rivalry, Integer> rivals = new HashMap<>();
 
     /** Over the machine types by name, which may change. */
-    ShapeRivalry(Map<String, MachineType> types) {
+    MachineTypeContention(Map<String, MachineType> types) {
         this.types = types;
     }
 
@@ -27,14 +27,14 @@
     }
 
     /** There is one more job of the shape. */
-    void came(Job.Shape shape) {
+    void came(Job.Requirements shape) {
         if (shapes.addTo(shape, 1) == 0) {
             rivals.clear();
         }
     }
 
     /** There is one job of the shape less. */
-    void went(Job.Shape shape) {
+    void went(Job.Requirements shape) {
         if (shapes.addTo(shape, -1) == 1) {
             shapes.removeInt(shape);
             rivals.clear();
@@ -42,7 +42,7 @@
     }
 
     /** How many types the tasks of a shape fit on and may use. */
-    public int choices(Job.Shape shape) {
+    public int choices(Job.Requirements shape) {
         int n = 0;
         for (MachineType t : types.values()) {
             n += shape.allowsType(t.name()) && t.holds(shape) ? 1 : 0;
@@ -54,13 +54,13 @@
      * 1 if an active job with fewer types to choose from could use the type, so that a job of the shape had better go
      * elsewhere; 0 if not.
      */
-    public int rivals(Job.Shape shape, MachineType type) {
+    public int rivals(Job.Requirements shape, MachineType type) {
         return rivals.computeIfAbsent(new Rivalry(shape, type.name()), r -> countRivals(shape, type));
     }
 
-    private int countRivals(Job.Shape shape, MachineType type) {
+    private int countRivals(Job.Requirements shape, MachineType type) {
         int choices = choices(shape);
-        for (Job.Shape other : shapes.keySet()) {
+        for (Job.Requirements other : shapes.keySet()) {
             if ((other.cpus() != shape.cpus() || other.memoryGb() != shape.memoryGb())
                     && type.holds(other)
                     && other.allowsType(type.name())
--- a/src/main/java/dewlane/core/fleet/StrayReports.java
+++ b/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
@@ -1,9 +1,9 @@
 package dewlane.core.fleet;
 
-import dewlane.core.model.Report;
+import dewlane.core.model.Heartbeat;
 
 /** Reports of a machine's worker that came here although another controller owns the machine. */
-public final class StrayReports {
+public final class MisroutedHeartbeats {
     private long firstAt;
     private long session;
     private long sequence;
@@ -14,7 +14,7 @@
     }
 
     /** For how long the worker has been coming here; negative if this is the first report that counts. */
-    public long take(Report report, long now, long togetherMs) {
+    public long take(Heartbeat report, long now, long togetherMs) {
         if (firstAt == 0 || now - firstAt > togetherMs) {
             firstAt = now;
             session = report.session();
--- a/src/main/java/dewlane/core/job/Cancellations.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -1,9 +1,9 @@
 package dewlane.core.job;
 
 import dewlane.core.config.Settings;
-import dewlane.core.message.Context;
-import dewlane.core.store.Delta;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.store.JobEntry;
+import dewlane.core.store.ReplicaChange;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
  * <p>Peers tell what they confirmed. That only adds speed: a task of a job that is durably cancelled may always be
  * stopped.
  */
-public final class Cancellations {
+public final class CancellationTracker {
     /** For the drift of two clocks, and for the time a worker takes to end what its lease no longer covers. */
     private static final long MARGIN_MS = 1000;
 
@@ -34,7 +34,7 @@
     /** Cancellations that one message to a peer tells of, the latest ones. */
     private static final int MOST_TOLD = 500;
 
-    private final Context context;
+    private final ControllerContext context;
     private final long renewMs;
     private final long keepMs;
     /** Jobs known to be cancelled, and since when this controller knows; those over are dropped. */
@@ -45,7 +45,7 @@
     private long viewAt = Long.MIN_VALUE / 2;
     private boolean news;
 
-    public Cancellations(Context context) {
+    public CancellationTracker(ControllerContext context) {
         this.context = context;
         Settings s = context.settings();
         long most = (long) ((s.cancelS() - s.leaseS()) * 1000 - s.cancelS() * 1000 * DRIFT) - MARGIN_MS;
@@ -93,10 +93,10 @@
         return job.aborted() ? Math.max(known, context.wall() - job.abortedMs()) : known;
     }
 
-    public void follow(Delta delta) {
-        if (delta instanceof Delta.JobChanged d && d.after() == null) {
+    public void follow(ReplicaChange delta) {
+        if (delta instanceof ReplicaChange.JobChanged d && d.after() == null) {
             knownSince.remove(d.job().id);
-        } else if (delta instanceof Delta.JobChanged d && d.after().aborted()) {
+        } else if (delta instanceof ReplicaChange.JobChanged d && d.after().aborted()) {
             knownSince.putIfAbsent(d.job().id, context.now());
         }
     }
--- a/src/main/java/dewlane/core/job/Release.java
+++ b/src/main/java/dewlane/core/job/DependencyGraph.java
@@ -14,7 +14,7 @@
  * The only way for an item to start: it becomes ready once its source list is empty. A result strikes its item from the
  * source lists of its destinations once; later copies are dropped. A failure passes to all dependants.
  */
-public final class Release {
+public final class DependencyGraph {
     /** What became of an item. */
     public enum Result {
         DONE,
--- a/src/main/java/dewlane/core/job/Dependencies.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -1,15 +1,15 @@
 package dewlane.core.job;
 
-import dewlane.core.job.Release.Result;
-import dewlane.core.message.Context;
+import dewlane.core.job.DependencyGraph.Result;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value.FinalRecord;
-import dewlane.core.store.Delta;
-import dewlane.core.store.FinalReader;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobResult;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.JobResultReader;
+import dewlane.core.store.ReplicaChange;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
@@ -20,14 +20,14 @@
 import java.util.Set;
 
 /**
- * Feeds {@link Release} from what is durable: which jobs each job awaits, and what became of those. A job that is
- * awaited and not in the replica is over, or its record is just missing from a listing; its final state is looked up,
- * and until that is known whoever awaits it stays pending.
+ * Feeds {@link DependencyGraph} from what is durable: which jobs each job awaits, and what became of those. A job that
+ * is awaited and not in the replica is over, or its record is just missing from a listing; its final state is looked
+ * up, and until that is known whoever awaits it stays pending.
  *
  * <p>A job that is awaited is treated as having the highest priority of any job that needs it, and as having to end
  * early enough for them: both change only when such a job comes or goes.
  */
-public final class Dependencies {
+public final class DependencyTracker {
     /** Reads of final states under way at once. */
     private static final int MOST_READS = 4;
     /** After a read that told nothing no other is begun for so long. */
@@ -39,10 +39,10 @@
     /** Awaited jobs that a log line names. */
     private static final int MOST_NAMED = 5;
 
-    private final Context context;
-    private final Replica replica;
-    private final Release release;
-    private final FinalReader reader;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final DependencyGraph release;
+    private final JobResultReader reader;
     /** Awaited jobs of which neither a record nor a final state is known. */
     private final Set<String> unresolved = new LinkedHashSet<>();
     /** Those of them that a user's answer depends on. */
@@ -51,22 +51,23 @@
     private final Set<String> reading = new HashSet<>();
     private long pausedUntil = Long.MIN_VALUE / 2;
 
-    public Dependencies(Context context, Replica replica, Release release, FinalReader reader) {
+    public DependencyTracker(
+            ControllerContext context, StoreReplica replica, DependencyGraph release, JobResultReader reader) {
         this.context = context;
         this.replica = replica;
         this.release = release;
         this.reader = reader;
     }
 
-    public void follow(Delta delta) {
-        if (delta instanceof Delta.JobChanged d) {
+    public void follow(ReplicaChange delta) {
+        if (delta instanceof ReplicaChange.JobChanged d) {
             jobChanged(d);
-        } else if (delta instanceof Delta.Ended d) {
+        } else if (delta instanceof ReplicaChange.JobEnded d) {
             ended(d.job(), d.result());
         }
     }
 
-    private void jobChanged(Delta.JobChanged d) {
+    private void jobChanged(ReplicaChange.JobChanged d) {
         JobEntry job = d.job();
         if (d.after() == null) {
             gone(job.id);
@@ -109,7 +110,7 @@
     }
 
     private void learn(String awaited) {
-        FinalRecord result = replica.fin(awaited);
+        JobResult result = replica.fin(awaited);
         if (result != null) {
             ended(awaited, result);
         } else {
@@ -119,7 +120,7 @@
 
     /** The vanishing of a record proves nothing by itself: the state may just be read anew. */
     private void gone(String id) {
-        FinalRecord result = replica.fin(id);
+        JobResult result = replica.fin(id);
         if (result != null) {
             ended(id, result);
         } else if (!release.destinations(id).isEmpty() && !release.hasFailed(id)) {
@@ -138,7 +139,7 @@
         }
     }
 
-    private void ended(String id, FinalRecord result) {
+    private void ended(String id, JobResult result) {
         unresolved.remove(id);
         urgent.remove(id);
         if (!release.isKnown(id) && release.destinations(id).isEmpty()) {
@@ -178,7 +179,7 @@
 
     /** All controllers see the same, so the one that also ends the job says it. */
     private void say(String job, String text) {
-        if (context.settings().node().equals(Partitions.owner(replica.map(), Keys.job(job)))) {
+        if (context.settings().node().equals(Partitioner.owner(replica.map(), StoreKeys.job(job)))) {
             context.info(text);
         }
     }
@@ -257,7 +258,7 @@
         }
     }
 
-    private final class LookUp implements FinalReader.Listener {
+    private final class LookUp implements JobResultReader.Listener {
         private final String id;
 
         LookUp(String id) {
@@ -265,7 +266,7 @@
         }
 
         @Override
-        public void found(FinalRecord result) {
+        public void found(JobResult result) {
             // The replica has passed it on.
             reading.remove(id);
         }
--- a/src/main/java/dewlane/core/job/SliceSize.java
+++ b/src/main/java/dewlane/core/job/SliceSizeBound.java
@@ -1,8 +1,8 @@
 package dewlane.core.job;
 
 import dewlane.core.model.Attempt;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.schema.UnknownFields;
-import dewlane.core.schema.Value.Slice;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
  * a launch leaves within the limit can be written again whatever becomes of it. Outcomes break up ranges of tasks, so
  * each attempt counts as two tasks that stand alone.
  */
-public final class SliceSize {
+public final class SliceSizeBound {
     /** Names of fields, quotes and brackets. */
     private static final int FRAME = 64;
     /** Brackets and commas of one launch, and of one machine within it. */
@@ -34,7 +34,7 @@
     private final Set<Place> places = new HashSet<>();
     private int bytes;
 
-    public SliceSize(Slice slice) {
+    public SliceSizeBound(Slice slice) {
         taskBytes = 2 * (digits(slice.count()) + 1);
         bytes = FRAME
                 + slice.owner().length()
@@ -50,7 +50,7 @@
 
     /** The bound for a slice as it is. */
     static int bound(Slice slice) {
-        return new SliceSize(slice).bytes;
+        return new SliceSizeBound(slice).bytes;
     }
 
     /** Tasks of a job that a slice holds if all of them run at once, so many on a machine. */
--- a/src/main/java/dewlane/core/job/SliceSplitter.java
+++ b/src/main/java/dewlane/core/job/SliceSplitter.java
@@ -1,6 +1,6 @@
 package dewlane.core.job;
 
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.schema.StoredValue.Slice;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,7 +10,7 @@
 
     /** The slice in as few runs as are within the limit each; the slice itself if it is. */
     public static List<Slice> split(Slice slice, int limitBytes) {
-        if (SliceSize.bound(slice) <= limitBytes) {
+        if (SliceSizeBound.bound(slice) <= limitBytes) {
             return List.of(slice);
         }
         List<Slice> runs = new ArrayList<>();
@@ -27,7 +27,7 @@
         int fitsNot = slice.count() - from + 1;
         while (fitsNot - fits > 1) {
             int middle = (fits + fitsNot) / 2;
-            if (SliceSize.bound(slice.part(from, middle)) <= limitBytes) {
+            if (SliceSizeBound.bound(slice.part(from, middle)) <= limitBytes) {
                 fits = middle;
             } else {
                 fitsNot = middle;
--- a/src/main/java/dewlane/core/membership/Standing.java
+++ b/src/main/java/dewlane/core/membership/Authority.java
@@ -11,7 +11,7 @@
  * @param viewRenewsLeases the view of cancellations is young enough to renew a worker's lease
  * @param viewLaunches the view of cancellations is young enough to start a task
  */
-public record Standing(
+public record Authority(
         boolean joined,
         boolean superseded,
         boolean isolated,
@@ -19,7 +19,7 @@
         boolean viewRenewsLeases,
         boolean viewLaunches) {
     /** The first thing that keeps a controller from doing all it is for. */
-    enum Limit {
+    enum Restriction {
         NOT_JOINED("decides nothing: it is not in the map"),
         SUPERSEDED("answers no worker: a peer has a newer map"),
         ISOLATED("answers no worker: it reaches neither the state service nor a peer"),
@@ -30,7 +30,7 @@
 
         private final String meaning;
 
-        Limit(String meaning) {
+        Restriction(String meaning) {
             this.meaning = meaning;
         }
 
@@ -56,18 +56,18 @@
     }
 
     /** The first of the limits that holds. */
-    Limit limit() {
+    Restriction limit() {
         if (!joined) {
-            return Limit.NOT_JOINED;
+            return Restriction.NOT_JOINED;
         } else if (superseded) {
-            return Limit.SUPERSEDED;
+            return Restriction.SUPERSEDED;
         } else if (isolated) {
-            return Limit.ISOLATED;
+            return Restriction.ISOLATED;
         } else if (!viewRenewsLeases) {
-            return Limit.VIEW_EXPIRED;
+            return Restriction.VIEW_EXPIRED;
         } else if (!reachesState) {
-            return Limit.STATE_OUT_OF_REACH;
+            return Restriction.STATE_OUT_OF_REACH;
         }
-        return viewLaunches ? Limit.NONE : Limit.VIEW_OLD;
+        return viewLaunches ? Restriction.NONE : Restriction.VIEW_OLD;
     }
 }
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -1,18 +1,18 @@
 package dewlane.core.membership;
 
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.SchemaVersion;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.Member;
+import dewlane.core.schema.StoredValue.PartitionMap;
+import dewlane.core.schema.StoredValue.Presence;
+import dewlane.core.schema.StoredValue.QuotaTransfer;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value.ClusterMap;
-import dewlane.core.schema.Value.Loan;
-import dewlane.core.schema.Value.Member;
-import dewlane.core.schema.Value.Presence;
-import dewlane.core.schema.ValueSize;
-import dewlane.core.store.Replica;
+import dewlane.core.schema.ValueSizer;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,16 +36,16 @@
     /** Take-overs that come close together share a map. */
     private static final long CLAIM_MS = 2000;
 
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final PeerTable peers;
     private final TransactionQueue transactions;
-    private final MapBuilder maps;
+    private final PartitionMapBuilder maps;
     private final String self;
     private final Map<String, Long> missingSince = new HashMap<>();
     private final Set<String> claims = new HashSet<>();
     /** What is to be lent with the next map: a share's change for this controller and its opposite for another. */
-    private final List<Loan> lending = new ArrayList<>();
+    private final List<QuotaTransfer> lending = new ArrayList<>();
 
     private long lease;
     private boolean leaseAsked;
@@ -60,8 +60,12 @@
     private long claimedAt = Long.MIN_VALUE / 2;
 
     public Membership(
-            Context context, Replica replica, PeerTable peers, TransactionQueue transactions, ValueSize size) {
-        this.maps = new MapBuilder(context, replica, size);
+            ControllerContext context,
+            StoreReplica replica,
+            PeerTable peers,
+            TransactionQueue transactions,
+            ValueSizer size) {
+        this.maps = new PartitionMapBuilder(context, replica, size);
         this.context = context;
         this.replica = replica;
         this.peers = peers;
@@ -85,7 +89,7 @@
 
     /** True while the map holds this start of this controller. */
     public boolean joined() {
-        ClusterMap map = replica.map();
+        PartitionMap map = replica.map();
         return map != null && joinedAs != 0 && map.incarnation(self) == joinedAs;
     }
 
@@ -129,12 +133,12 @@
     private boolean isUpgraded(String node) {
         Presence presence = replica.presences().get(node);
         int format =
-                presence != null ? presence.format() : replica.map().formats().getOrDefault(node, StoredFormat.FIRST);
-        return format >= StoredFormat.CURRENT;
+                presence != null ? presence.format() : replica.map().formats().getOrDefault(node, SchemaVersion.FIRST);
+        return format >= SchemaVersion.CURRENT;
     }
 
     public boolean leads() {
-        return joined() && self.equals(Partitions.leader(replica.map()));
+        return joined() && self.equals(Partitioner.leader(replica.map()));
     }
 
     public void granted(long granted) {
@@ -145,7 +149,7 @@
         }
     }
 
-    public void touched(Input.LeaseTouched touched) {
+    public void touched(Input.LeaseRenewalCompleted touched) {
         touching = false;
         if (touched.lease() == lease && touched.ended()) {
             context.info("lease ended, joining again");
@@ -166,7 +170,7 @@
                 && (!touching || now - touchedAt > 1500)) {
             touching = true;
             touchedAt = now;
-            context.emit(new Effect.TouchLease(lease));
+            context.emit(new Effect.RenewLease(lease));
         }
         if (loaded && lease != 0 && !writing && replica.revision() >= writtenAt) {
             if (!joined()) {
@@ -184,7 +188,7 @@
     }
 
     private void join() {
-        ClusterMap map = replica.map();
+        PartitionMap map = replica.map();
         long epoch = map == null ? 1 : map.epoch() + 1;
         List<Member> members = map == null
                 ? new ArrayList<>()
@@ -194,15 +198,15 @@
         members.add(new Member(self, epoch));
         write(
                 new Transaction.Builder()
-                        .when(Keys.MAP, replica.mapVersion())
-                        .set(Keys.MAP, maps.next(epoch, members, Map.of()))
-                        .setLeased(Keys.presence(self), new Presence(epoch), lease)
+                        .when(StoreKeys.MAP, replica.mapVersion())
+                        .set(StoreKeys.MAP, maps.next(epoch, members, Map.of()))
+                        .setLeased(StoreKeys.presence(self), new Presence(epoch), lease)
                         .build(),
                 epoch);
     }
 
     private void evictMissing() {
-        ClusterMap map = replica.map();
+        PartitionMap map = replica.map();
         int rank = 0;
         for (Member m : map.members()) {
             if (m.name().equals(self)) {
@@ -210,7 +214,7 @@
             }
             rank += replica.presences().containsKey(m.name()) ? 1 : 0;
         }
-        Transaction.Builder txn = new Transaction.Builder().when(Keys.MAP, replica.mapVersion());
+        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.MAP, replica.mapVersion());
         List<Member> left = new ArrayList<>();
         for (Member m : map.members()) {
             boolean here = m.name().equals(self) || replica.presences().containsKey(m.name());
@@ -221,7 +225,7 @@
             }
             long since = missingSince.computeIfAbsent(m.name(), k -> context.now());
             if (context.now() - since >= 300L * rank) {
-                txn.when(Keys.presence(m.name()), 0);
+                txn.when(StoreKeys.presence(m.name()), 0);
                 context.info("controller " + m.name() + " let its lease end, leaving it out of the map");
             } else {
                 left.add(m);
@@ -229,7 +233,10 @@
         }
         if (left.size() < map.members().size()) {
             missingSince.clear();
-            write(txn.set(Keys.MAP, maps.next(map.epoch() + 1, left, Map.of())).build(), joinedAs);
+            write(
+                    txn.set(StoreKeys.MAP, maps.next(map.epoch() + 1, left, Map.of()))
+                            .build(),
+                    joinedAs);
         }
     }
 
@@ -243,37 +250,37 @@
      * written.
      */
     public void lend(String team, String to, double cpus, double gpus) {
-        lending.add(new Loan(team, to, cpus, gpus));
-        lending.add(new Loan(team, self, -cpus, -gpus));
+        lending.add(new QuotaTransfer(team, to, cpus, gpus));
+        lending.add(new QuotaTransfer(team, self, -cpus, -gpus));
     }
 
     private void writeLoans() {
         // One that has left in the meantime would take its loan with it.
         boolean there = lending.stream().allMatch(l -> replica.map().has(l.node()));
-        ClusterMap lent = maps.lent(there ? lending : List.of());
+        PartitionMap lent = maps.lent(there ? lending : List.of());
         lending.clear();
         write(
                 new Transaction.Builder()
-                        .when(Keys.MAP, replica.mapVersion())
-                        .set(Keys.MAP, lent)
+                        .when(StoreKeys.MAP, replica.mapVersion())
+                        .set(StoreKeys.MAP, lent)
                         .build(),
                 joinedAs);
     }
 
     private void takeOver() {
-        ClusterMap map = replica.map();
-        claims.removeIf(
-                m -> self.equals(Partitions.owner(map, m)) || replica.machines().containsKey(m));
+        PartitionMap map = replica.map();
+        claims.removeIf(m ->
+                self.equals(Partitioner.owner(map, m)) || replica.machines().containsKey(m));
         if (!claims.isEmpty() && context.now() - claimedAt > CLAIM_MS) {
             claimedAt = context.now();
             context.info("taking over machines that cannot reach their controller: " + claims);
             Map<String, String> claimed = new HashMap<>();
-            claims.stream().limit(MapBuilder.MOST_MOVED).forEach(m -> claimed.put(m, self));
+            claims.stream().limit(PartitionMapBuilder.MOST_MOVED).forEach(m -> claimed.put(m, self));
             claims.removeAll(claimed.keySet());
             write(
                     new Transaction.Builder()
-                            .when(Keys.MAP, replica.mapVersion())
-                            .set(Keys.MAP, maps.next(map.epoch() + 1, map.members(), claimed))
+                            .when(StoreKeys.MAP, replica.mapVersion())
+                            .set(StoreKeys.MAP, maps.next(map.epoch() + 1, map.members(), claimed))
                             .build(),
                     joinedAs);
         }
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -1,8 +1,8 @@
 package dewlane.core.membership;
 
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -11,12 +11,12 @@
     /** What a peer said is good for so long. */
     private static final long FRESH_MS = 5000;
 
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final Map<String, PeerStatus> statuses = new HashMap<>();
     private final Map<String, Long> heardAt = new HashMap<>();
 
-    public PeerTable(Context context, Replica replica) {
+    public PeerTable(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
     }
--- a/src/main/java/dewlane/core/message/Context.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 
 /** What the actors of one controller share: its settings, the time of the message at hand, and the effects so far. */
-public final class Context {
+public final class ControllerContext {
     private final Settings settings;
     private final SplittableRandom random;
     private List<Effect> effects = new ArrayList<>();
@@ -14,7 +14,7 @@
     private long wall;
     private boolean ordersLogged;
 
-    public Context(Settings settings, long seed) {
+    public ControllerContext(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
     }
--- a/src/main/java/dewlane/core/message/Counters.java
+++ b/src/main/java/dewlane/core/message/ControllerCounters.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 
 /** What a controller has done since it last said so; plain counts: equal runs have equal ones. */
-public final class Counters {
+public final class ControllerCounters {
     public long reports;
     public long reportsRefused;
     public long changesSeen;
--- a/src/main/java/dewlane/core/message/Effect.java
+++ b/src/main/java/dewlane/core/message/Effect.java
@@ -1,7 +1,7 @@
 package dewlane.core.message;
 
-import dewlane.core.model.Order;
 import dewlane.core.model.PeerStatus;
+import dewlane.core.model.WorkerCommand;
 import dewlane.core.schema.Transaction;
 import java.util.List;
 
@@ -9,19 +9,19 @@
 public sealed interface Effect {
 
     /** Read the whole state. */
-    record ListState() implements Effect {}
+    record ListStore() implements Effect {}
 
     /** Wait for changes after the revision. */
     record Watch(long since) implements Effect {}
 
     /** Send a transaction. */
-    record SendTxn(long id, Transaction txn) implements Effect {}
+    record CommitTransaction(long id, Transaction txn) implements Effect {}
 
     /** Ask for a lease. */
     record GrantLease(long ttlMs) implements Effect {}
 
     /** Renew a lease. */
-    record TouchLease(long lease) implements Effect {}
+    record RenewLease(long lease) implements Effect {}
 
     /** Read one key. */
     record ReadValue(long id, String key) implements Effect {}
@@ -30,16 +30,17 @@
     record ReadRevision() implements Effect {}
 
     /** Answer a worker's report, which renews its lease. */
-    record AnswerReport(long id, long token, List<Order> orders) implements Effect {}
+    record AnswerHeartbeat(long id, long token, List<WorkerCommand> orders) implements Effect {}
 
     /** The worker should report to {@code node}, or to any other if null. */
-    record RedirectReport(long id, String node) implements Effect {}
+    record RedirectHeartbeat(long id, String node) implements Effect {}
 
     /** Send a worker to the next controller. */
-    record RefuseReport(long id) implements Effect {}
+    record RejectHeartbeat(long id) implements Effect {}
 
     /** Send commands straight to a worker. */
-    record Command(String machine, String address, long session, long token, List<Order> orders) implements Effect {}
+    record SendCommands(String machine, String address, long session, long token, List<WorkerCommand> orders)
+            implements Effect {}
 
     /**
      * Answers a user.
@@ -47,23 +48,23 @@
      * @param state null unless the status is 200 or 201
      * @param retryAfterS when to come back, if the status is 503
      */
-    record AnswerUser(long id, int status, JobState state, String reason, int retryAfterS) implements Effect {}
+    record AnswerUser(long id, int status, JobStatus state, String reason, int retryAfterS) implements Effect {}
 
     /** Read the machine types. */
-    record ReadCatalog() implements Effect {}
+    record ListMachineTypes() implements Effect {}
 
     /** Read the list of machines. */
-    record ListMachines() implements Effect {}
+    record ListInstances() implements Effect {}
 
     /** Rent machines. */
-    record Rent(String request, String type, String zone, boolean spot, int count) implements Effect {}
+    record CreateInstances(String request, String type, String zone, boolean spot, int count) implements Effect {}
 
     /** Delete machines. */
-    record Delete(List<String> machines) implements Effect {}
+    record DeleteInstances(List<String> machines) implements Effect {}
 
     /** Tells every other controller; a large part takes several pages, as no message may be larger than 64 KiB. */
-    record TellPeers(List<PeerStatus> pages) implements Effect {
-        public TellPeers {
+    record BroadcastStatus(List<PeerStatus> pages) implements Effect {
+        public BroadcastStatus {
             pages = List.copyOf(pages);
         }
     }
@@ -79,10 +80,10 @@
     }
 
     /** A job's state as its user sees it. */
-    record JobState(String job, Condition condition, int done, int running) {}
+    record JobStatus(String job, JobCondition condition, int done, int running) {}
 
     /** Conditions of a job. */
-    enum Condition {
+    enum JobCondition {
         PENDING,
         RUNNING,
         DONE,
--- a/src/main/java/dewlane/core/message/RateLimit.java
+++ b/src/main/java/dewlane/core/message/TokenBucket.java
@@ -1,13 +1,13 @@
 package dewlane.core.message;
 
 /** A token bucket: so many a second, and a burst of what was not used. */
-public final class RateLimit {
+public final class TokenBucket {
     private final double perS;
     private final double burst;
     private double tokens;
     private long refilledAt = Long.MIN_VALUE;
 
-    public RateLimit(double perS, double burst) {
+    public TokenBucket(double perS, double burst) {
         this.perS = perS;
         this.burst = burst;
         this.tokens = burst;
--- a/src/main/java/dewlane/core/model/ListedMachine.java
+++ b/src/main/java/dewlane/core/model/CloudInstance.java
@@ -1,7 +1,7 @@
 package dewlane.core.model;
 
 /** A machine as the cloud's lagging list shows it. */
-public record ListedMachine(
+public record CloudInstance(
         String name, String address, String type, String zone, boolean spot, State state, double ageS) {
 
     /** The cloud's view of a machine. */
--- a/src/main/java/dewlane/core/model/Report.java
+++ b/src/main/java/dewlane/core/model/Heartbeat.java
@@ -7,7 +7,7 @@
  *
  * @param noticeS seconds until the cloud takes the machine away, NaN if it does not
  */
-public record Report(
+public record Heartbeat(
         String machine,
         String address,
         String type,
@@ -17,10 +17,10 @@
         long sequence,
         long token,
         double noticeS,
-        List<TaskState> tasks) {
+        List<TaskStatus> tasks) {
 
     /** What the worker says about one attempt. */
-    public record TaskState(String job, int task, int attempt, Phase phase, End end, boolean saved) {}
+    public record TaskStatus(String job, int task, int attempt, Phase phase, ExitReason end, boolean saved) {}
 
     /** Where an attempt is. */
     public enum Phase {
@@ -31,7 +31,7 @@
     }
 
     /** Why an attempt ended. */
-    public enum End {
+    public enum ExitReason {
         DONE,
         STOPPED,
         ERROR,
--- a/src/main/java/dewlane/core/model/Job.java
+++ b/src/main/java/dewlane/core/model/Job.java
@@ -87,7 +87,8 @@
     }
 
     /** What decides where a task of the job may go and whether it fits. */
-    public record Shape(double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean spot) {
+    public record Requirements(
+            double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean spot) {
         /** True if the job may run on machines of the type. */
         public boolean allowsType(String type) {
             return types.isEmpty() || types.contains(type);
@@ -96,7 +97,7 @@
         // Written out, as every job is looked up by its shape in each pass.
         @Override
         public boolean equals(Object o) {
-            return o instanceof Shape s
+            return o instanceof Requirements s
                     && cpus == s.cpus
                     && gpus == s.gpus
                     && memoryGb == s.memoryGb
@@ -113,8 +114,8 @@
     }
 
     /** What the job asks of a machine. */
-    public Shape shape() {
-        return new Shape(cpus, gpus, memoryGb, types, zone, spot);
+    public Requirements shape() {
+        return new Requirements(cpus, gpus, memoryGb, types, zone, spot);
     }
 
     /** True if the job may run on machines of the type. */
--- a/src/main/java/dewlane/core/model/MachineType.java
+++ b/src/main/java/dewlane/core/model/MachineType.java
@@ -21,7 +21,7 @@
     }
 
     /** True if a task of the shape fits on an empty machine. */
-    public boolean holds(Job.Shape shape) {
+    public boolean holds(Job.Requirements shape) {
         return cpus >= shape.cpus() - 1e-9 && gpus >= shape.gpus() - 1e-9 && memoryGb >= shape.memoryGb() - 1e-9;
     }
 
--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -63,7 +63,7 @@
     }
 
     /** How many tasks of the job fit beside this use within a team's limits, of which 0 is none. */
-    public int room(Settings.Team team, Job job) {
+    public int room(Settings.TeamQuota team, Job job) {
         long byCpus = team.cpusMax() <= 0 ? Integer.MAX_VALUE : most(team.cpusMax(), cpus, job.cpus());
         long byGpus = team.gpusMax() <= 0 ? Integer.MAX_VALUE : most(team.gpusMax(), gpus, job.gpus());
         return (int) Math.min(byCpus, byGpus);
--- a/src/main/java/dewlane/core/quota/Quota.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -1,15 +1,15 @@
 package dewlane.core.quota;
 
 import dewlane.core.config.Settings;
-import dewlane.core.fleet.Machines;
+import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.model.Job;
 import dewlane.core.model.Priority;
 import dewlane.core.model.ResourceUsage;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -29,20 +29,20 @@
  * knows its own use. Another may come to own more than its share when a controller leaves; it then starts nothing, and
  * the others keep that much of theirs free.
  */
-public final class Quota {
+public final class QuotaEnforcer {
     private final Settings settings;
-    private final Replica replica;
-    private final Machines machines;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     /** Teams with a launch under way: until the replica has reached the revision, its count is not the latest. */
     private final Map<String, Long> settledAt = new HashMap<>();
 
-    public Quota(Settings settings, Replica replica, Machines machines) {
+    public QuotaEnforcer(Settings settings, StoreReplica replica, MachineRegistry machines) {
         this.settings = settings;
         this.replica = replica;
         this.machines = machines;
     }
 
-    private Settings.Team team(Job job) {
+    private Settings.TeamQuota team(Job job) {
         return settings.teams().get(job.team());
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** True if the limit is so large that a share of it does not hold work up. */
-    private boolean shared(Settings.Team team) {
+    private boolean shared(Settings.TeamQuota team) {
         int n = replica.map() == null ? 1 : replica.map().members().size();
         double least = settings.tuning().sharedCpus();
         return (team.cpusMax() <= 0 || team.cpusMax() / n >= least)
@@ -67,11 +67,11 @@
     record Amount(double cpus, double gpus) {}
 
     /** A controller's share: an equal one, but for what was lent. */
-    private Amount share(Settings.Team team, String node) {
+    private Amount share(Settings.TeamQuota team, String node) {
         int controllers = replica.map().members().size();
         double cpus = team.cpusMax() / controllers;
         double gpus = team.gpusMax() / controllers;
-        for (Value.Loan l : replica.map().loans()) {
+        for (StoredValue.QuotaTransfer l : replica.map().loans()) {
             if (l.team().equals(team.name()) && l.node().equals(node)) {
                 cpus += l.cpus();
                 gpus += l.gpus();
@@ -91,7 +91,7 @@
 
     /** How many more tasks of the job this controller may start under the team's limit; none for an unknown team. */
     public int room(Job job) {
-        Settings.Team team = team(job);
+        Settings.TeamQuota team = team(job);
         if (team == null || limited(job) && mayUseMore(job.team())) {
             return 0;
         }
@@ -111,10 +111,10 @@
         return false;
     }
 
-    private int roomInShare(Settings.Team team, Job job) {
+    private int roomInShare(Settings.TeamQuota team, Job job) {
         double othersCpus = 0;
         double othersGpus = 0;
-        for (Value.Member member : replica.map().members()) {
+        for (StoredValue.Member member : replica.map().members()) {
             if (!member.name().equals(settings.node())) {
                 ResourceUsage use = machines.teamUsage().of(job.team(), member.name());
                 Amount share = share(team, member.name());
@@ -126,7 +126,7 @@
         return room(team, job, settings.node(), left);
     }
 
-    private int room(Settings.Team team, Job job, String node, Amount share) {
+    private int room(Settings.TeamQuota team, Job job, String node, Amount share) {
         ResourceUsage use = machines.teamUsage().of(job.team(), node);
         return Math.min(
                 use.room(team.cpusMax(), share.cpus(), true, job), use.room(team.gpusMax(), share.gpus(), false, job));
@@ -134,7 +134,7 @@
 
     /** How many tasks of the job a controller has room for under the team's limit, in its share where it has one. */
     public int room(Job job, String node) {
-        Settings.Team team = team(job);
+        Settings.TeamQuota team = team(job);
         if (!limited(job)) {
             return Integer.MAX_VALUE;
         }
@@ -157,7 +157,7 @@
 
     /** How many more fit if the team used so much in all. */
     public int room(Job job, ResourceUsage use) {
-        Settings.Team team = team(job);
+        Settings.TeamQuota team = team(job);
         return team == null ? 0 : use.room(team, job);
     }
 
@@ -174,7 +174,7 @@
         for (boolean idle : new boolean[] {false, true}) {
             for (JobEntry entry : ready) {
                 Job job = entry.job();
-                Settings.Team team = team(job);
+                Settings.TeamQuota team = team(job);
                 if (team != null
                         && (team.cpus() > 0 || team.gpus() > 0)
                         && (entry.priority() == Priority.IDLE) == idle) {
@@ -192,7 +192,7 @@
 
     /** True if the team uses more than its guarantee. */
     public boolean borrows(Job job) {
-        Settings.Team team = team(job);
+        Settings.TeamQuota team = team(job);
         ResourceUsage use = machines.teamUsage().of(job.team());
         return team == null || use.cpus() > team.cpus() + 1e-9 || use.gpus() > team.gpus() + 1e-9;
     }
@@ -201,8 +201,8 @@
     public void guard(Transaction.Builder txn, Job job) {
         if (lends(job)) {
             ResourceUsage use = machines.teamUsage().of(job.team());
-            txn.when(Keys.team(job.team()), replica.teamVersion(job.team()));
-            txn.set(Keys.team(job.team()), new Value.TeamRecord(use.cpus(), use.gpus()));
+            txn.when(StoreKeys.team(job.team()), replica.teamVersion(job.team()));
+            txn.set(StoreKeys.team(job.team()), new StoredValue.TeamUsageRecord(use.cpus(), use.gpus()));
             settledAt.put(job.team(), Long.MAX_VALUE);
         }
     }
--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -1,14 +1,14 @@
 package dewlane.core.quota;
 
-import dewlane.core.job.Release;
+import dewlane.core.job.DependencyGraph;
+import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.membership.Membership;
-import dewlane.core.membership.StandingMonitor;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Job;
-import dewlane.core.scheduling.JobDistributor;
-import dewlane.core.schema.Value.Member;
+import dewlane.core.scheduling.SliceAssigner;
+import dewlane.core.schema.StoredValue.Member;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.List;
 
 /**
@@ -25,23 +25,23 @@
 
     private static final long PAUSE_MS = 8000;
 
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final Membership membership;
-    private final StandingMonitor standing;
-    private final Quota quota;
-    private final JobDistributor distributor;
-    private final Release release;
+    private final AuthorityMonitor standing;
+    private final QuotaEnforcer quota;
+    private final SliceAssigner distributor;
+    private final DependencyGraph release;
     private long lentAt = Long.MIN_VALUE / 2;
 
     public QuotaRebalancer(
-            Context context,
-            Replica replica,
+            ControllerContext context,
+            StoreReplica replica,
             Membership membership,
-            StandingMonitor standing,
-            Quota quota,
-            JobDistributor distributor,
-            Release release) {
+            AuthorityMonitor standing,
+            QuotaEnforcer quota,
+            SliceAssigner distributor,
+            DependencyGraph release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
@@ -81,12 +81,12 @@
                 return false;
             }
         }
-        Quota.Amount own = quota.spare(spec, self);
+        QuotaEnforcer.Amount own = quota.spare(spec, self);
         for (int i = 0; i < rooms.length; i++) {
             String other = members.get(i).name();
             if (!other.equals(self) && rooms[i] > 0 && quota.room(spec, other) <= 0) {
                 int tasks = Math.min(Math.max(1, mine / 2), Math.min(rooms[i], job.waiting()));
-                Quota.Amount theirs = quota.spare(spec, other);
+                QuotaEnforcer.Amount theirs = quota.spare(spec, other);
                 double lentCpus = Math.min(own.cpus(), tasks * spec.cpus() - theirs.cpus());
                 double lentGpus = Math.min(own.gpus(), tasks * spec.gpus() - theirs.gpus());
                 if (lentCpus > 0 || lentGpus > 0) {
--- a/src/main/java/dewlane/core/scheduling/Candidates.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -1,9 +1,9 @@
 package dewlane.core.scheduling;
 
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machines;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.store.JobEntry;
@@ -14,7 +14,7 @@
 import java.util.Map;
 
 /** Finds machines of this part for a job's tasks, those first that have the image and that others need least. */
-final class Candidates {
+final class CandidateFinder {
     /** A larger set of machines with room is sampled, not searched. */
     private static final int SAMPLE = 256;
     /** Seconds of fetching that are worth leaving a machine to tasks that have fewer types to choose from. */
@@ -22,12 +22,12 @@
     /** Seconds of fetching that are worth leaving an ordinary machine idle, so that it can be returned. */
     private static final double ORDINARY_S = 1.5;
 
-    private final Context context;
-    private final Machines machines;
-    private final Counters counters;
+    private final ControllerContext context;
+    private final MachineRegistry machines;
+    private final ControllerCounters counters;
     private List<Machine> free = List.of();
 
-    Candidates(Context context, Machines machines, Counters counters) {
+    CandidateFinder(ControllerContext context, MachineRegistry machines, ControllerCounters counters) {
         this.context = context;
         this.machines = machines;
         this.counters = counters;
--- a/src/main/java/dewlane/core/scheduling/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -1,9 +1,9 @@
 package dewlane.core.scheduling;
 
 import dewlane.core.fleet.JobProgress;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value.Slice;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
@@ -126,16 +126,16 @@
         changed.forEach((slice, value) -> txn.when(slice.key, slice.version()).set(slice.key, value));
         unchanged.forEach(slice -> txn.when(slice.key, slice.version()));
         created.forEach((number, value) -> {
-            String key = Keys.slice(job.id, number);
+            String key = StoreKeys.slice(job.id, number);
             txn.when(key, 0).set(key, value);
         });
         if (bound) {
             // A cancelled job, a slice dealt anew or a newer map each stop a launch here.
-            txn.when(Keys.job(job.id), job.version()).when(Keys.MAP, mapVersion);
+            txn.when(StoreKeys.job(job.id), job.version()).when(StoreKeys.MAP, mapVersion);
             // A record of the leader's means that the machine is gone or is being deleted: a launch there would be
             // lost, not run twice, so what the transaction has no room for is left out.
             int room = Math.max(0, mostGuards - txn.guards());
-            machines.stream().limit(room).forEach(name -> txn.when(Keys.machine(name), 0));
+            machines.stream().limit(room).forEach(name -> txn.when(StoreKeys.machine(name), 0));
         }
     }
 }
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -3,26 +3,26 @@
 import dewlane.core.config.Settings;
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.JobProgress.Outcome;
-import dewlane.core.fleet.Machine.Key;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Cancellations;
-import dewlane.core.job.Dependencies;
+import dewlane.core.fleet.Machine.AttemptId;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.CancellationTracker;
+import dewlane.core.job.DependencyTracker;
 import dewlane.core.job.SliceSplitter;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
-import dewlane.core.quota.Quota;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
+import dewlane.core.quota.QuotaEnforcer;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
-import dewlane.core.schema.Value.Slice;
-import dewlane.core.schema.ValueSize;
+import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
 import dewlane.core.store.SliceEntry;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -50,31 +50,31 @@
     /** No slice with fewer attempts and done marks is near the size that a value may have. */
     private static final int LEAST_BYTES_EACH = 64;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final Membership membership;
     private final TransactionQueue transactions;
-    private final Dependencies dependencies;
-    private final Quota quota;
+    private final DependencyTracker dependencies;
+    private final QuotaEnforcer quota;
     private final LaunchPlanner planner;
-    private final Cancellations cancellations;
-    private final Counters counters;
-    private final ValueSize size;
+    private final CancellationTracker cancellations;
+    private final ControllerCounters counters;
+    private final ValueSizer size;
     private final String self;
 
     public JobWriter(
-            Context context,
-            Replica replica,
-            Machines machines,
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             Membership membership,
             TransactionQueue transactions,
-            Dependencies dependencies,
-            Quota quota,
+            DependencyTracker dependencies,
+            QuotaEnforcer quota,
             LaunchPlanner planner,
-            Cancellations cancellations,
-            Counters counters,
-            ValueSize size) {
+            CancellationTracker cancellations,
+            ControllerCounters counters,
+            ValueSizer size) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
@@ -145,7 +145,7 @@
         BitSet done = slice.done();
         List<Attempt> left = new ArrayList<>();
         for (Attempt a : slice.attempts()) {
-            Outcome outcome = work.outcomes.get(new Key(job.id, a.task(), a.number()));
+            Outcome outcome = work.outcomes.get(new AttemptId(job.id, a.task(), a.number()));
             if (outcome == null) {
                 left.add(a);
             } else if (outcome == Outcome.DONE) {
@@ -159,8 +159,8 @@
     /**
      * Brings slices that were stored under larger limits within the present ones. A slice that a few pieces hold is cut
      * at once. One that needs more is cut by new slices for its last tasks, group by group, while it keeps its stored
-     * value until the rest fits: see {@link Replica}. Version 0.1 would not understand that, so while it may run, the
-     * slice's own value shrinks piece by piece, above the coming limit but below what is stored.
+     * value until the rest fits: see {@link StoreReplica}. Version 0.1 would not understand that, so while it may run,
+     * the slice's own value shrinks piece by piece, above the coming limit but below what is stored.
      *
      * @return true if something is cut and has to be written
      */
@@ -171,7 +171,7 @@
             if (!mayBeLarge(value)) {
                 continue;
             }
-            boolean mine = self.equals(Partitions.owner(replica.map(), slice.key, value));
+            boolean mine = self.equals(Partitioner.owner(replica.map(), slice.key, value));
             if (mine || update.withOutcomes().containsKey(slice)) {
                 List<Slice> pieces =
                         SliceSplitter.split(value, context.settings().valueBytes());
@@ -247,7 +247,7 @@
 
     private static boolean hasToRunAgain(JobUpdate update, SliceEntry slice) {
         for (Attempt a : slice.value().attempts()) {
-            Outcome outcome = update.work.outcomes.get(new Key(update.job.id, a.task(), a.number()));
+            Outcome outcome = update.work.outcomes.get(new AttemptId(update.job.id, a.task(), a.number()));
             if (outcome != null && outcome != Outcome.DONE) {
                 return true;
             }
@@ -257,7 +257,7 @@
 
     /** Where several controllers made the last outcomes durable, one of them ends the job, so that they do not race. */
     private boolean ends(JobEntry job) {
-        return self.equals(Partitions.owner(replica.map(), Keys.job(job.id)))
+        return self.equals(Partitioner.owner(replica.map(), StoreKeys.job(job.id)))
                 || job.slices().size() > context.settings().mostSlices();
     }
 
@@ -279,12 +279,12 @@
                 || job.aborted() && dependencies.hasUnmarkedDependants(job.id)) {
             return false;
         }
-        Transaction.Builder txn = new Transaction.Builder().when(Keys.job(job.id), job.version());
+        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.job(job.id), job.version());
         update.withOutcomes().keySet().forEach(slice -> txn.when(slice.key, slice.version()));
         if (!job.aborted()) {
-            txn.set(Keys.fin(job.id), new Value.FinalRecord(false, context.wall()));
+            txn.set(StoreKeys.fin(job.id), new StoredValue.JobResult(false, context.wall()));
         }
-        txn.delete(Keys.job(job.id));
+        txn.delete(StoreKeys.job(job.id));
         for (SliceEntry slice : job.slices()) {
             if (slice.version() != 0 && txn.writes() < settings.txnOps() && txn.guards() < settings.txnGuards()) {
                 txn.when(slice.key, slice.version()).delete(slice.key);
@@ -302,14 +302,14 @@
         if (!ends(job)) {
             return;
         }
-        Value.FinalRecord result = new Value.FinalRecord(true, context.wall());
-        Transaction.Builder txn = new Transaction.Builder().when(Keys.job(job.id), job.version());
-        txn.set(Keys.fin(job.id), result);
+        StoredValue.JobResult result = new StoredValue.JobResult(true, context.wall());
+        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.job(job.id), job.version());
+        txn.set(StoreKeys.fin(job.id), result);
         if (job.live() == 0 && !dependencies.hasUnmarkedDependants(job.id)) {
-            txn.delete(Keys.job(job.id));
+            txn.delete(StoreKeys.job(job.id));
         } else {
             int most = context.settings().valueBytes();
-            txn.set(Keys.job(job.id), job.record().cancelled(context.wall(), size, most));
+            txn.set(StoreKeys.job(job.id), job.record().cancelled(context.wall(), size, most));
         }
         write(new JobUpdate(job, work, 0, 0), txn);
     }
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -2,18 +2,18 @@
 
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.SliceSize;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.SliceSizeBound;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
-import dewlane.core.quota.Quota;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.quota.QuotaEnforcer;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
 import dewlane.core.store.SliceEntry;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -41,33 +41,33 @@
      */
     private record Placed(List<Attempt> live, boolean writeFull) {}
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
-    private final Quota quota;
-    private final JobDistributor distributor;
-    private final Counters counters;
-    private final Preemption preemption;
-    private final Candidates candidates;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
+    private final QuotaEnforcer quota;
+    private final SliceAssigner distributor;
+    private final ControllerCounters counters;
+    private final Preemptor preemption;
+    private final CandidateFinder candidates;
     private final String self;
     /** Shapes for which this pass found no room. */
-    private final Set<Job.Shape> full = new HashSet<>();
+    private final Set<Job.Requirements> full = new HashSet<>();
 
     public LaunchPlanner(
-            Context context,
-            Replica replica,
-            Machines machines,
-            Quota quota,
-            JobDistributor distributor,
-            Counters counters) {
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
+            QuotaEnforcer quota,
+            SliceAssigner distributor,
+            ControllerCounters counters) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
         this.quota = quota;
         this.distributor = distributor;
         this.counters = counters;
-        this.preemption = new Preemption(context, machines, quota);
-        this.candidates = new Candidates(context, machines, counters);
+        this.preemption = new Preemptor(context, machines, quota);
+        this.candidates = new CandidateFinder(context, machines, counters);
         this.self = context.settings().node();
     }
 
@@ -111,7 +111,7 @@
     }
 
     private boolean owns(SliceEntry slice, Slice value) {
-        return self.equals(Partitions.owner(replica.map(), slice.key, value));
+        return self.equals(Partitioner.owner(replica.map(), slice.key, value));
     }
 
     /** Plans launches of one slice; true if tasks of it are handed on instead. */
@@ -151,7 +151,7 @@
         if (most <= 0 || found.isEmpty() || zones == null) {
             return new Placed(live, false);
         }
-        SliceSize size = new SliceSize(value);
+        SliceSizeBound size = new SliceSizeBound(value);
         BitSet taken = value.taken();
         int offset = taken.nextClearBit(0);
         int left = most;
@@ -195,7 +195,7 @@
             return false;
         }
         work.lookedAt = context.now();
-        JobDistributor.Offer to = distributor.better(update.job, self);
+        SliceAssigner.Offer to = distributor.better(update.job, self);
         if (to == null) {
             return false;
         }
--- a/src/main/java/dewlane/core/scheduling/Preemption.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -2,15 +2,15 @@
 
 import dewlane.core.config.Settings;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.Key;
-import dewlane.core.fleet.Machine.Live;
-import dewlane.core.fleet.Machines;
-import dewlane.core.message.Context;
+import dewlane.core.fleet.Machine.AssignedAttempt;
+import dewlane.core.fleet.Machine.AttemptId;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.Priority;
 import dewlane.core.model.ResourceUsage;
-import dewlane.core.quota.Quota;
+import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.store.JobEntry;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,7 +25,7 @@
  * Stops tasks to make room for a job of higher priority, or for one within its team's guarantee if they are borrowed
  * work of another team. It weighs the work that is lost, and keeps the room for the job that it was made for.
  */
-final class Preemption {
+final class Preemptor {
     /** The part of the time it may wait for which a job waits for room to come by itself. */
     private static final double PATIENCE = 0.3;
     /** A task is left alone once its job has used this part of the time in which it should be done. */
@@ -33,14 +33,14 @@
 
     private static final int SAMPLE = 64;
 
-    private record Offer(Machine machine, List<Live> victims, double loss) {}
+    private record Offer(Machine machine, List<AssignedAttempt> victims, double loss) {}
 
     /** Jobs with the same claim may stop the same tasks. */
-    private record Claim(Job.Shape shape, Priority priority, boolean guaranteed, String team) {}
+    private record Claim(Job.Requirements shape, Priority priority, boolean guaranteed, String team) {}
 
-    private final Context context;
-    private final Machines machines;
-    private final Quota quota;
+    private final ControllerContext context;
+    private final MachineRegistry machines;
+    private final QuotaEnforcer quota;
     private List<Machine> usable = List.of();
     private Set<String> guaranteed = Set.of();
     /** What is in use once the stops under way have ended, with the room that is kept for those they were made for. */
@@ -50,7 +50,7 @@
     /** Claims for which this pass found nothing to stop. */
     private final Set<Claim> hopeless = new HashSet<>();
 
-    Preemption(Context context, Machines machines, Quota quota) {
+    Preemptor(ControllerContext context, MachineRegistry machines, QuotaEnforcer quota) {
         this.context = context;
         this.machines = machines;
         this.quota = quota;
@@ -65,8 +65,8 @@
         keeping.forEach(m -> m.kept = null);
         keeping.clear();
         for (Machine m : usable) {
-            for (Key key : m.stops.keySet()) {
-                Live l = m.live.get(key);
+            for (AttemptId key : m.stops.keySet()) {
+                AssignedAttempt l = m.live.get(key);
                 if (l != null && !l.over) {
                     free(m, l.job.job());
                 }
@@ -106,7 +106,7 @@
                 return;
             }
             Machine m = best.machine;
-            for (Live v : best.victims) {
+            for (AssignedAttempt v : best.victims) {
                 Job lost = v.job.job();
                 context.debug("stopping " + v.job.id + "/" + v.attempt.task() + " on " + m.name + " for " + job.id);
                 m.stops.put(v.key, lost.checkpointS() > 0 ? lost.saveS() + 1 : 0);
@@ -128,7 +128,7 @@
         if (!spec.allows(m.type, m.zone, m.spot) || !type.holds(job.shape())) {
             return;
         }
-        List<Live> victims = after(m).room(type, spec) > 0 ? List.of() : victims(m, type, job);
+        List<AssignedAttempt> victims = after(m).room(type, spec) > 0 ? List.of() : victims(m, type, job);
         if (victims != null) {
             offers.add(new Offer(m, victims, loss(victims)));
         }
@@ -154,17 +154,17 @@
     }
 
     /** The tasks whose stop costs least and makes room on the machine, or null. */
-    private List<Live> victims(Machine m, MachineType type, JobEntry job) {
-        List<Live> may = new ArrayList<>();
-        for (Live l : m.live.values()) {
+    private List<AssignedAttempt> victims(Machine m, MachineType type, JobEntry job) {
+        List<AssignedAttempt> may = new ArrayList<>();
+        for (AssignedAttempt l : m.live.values()) {
             if (!l.over && !m.stops.containsKey(l.key) && m.reported.containsKey(l.key) && mayStop(l, job)) {
                 may.add(l);
             }
         }
         may.sort(Comparator.comparingDouble(this::loss));
         ResourceUsage left = new ResourceUsage(after(m));
-        List<Live> chosen = new ArrayList<>();
-        for (Live l : may) {
+        List<AssignedAttempt> chosen = new ArrayList<>();
+        for (AssignedAttempt l : may) {
             chosen.add(l);
             left.remove(l.job.job());
             if (left.room(type, job.job()) > 0) {
@@ -174,7 +174,7 @@
         return null;
     }
 
-    private boolean mayStop(Live l, JobEntry job) {
+    private boolean mayStop(AssignedAttempt l, JobEntry job) {
         Job theirs = l.job.job();
         if (l.job.aborted() || ageS(l.job) > SPARE * context.settings().within("finished", theirs.lot())) {
             return false;
@@ -188,16 +188,16 @@
                 && quota.borrows(theirs);
     }
 
-    private double loss(List<Live> lives) {
+    private double loss(List<AssignedAttempt> lives) {
         double sum = 0;
-        for (Live l : lives) {
+        for (AssignedAttempt l : lives) {
             sum += loss(l);
         }
         return sum;
     }
 
     /** CPU seconds that are lost when the task is stopped now. */
-    private double loss(Live l) {
+    private double loss(AssignedAttempt l) {
         Job job = l.job.job();
         double ran = (context.wall() - l.attempt.launchedMs()) / 1000.0;
         return job.cpus() * (1 + (job.checkpointS() > 0 ? Math.min(ran, job.saveS()) : ran));
--- a/src/main/java/dewlane/core/scheduling/Placement.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -3,19 +3,19 @@
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.JobProgress.Outcome;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.Live;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Release;
+import dewlane.core.fleet.Machine.AssignedAttempt;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.DependencyGraph;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.model.Job;
-import dewlane.core.quota.Quota;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.quota.QuotaEnforcer;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
 import dewlane.core.store.SliceEntry;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -25,33 +25,33 @@
  * Goes through the machines of this part and the jobs that are not over, in the order in which jobs are served, and has
  * {@link JobWriter} say what there is to say of each.
  */
-public final class Placement {
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+public final class SchedulingCycle {
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final Membership membership;
-    private final Release release;
-    private final Quota quota;
+    private final DependencyGraph release;
+    private final QuotaEnforcer quota;
     private final JobWriter writer;
     private final LaunchPlanner planner;
-    private final LeftoverCleaner cleaner;
-    private final Counters counters;
+    private final SliceGarbageCollector cleaner;
+    private final ControllerCounters counters;
     private final String self;
     private List<Machine> usable = List.of();
     /** Usable machines that are not full. */
     private final List<Machine> free = new ArrayList<>();
 
-    public Placement(
-            Context context,
-            Replica replica,
-            Machines machines,
+    public SchedulingCycle(
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             Membership membership,
-            Release release,
-            Quota quota,
+            DependencyGraph release,
+            QuotaEnforcer quota,
             JobWriter writer,
             LaunchPlanner planner,
-            LeftoverCleaner cleaner,
-            Counters counters) {
+            SliceGarbageCollector cleaner,
+            ControllerCounters counters) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
@@ -167,25 +167,25 @@
     }
 
     private boolean ownsSlice(SliceEntry slice, Slice value) {
-        return self.equals(Partitions.owner(replica.map(), slice.key, value));
+        return self.equals(Partitioner.owner(replica.map(), slice.key, value));
     }
 
     /** All that was on a machine that is proven gone is gone. */
     private void takeProof(Machine m) {
-        for (Live l : m.live.values()) {
+        for (AssignedAttempt l : m.live.values()) {
             record(machines.progress().of(l.job.id), l, Outcome.GONE);
         }
     }
 
     /** Notes an outcome that is to be made durable; true if it is the first for the attempt. */
-    public boolean record(JobProgress work, Live live, Outcome outcome) {
+    public boolean record(JobProgress work, AssignedAttempt live, Outcome outcome) {
         work.gather(live.slice.number, context.now());
         return work.outcomes.putIfAbsent(live.key, outcome) == null;
     }
 
     /** Tasks on a machine that is soon taken away save as late as is safe. */
     private void saveInTime(Machine m) {
-        for (Live l : m.live.values()) {
+        for (AssignedAttempt l : m.live.values()) {
             Job job = l.job.job();
             if (job.checkpointS() > 0
                     && m.takenAt - context.now() < (job.saveS() + 5) * 1000
--- a/src/main/java/dewlane/core/scheduling/JobDistributor.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -1,20 +1,20 @@
 package dewlane.core.scheduling;
 
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Release;
-import dewlane.core.job.SliceSize;
-import dewlane.core.message.Context;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.DependencyGraph;
+import dewlane.core.job.SliceSizeBound;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.Priority;
-import dewlane.core.quota.Quota;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value.Deal;
-import dewlane.core.schema.Value.Member;
+import dewlane.core.quota.QuotaEnforcer;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoredValue.Member;
+import dewlane.core.schema.StoredValue.SliceAssignment;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
 import dewlane.core.store.SliceEntry;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
 import java.util.Map;
 
 /** Deals jobs among the parts by free room, as slices of their tasks: few, as each slice costs changes. */
-public final class JobDistributor {
+public final class SliceAssigner {
     /** Keeps a slice's done marks well within the smallest value the state service takes. */
     private static final int MAX_SLICE = 20_000;
     /** Tasks that find no room wait in no more slices than so many each make worth while. */
@@ -38,21 +38,26 @@
     private static final long COURTESY_MS = 30_000;
 
     /** Jobs that ask the same. */
-    private record Asked(Job.Shape shape, Priority priority, String team, boolean waitedLong) {}
+    private record Asked(Job.Requirements shape, Priority priority, String team, boolean waitedLong) {}
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
-    private final Quota quota;
-    private final Release release;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
+    private final QuotaEnforcer quota;
+    private final DependencyGraph release;
     private final Map<Asked, List<Offer>> counted = new HashMap<>();
     /** By shape, the tasks that each part has room for. */
-    private final Map<Job.Shape, int[]> rooms = new HashMap<>();
+    private final Map<Job.Requirements, int[]> rooms = new HashMap<>();
 
     private long countedAt = Long.MIN_VALUE / 2;
     private long countedFor;
 
-    public JobDistributor(Context context, Replica replica, Machines machines, Quota quota, Release release) {
+    public SliceAssigner(
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
+            QuotaEnforcer quota,
+            DependencyGraph release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
@@ -75,7 +80,7 @@
     }
 
     /** Tasks of the job that each part of the map has room for. */
-    public int[] rooms(Job job, Job.Shape shape) {
+    public int[] rooms(Job job, Job.Requirements shape) {
         keepFresh();
         return rooms.computeIfAbsent(shape, k -> {
             List<Member> members = replica.map().members();
@@ -114,7 +119,7 @@
             for (SliceEntry s : other.slices()) {
                 int left = s.value().waiting();
                 if (left > 0) {
-                    int part = index(members, Partitions.owner(replica.map(), s.key, s.value()));
+                    int part = index(members, Partitioner.owner(replica.map(), s.key, s.value()));
                     double each = other.job().cpus() / Math.max(0.001, job.cpus());
                     waiting[part] += left * each;
                     if (waitedLong && rooms[part] > 0) {
@@ -174,9 +179,9 @@
      * The slices of a new job: one if a part has room for all of it, or else as few as its room is spread over; what
      * finds no room waits where least does. A slice holds no more tasks than its value can tell of at once.
      */
-    public List<Deal> deal(Job job) {
+    public List<SliceAssignment> deal(Job job) {
         List<Offer> offers = offers(job, newJob(job));
-        List<Deal> deals = new ArrayList<>();
+        List<SliceAssignment> deals = new ArrayList<>();
         if (job.placesLinked()) {
             cut(deals, offers.get(0).node(), 0, job.tasks(), Integer.MAX_VALUE);
             return deals;
@@ -199,8 +204,8 @@
     }
 
     /** All of a job's tasks as one slice, for a record that has no room for more. */
-    public List<Deal> dealWhole(Job job) {
-        return List.of(new Deal(offers(job, newJob(job)).get(0).node(), 0, job.tasks()));
+    public List<SliceAssignment> dealWhole(Job job) {
+        return List.of(new SliceAssignment(offers(job, newJob(job)).get(0).node(), 0, job.tasks()));
     }
 
     /** How many tasks go to each part. */
@@ -239,16 +244,16 @@
             }
         }
         int perMachine = types == 0 ? 1 : Math.max(1, fit / types / 2);
-        return SliceSize.tasksWithin(context.settings().valueBytes(), perMachine);
+        return SliceSizeBound.tasksWithin(context.settings().valueBytes(), perMachine);
     }
 
     /** Cuts tasks into runs of about equal length. */
-    private static void cut(List<Deal> into, String owner, int from, int to, int most) {
+    private static void cut(List<SliceAssignment> into, String owner, int from, int to, int most) {
         int runs = (int) (((long) to - from + most - 1) / most);
         int at = from;
         for (int left = runs; left > 0; left--) {
             int count = (to - at) / left;
-            into.add(new Deal(owner, at, count));
+            into.add(new SliceAssignment(owner, at, count));
             at += count;
         }
     }
--- a/src/main/java/dewlane/core/scheduling/LeftoverCleaner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -1,12 +1,12 @@
 package dewlane.core.scheduling;
 
-import dewlane.core.message.Context;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.Transaction;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
 import dewlane.core.store.SliceEntry;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,14 +15,14 @@
  * Deletes what is left of jobs that are over. A job with many slices ends by one transaction that removes its record;
  * slices that do not fit into it are deleted afterwards, by whoever is there then.
  */
-public final class LeftoverCleaner {
-    private final Context context;
-    private final Replica replica;
+public final class SliceGarbageCollector {
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final TransactionQueue transactions;
     /** Jobs with a deletion under way, or whose answer the replica has not reached, and the revision of that. */
     private final Map<String, Long> settledAt = new HashMap<>();
 
-    public LeftoverCleaner(Context context, Replica replica, TransactionQueue transactions) {
+    public SliceGarbageCollector(ControllerContext context, StoreReplica replica, TransactionQueue transactions) {
         this.context = context;
         this.replica = replica;
         this.transactions = transactions;
@@ -35,7 +35,7 @@
             if (!transactions.open(TransactionQueue.Urgency.LATER)) {
                 return;
             }
-            boolean mine = context.settings().node().equals(Partitions.owner(replica.map(), Keys.job(job.id)));
+            boolean mine = context.settings().node().equals(Partitioner.owner(replica.map(), StoreKeys.job(job.id)));
             if (mine && !settledAt.containsKey(job.id) && !replica.isHeld(job.id)) {
                 delete(job);
             }
@@ -44,7 +44,7 @@
 
     /** On condition that the job has no record: without one, nothing of it can be launched or become undone. */
     private void delete(JobEntry job) {
-        Transaction.Builder txn = new Transaction.Builder().when(Keys.job(job.id), 0);
+        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.job(job.id), 0);
         for (SliceEntry slice : job.slices()) {
             if (txn.writes() < context.settings().txnOps()) {
                 txn.when(slice.key, slice.version()).delete(slice.key);
--- a/src/main/java/dewlane/core/schema/Partitions.java
+++ b/src/main/java/dewlane/core/schema/Partitioner.java
@@ -1,19 +1,19 @@
 package dewlane.core.schema;
 
-import dewlane.core.schema.Value.ClusterMap;
-import dewlane.core.schema.Value.Member;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.schema.StoredValue.Member;
+import dewlane.core.schema.StoredValue.PartitionMap;
+import dewlane.core.schema.StoredValue.Slice;
 import it.unimi.dsi.fastutil.HashCommon;
 
 /**
  * Divides machines into parts, one per controller of the map, by rendezvous hash: a controller that leaves or joins
  * moves only its own machines.
  */
-public final class Partitions {
-    private Partitions() {}
+public final class Partitioner {
+    private Partitioner() {}
 
     /** The controller whose part a machine or a key belongs to, or null without a map. */
-    public static String owner(ClusterMap map, String name) {
+    public static String owner(PartitionMap map, String name) {
         if (map == null) {
             return null;
         }
@@ -35,12 +35,12 @@
     }
 
     /** The controller that may launch a slice's tasks. */
-    public static String owner(ClusterMap map, String sliceKey, Slice slice) {
+    public static String owner(PartitionMap map, String sliceKey, Slice slice) {
         return map != null && map.has(slice.owner()) ? slice.owner() : owner(map, sliceKey);
     }
 
     /** The controller that has been in the map for longest. */
-    public static String leader(ClusterMap map) {
+    public static String leader(PartitionMap map) {
         if (map == null) {
             return null;
         }
--- a/src/main/java/dewlane/core/schema/StoredFormat.java
+++ b/src/main/java/dewlane/core/schema/SchemaVersion.java
@@ -2,9 +2,10 @@
 
 /**
  * Forms of what is kept in the state service. Each controller names the newest one that it knows in its
- * {@link Value.Presence}, which other versions leave alone, so that all can tell whether an older version is running.
+ * {@link StoredValue.Presence}, which other versions leave alone, so that all can tell whether an older version is
+ * running.
  */
-public final class StoredFormat {
+public final class SchemaVersion {
     /** Version 0.1, which names none: it refuses unknown keys and loses unknown fields when it rewrites a value. */
     public static final int FIRST = 1;
     /** Jobs may await others, a job may leave slices behind for a moment, and a slice may be cut by later ones. */
@@ -13,5 +14,5 @@
     /** What this version knows. */
     public static final int CURRENT = PIPELINES;
 
-    private StoredFormat() {}
+    private SchemaVersion() {}
 }
--- a/src/main/java/dewlane/core/schema/Keys.java
+++ b/src/main/java/dewlane/core/schema/StoreKeys.java
@@ -1,7 +1,7 @@
 package dewlane.core.schema;
 
 /** Names of the keys in the state service. Final states sort first, so that a restart can skip them. */
-public final class Keys {
+public final class StoreKeys {
     public static final String ROOT = "dewlane/";
     public static final String FINALS = ROOT + "final/";
     /** Keys after this one are read at start. */
@@ -17,7 +17,7 @@
 
     public static final String TEAMS = ROOT + "team/";
 
-    private Keys() {}
+    private StoreKeys() {}
 
     /** True if this version knows what the key is for. */
     public static boolean known(String key) {
--- a/src/main/java/dewlane/core/schema/Value.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -8,15 +8,16 @@
 import java.util.Map;
 
 /** Everything dewlane keeps in the state service. Values are never changed in place. */
-public sealed interface Value {
+public sealed interface StoredValue {
 
     /**
      * A job that is not final, or is cancelled with tasks that may still be on machines.
      *
      * @param deals how its tasks were dealt at acceptance; deal N holds until slice N has a key of its own
      */
-    record JobRecord(Job job, List<Deal> deals, long abortedMs, UnknownFields unknown) implements Value {
-        public JobRecord(Job job, List<Deal> deals, long abortedMs) {
+    record JobRecord(Job job, List<SliceAssignment> deals, long abortedMs, UnknownFields unknown)
+            implements StoredValue {
+        public JobRecord(Job job, List<SliceAssignment> deals, long abortedMs) {
             this(job, deals, abortedMs, UnknownFields.NONE);
         }
 
@@ -24,7 +25,7 @@
          * The same record with the mark that the job is cancelled. Nothing of it is launched any more, so how it was
          * dealt is left out where a value has no room for it.
          */
-        public JobRecord cancelled(long atMs, ValueSize size, int mostBytes) {
+        public JobRecord cancelled(long atMs, ValueSizer size, int mostBytes) {
             JobRecord marked = new JobRecord(job, deals, atMs, unknown);
             return size.bytes(marked) <= mostBytes ? marked : new JobRecord(job, List.of(), atMs, unknown);
         }
@@ -36,14 +37,14 @@
     }
 
     /** A run of a job's tasks and the controller they are dealt to. */
-    record Deal(String owner, int first, int count) {
+    record SliceAssignment(String owner, int first, int count) {
         public Slice slice() {
             return new Slice(owner, first, count, 0, new BitSet(), List.of());
         }
     }
 
     /** The final state of a job; never deleted. */
-    record FinalRecord(boolean aborted, long atMs) implements Value {}
+    record JobResult(boolean aborted, long atMs) implements StoredValue {}
 
     /**
      * A run of a job's tasks.
@@ -60,7 +61,7 @@
             BitSet done,
             List<Attempt> attempts,
             UnknownFields unknown)
-            implements Value {
+            implements StoredValue {
         public Slice(String owner, int first, int count, int launches, BitSet done, List<Attempt> attempts) {
             this(owner, first, count, launches, done, attempts, UnknownFields.NONE);
         }
@@ -134,21 +135,21 @@
      * @param moved machines that could not reach the controller of their part, and the one that took them over
      * @param loans by how much shares of teams' limits differ from equal ones; those of a team add up to nothing
      * @param formats by controller, live or not, the newest form of stored values that it has shown to know, see
-     *     {@link StoredFormat}. Version 0.1 drops this field from each map that it writes, and it writes one to join
+     *     {@link SchemaVersion}. Version 0.1 drops this field from each map that it writes, and it writes one to join
      */
-    record ClusterMap(
+    record PartitionMap(
             long epoch,
             List<Member> members,
             Map<String, String> moved,
-            List<Loan> loans,
+            List<QuotaTransfer> loans,
             Map<String, Integer> formats,
             UnknownFields unknown)
-            implements Value {
-        public ClusterMap(long epoch, List<Member> members, Map<String, String> moved, List<Loan> loans) {
+            implements StoredValue {
+        public PartitionMap(long epoch, List<Member> members, Map<String, String> moved, List<QuotaTransfer> loans) {
             this(epoch, members, moved, loans, Map.of(), UnknownFields.NONE);
         }
 
-        public ClusterMap(long epoch, List<Member> members, Map<String, String> moved) {
+        public PartitionMap(long epoch, List<Member> members, Map<String, String> moved) {
             this(epoch, members, moved, List.of());
         }
 
@@ -169,7 +170,7 @@
     }
 
     /** What a controller's share of a team's limit has beyond an equal one, or less if it is negative. */
-    record Loan(String team, String node, double cpus, double gpus) {}
+    record QuotaTransfer(String team, String node, double cpus, double gpus) {}
 
     /** A controller and the epoch at which it joined. */
     record Member(String name, long incarnation) {}
@@ -177,33 +178,34 @@
     /**
      * Attached to a controller's lease: it is there as long as the controller renews.
      *
-     * @param format the newest form of stored values that the controller knows, see {@link StoredFormat}
+     * @param format the newest form of stored values that the controller knows, see {@link SchemaVersion}
      */
-    record Presence(long incarnation, int format) implements Value {
+    record Presence(long incarnation, int format) implements StoredValue {
         public Presence(long incarnation) {
-            this(incarnation, StoredFormat.CURRENT);
+            this(incarnation, SchemaVersion.CURRENT);
         }
     }
 
     /** Changed by every launch for a team with a limit, so that launches for it are one after the other. */
-    record TeamRecord(double cpus, double gpus) implements Value {}
+    record TeamUsageRecord(double cpus, double gpus) implements StoredValue {}
 
     /**
      * Why no launch may be written for a machine any more.
      *
      * @param names the machines, if the record is about several; else its key names the one
      */
-    record MachineRecord(MachineFate fate, String reason, List<String> names, UnknownFields unknown) implements Value {
-        public MachineRecord(MachineFate fate, String reason, List<String> names) {
+    record DecommissionRecord(DecommissionState fate, String reason, List<String> names, UnknownFields unknown)
+            implements StoredValue {
+        public DecommissionRecord(DecommissionState fate, String reason, List<String> names) {
             this(fate, reason, names, UnknownFields.NONE);
         }
     }
 
     /** A value that this version cannot read. Whatever depends on it is held until it can be read or is replaced. */
-    record Unreadable(String reason) implements Value {}
+    record Unreadable(String reason) implements StoredValue {}
 
     /** What is to become of a machine. */
-    enum MachineFate {
+    enum DecommissionState {
         /** idle, to be returned unless a launch came first */
         RETURN,
         /** silent or faulty, to be deleted whatever is on it */
--- a/src/main/java/dewlane/core/schema/Transaction.java
+++ b/src/main/java/dewlane/core/schema/Transaction.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** A conditional write, applied as a whole or not at all. */
-public record Transaction(List<Guard> when, List<Write> apply) {
+public record Transaction(List<Precondition> when, List<Write> apply) {
 
     /** The key must have this version; 0: it must not exist. */
-    public record Guard(String key, long version) {}
+    public record Precondition(String key, long version) {}
 
     /** Sets the key, or deletes it if the value is null. A lease of 0 attaches it to none. */
-    public record Write(String key, Value value, long lease) {}
+    public record Write(String key, StoredValue value, long lease) {}
 
     /** What the state service said, as far as it said anything. */
     public enum Status {
@@ -26,12 +26,12 @@
 
     /** Collects the parts of a transaction. */
     public static final class Builder {
-        private final List<Guard> when = new ArrayList<>();
+        private final List<Precondition> when = new ArrayList<>();
         private final List<Write> apply = new ArrayList<>();
 
         /** Makes the transaction conditional on the version of a key; 0: the key does not exist. */
         public Builder when(String key, long version) {
-            Guard guard = new Guard(key, version);
+            Precondition guard = new Precondition(key, version);
             if (!when.contains(guard)) {
                 when.add(guard);
             }
@@ -39,13 +39,13 @@
         }
 
         /** Writes a key. */
-        public Builder set(String key, Value value) {
+        public Builder set(String key, StoredValue value) {
             apply.add(new Write(key, value, 0));
             return this;
         }
 
         /** Writes a key that goes when the lease ends. */
-        public Builder setLeased(String key, Value value, long lease) {
+        public Builder setLeased(String key, StoredValue value, long lease) {
             apply.add(new Write(key, value, lease));
             return this;
         }
--- a/src/main/java/dewlane/core/schema/ValueSize.java
+++ b/src/main/java/dewlane/core/schema/ValueSizer.java
@@ -1,7 +1,7 @@
 package dewlane.core.schema;
 
 /** Tells how many bytes a value takes in the state service. */
-public interface ValueSize {
+public interface ValueSizer {
     /** Bytes of the value as it is stored. */
-    int bytes(Value value);
+    int bytes(StoredValue value);
 }
