--- a/src/main/java/dewlane/core/store/MachineRecordIndex.java
+++ b/src/main/java/dewlane/core/store/DecommissionIndex.java
@@ -1,27 +1,27 @@
 package dewlane.core.store;
 
 import dewlane.core.message.Input;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.MachineRecord;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.DecommissionRecord;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The records that let go of machines, by their keys and by the names of the machines. */
-public final class MachineRecordIndex {
+public final class DecommissionIndex {
     /** A record of one or several machines, its key, and the version of that. */
-    public record Entry(String key, MachineRecord record, long version) {
+    public record Entry(String key, DecommissionRecord record, long version) {
         /** The machines that the record is about. */
         public List<String> names() {
-            return record.names().isEmpty() ? List.of(key.substring(Keys.MACHINES.length())) : record.names();
+            return record.names().isEmpty() ? List.of(key.substring(StoreKeys.MACHINES.length())) : record.names();
         }
     }
 
     private final Map<String, Entry> byName = new LinkedHashMap<>();
     private final Map<String, Entry> byKey = new LinkedHashMap<>();
 
-    MachineRecordIndex() {}
+    DecommissionIndex() {}
 
     void clear() {
         byName.clear();
@@ -29,7 +29,7 @@
     }
 
     /** Takes a change of a record; returns the new one, or null if the record is gone or the change is an old one. */
-    Entry apply(Input.Change change) {
+    Entry apply(Input.KeyChange change) {
         Entry known = byKey.get(change.key());
         if (known != null && known.version > change.version()) {
             return null;
@@ -41,7 +41,7 @@
         if (change.value() == null) {
             return null;
         }
-        Entry entry = new Entry(change.key(), (MachineRecord) change.value(), change.version());
+        Entry entry = new Entry(change.key(), (DecommissionRecord) change.value(), change.version());
         byKey.put(entry.key, entry);
         entry.names().forEach(name -> byName.put(name, entry));
         return entry;
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -2,7 +2,7 @@
 
 import dewlane.core.model.Job;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.StoredValue.JobRecord;
 import java.util.Collection;
 import java.util.TreeMap;
 
@@ -15,7 +15,7 @@
     private final TreeMap<Integer, SliceEntry> slices = new TreeMap<>();
     private JobRecord record;
     private long version;
-    private Job.Shape shape;
+    private Job.Requirements shape;
     private Priority priority;
     private long deadlineMs = NO_DEADLINE;
     private long waitsSinceMs;
@@ -30,7 +30,7 @@
     }
 
     /** The job's shape; only of a job that has a record. */
-    public Job.Shape shape() {
+    public Job.Requirements shape() {
         return shape;
     }
 
--- a/src/main/java/dewlane/core/store/FinalReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -1,16 +1,16 @@
 package dewlane.core.store;
 
 import dewlane.core.config.Settings;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.message.RateLimit;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.FinalRecord;
+import dewlane.core.message.TokenBucket;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobResult;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
 /** Reads final states that the replica does not know, within a part of the state service's request rate. */
-public final class FinalReader {
+public final class JobResultReader {
     /** The part of the requests that all controllers' reads together may take. */
     private static final double REQUEST_SHARE = 0.2;
 
@@ -19,7 +19,7 @@
     /** Told what a read found. */
     public interface Listener {
         /** The job is over. */
-        void found(FinalRecord result);
+        void found(JobResult result);
 
         /** The job has no final state: it is not over, or was never accepted. */
         void absent();
@@ -30,19 +30,19 @@
 
     private record Read(String job, Listener listener) {}
 
-    private final Context context;
-    private final Replica replica;
-    private final RateLimit rate;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final TokenBucket rate;
     private final Long2ObjectOpenHashMap<Read> reads = new Long2ObjectOpenHashMap<>();
     private long nextRead = 1;
 
-    public FinalReader(Context context, Replica replica) {
+    public JobResultReader(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
         double controllers = settings.peers().size() + 1;
         double perS = settings.stateRps() * REQUEST_SHARE / controllers;
-        this.rate = new RateLimit(perS, Math.max(LEAST_BURST, perS));
+        this.rate = new TokenBucket(perS, Math.max(LEAST_BURST, perS));
     }
 
     /** Asks for a job's final state; false if that is more than the rate allows now, and then nobody is told. */
@@ -52,7 +52,7 @@
         }
         long id = nextRead++;
         reads.put(id, new Read(job, listener));
-        context.emit(new Effect.ReadValue(id, Keys.fin(job)));
+        context.emit(new Effect.ReadValue(id, StoreKeys.fin(job)));
         return true;
     }
 
@@ -64,7 +64,7 @@
         }
         if (in.known() && in.value() == null) {
             read.listener().absent();
-        } else if (in.known() && in.value() instanceof FinalRecord result) {
+        } else if (in.known() && in.value() instanceof JobResult result) {
             replica.rememberFinal(read.job(), result);
             read.listener().found(result);
         } else {
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -1,7 +1,7 @@
 package dewlane.core.store;
 
 import dewlane.core.config.Settings;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import java.util.ArrayDeque;
@@ -28,8 +28,8 @@
     /** Questions that may be answered once the replica has reached the revision. */
     private record Batch(long revision, List<Question> questions) {}
 
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final long pauseMs;
     /** Questions for which no request has been sent yet. */
     private List<Question> arrived = new ArrayList<>();
@@ -40,7 +40,7 @@
     private boolean asking;
     private long askedAt = Long.MIN_VALUE / 2;
 
-    public ReadBarrier(Context context, Replica replica) {
+    public ReadBarrier(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
--- a/src/main/java/dewlane/core/store/SliceEntry.java
+++ b/src/main/java/dewlane/core/store/SliceEntry.java
@@ -1,7 +1,7 @@
 package dewlane.core.store;
 
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.Slice;
 
 /** A slice of a job as the replica holds it, and the version of its key. */
 public final class SliceEntry {
@@ -13,7 +13,7 @@
 
     SliceEntry(String job, int number) {
         this.number = number;
-        this.key = Keys.slice(job, number);
+        this.key = StoreKeys.slice(job, number);
     }
 
     /** The slice's contents, less the tasks that slices with higher numbers have taken over. */
--- a/src/main/java/dewlane/core/store/Replica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -3,14 +3,14 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import dewlane.core.message.Input;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.StoredFormat;
-import dewlane.core.schema.Value;
-import dewlane.core.schema.Value.ClusterMap;
-import dewlane.core.schema.Value.FinalRecord;
-import dewlane.core.schema.Value.JobRecord;
-import dewlane.core.schema.Value.Presence;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.schema.SchemaVersion;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.JobResult;
+import dewlane.core.schema.StoredValue.PartitionMap;
+import dewlane.core.schema.StoredValue.Presence;
+import dewlane.core.schema.StoredValue.Slice;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.Collection;
 import java.util.Comparator;
@@ -25,9 +25,9 @@
  * What the state service held at {@link #revision()}. Only the watch changes it, in the order of the revisions, so that
  * whatever it shows is durable and nothing in it is newer than the revision.
  */
-public final class Replica {
+public final class StoreReplica {
     private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
-    private final MachineRecordIndex machines = new MachineRecordIndex();
+    private final DecommissionIndex machines = new DecommissionIndex();
     private final Map<String, Presence> presences = new LinkedHashMap<>();
     /** Jobs of which only slices are left. */
     private final Set<JobEntry> leftovers = new LinkedHashSet<>();
@@ -35,28 +35,28 @@
     private final UnreadableKeys unreadable = new UnreadableKeys();
 
     private final Object2LongOpenHashMap<String> teams = new Object2LongOpenHashMap<>();
-    private final Cache<String, FinalRecord> finals =
+    private final Cache<String, JobResult> finals =
             Caffeine.newBuilder().maximumSize(20_000).executor(Runnable::run).build();
-    private final Consumer<Delta> follower;
-    private ClusterMap map;
+    private final Consumer<ReplicaChange> follower;
+    private PartitionMap map;
     private long mapVersion;
     private long revision;
     private boolean loading;
 
-    public Replica(Consumer<Delta> follower) {
+    public StoreReplica(Consumer<ReplicaChange> follower) {
         this.follower = follower;
     }
 
     /** Begins anew from a listing. Changes after {@code listedAt} must follow, whether or not the rows have them. */
-    void load(List<Input.Row> rows, long listedAt) {
+    void load(List<Input.StoreRow> rows, long listedAt) {
         for (JobEntry entry : List.copyOf(jobs.values())) {
             for (SliceEntry slice : List.copyOf(entry.slices())) {
-                follower.accept(new Delta.SliceChanged(entry, slice, slice.value(), null));
+                follower.accept(new ReplicaChange.SliceChanged(entry, slice, slice.value(), null));
             }
             JobRecord before = entry.record();
             entry.removeRecord();
             if (before != null) {
-                follower.accept(new Delta.JobChanged(entry, before, null));
+                follower.accept(new ReplicaChange.JobChanged(entry, before, null));
             }
         }
         jobs.clear();
@@ -68,38 +68,38 @@
         mapVersion = 0;
         loading = true;
         rows.stream()
-                .sorted(Comparator.comparing((Input.Row row) -> !row.key().startsWith(Keys.JOBS))
-                        .thenComparingLong(Input.Row::version))
-                .forEach(row -> apply(new Input.Change(row.key(), row.value(), row.version())));
+                .sorted(Comparator.comparing((Input.StoreRow row) -> !row.key().startsWith(StoreKeys.JOBS))
+                        .thenComparingLong(Input.StoreRow::version))
+                .forEach(row -> apply(new Input.KeyChange(row.key(), row.value(), row.version())));
         loading = false;
         revision = listedAt;
     }
 
     /** Applies one change of the watch. A change older than what is held is one that the listing already had. */
-    public void apply(Input.Change change) {
+    public void apply(Input.KeyChange change) {
         String key = change.key();
-        if (change.value() instanceof Value.Unreadable bad) {
+        if (change.value() instanceof StoredValue.Unreadable bad) {
             noteUnreadable(key, bad.reason());
-        } else if (key.startsWith(Keys.SLICES)) {
-            slice(key.substring(Keys.SLICES.length()), change);
-        } else if (key.startsWith(Keys.JOBS)) {
-            job(key.substring(Keys.JOBS.length()), change);
-        } else if (key.startsWith(Keys.FINALS)) {
+        } else if (key.startsWith(StoreKeys.SLICES)) {
+            slice(key.substring(StoreKeys.SLICES.length()), change);
+        } else if (key.startsWith(StoreKeys.JOBS)) {
+            job(key.substring(StoreKeys.JOBS.length()), change);
+        } else if (key.startsWith(StoreKeys.FINALS)) {
             if (change.value() != null) {
-                rememberFinal(key.substring(Keys.FINALS.length()), (FinalRecord) change.value());
+                rememberFinal(key.substring(StoreKeys.FINALS.length()), (JobResult) change.value());
             }
-        } else if (key.startsWith(Keys.MACHINES)) {
+        } else if (key.startsWith(StoreKeys.MACHINES)) {
             machineRecord(change);
-        } else if (key.startsWith(Keys.PRESENCE)) {
-            presence(key.substring(Keys.PRESENCE.length()), (Presence) change.value());
-        } else if (key.startsWith(Keys.TEAMS)) {
-            String name = key.substring(Keys.TEAMS.length());
+        } else if (key.startsWith(StoreKeys.PRESENCE)) {
+            presence(key.substring(StoreKeys.PRESENCE.length()), (Presence) change.value());
+        } else if (key.startsWith(StoreKeys.TEAMS)) {
+            String name = key.substring(StoreKeys.TEAMS.length());
             teams.put(name, Math.max(teams.getLong(name), change.value() == null ? 0 : change.version()));
-        } else if (key.equals(Keys.MAP) && change.value() != null && change.version() > mapVersion) {
-            ClusterMap before = map;
-            map = (ClusterMap) change.value();
+        } else if (key.equals(StoreKeys.MAP) && change.value() != null && change.version() > mapVersion) {
+            PartitionMap before = map;
+            map = (PartitionMap) change.value();
             mapVersion = change.version();
-            follower.accept(new Delta.MapChanged(before, map, !loading));
+            follower.accept(new ReplicaChange.PartitionMapChanged(before, map, !loading));
         }
     }
 
@@ -117,12 +117,12 @@
      * unknown.
      */
     private void noteUnreadable(String key, String reason) {
-        if (key.startsWith(Keys.SLICES) || key.startsWith(Keys.JOBS)) {
+        if (key.startsWith(StoreKeys.SLICES) || key.startsWith(StoreKeys.JOBS)) {
             unreadable.add(key);
-        } else if (key.startsWith(Keys.PRESENCE)) {
-            presences.put(key.substring(Keys.PRESENCE.length()), new Presence(0, StoredFormat.FIRST));
+        } else if (key.startsWith(StoreKeys.PRESENCE)) {
+            presences.put(key.substring(StoreKeys.PRESENCE.length()), new Presence(0, SchemaVersion.FIRST));
         }
-        follower.accept(new Delta.Unread(key, reason));
+        follower.accept(new ReplicaChange.ValueUnreadable(key, reason));
     }
 
     /** True if something of the job is stored that cannot be read, so that nothing about it may be decided. */
@@ -135,10 +135,11 @@
         return unreadable.jobs();
     }
 
-    private void machineRecord(Input.Change change) {
-        MachineRecordIndex.Entry entry = machines.apply(change);
+    private void machineRecord(Input.KeyChange change) {
+        DecommissionIndex.Entry entry = machines.apply(change);
         if (entry != null) {
-            entry.names().forEach(name -> follower.accept(new Delta.MachineChanged(name, entry.record())));
+            entry.names()
+                    .forEach(name -> follower.accept(new ReplicaChange.MachineDecommissioned(name, entry.record())));
         }
     }
 
@@ -146,7 +147,7 @@
         revision = Math.max(revision, to);
     }
 
-    private void job(String id, Input.Change change) {
+    private void job(String id, Input.KeyChange change) {
         unreadable.readable(id, change.key());
         JobEntry entry = jobs.get(id);
         if (change.value() == null) {
@@ -163,7 +164,7 @@
             JobRecord before = entry.record();
             entry.store((JobRecord) change.value(), change.version());
             leftovers.remove(entry);
-            follower.accept(new Delta.JobChanged(entry, before, entry.record()));
+            follower.accept(new ReplicaChange.JobChanged(entry, before, entry.record()));
             if (before == null) {
                 deal(entry);
             }
@@ -174,7 +175,7 @@
         JobRecord before = entry.record();
         entry.removeRecord();
         if (before != null) {
-            follower.accept(new Delta.JobChanged(entry, before, null));
+            follower.accept(new ReplicaChange.JobChanged(entry, before, null));
         }
         entry.slices().removeIf(slice -> slice.version() == 0);
         keepLeftovers(entry);
@@ -182,7 +183,7 @@
 
     /** A slice that has no key yet is as it was dealt, at version 0. */
     private void deal(JobEntry entry) {
-        List<Value.Deal> deals = entry.record().deals();
+        List<StoredValue.SliceAssignment> deals = entry.record().deals();
         for (int i = 0; i < deals.size(); i++) {
             if (!entry.slicesByNumber().containsKey(i)) {
                 SliceEntry slice = new SliceEntry(entry.id, i);
@@ -193,14 +194,14 @@
         }
     }
 
-    private void slice(String name, Input.Change change) {
+    private void slice(String name, Input.KeyChange change) {
         int slash = name.lastIndexOf('/');
         String id = name.substring(0, Math.max(0, slash));
         int number;
         try {
             number = Integer.parseInt(name.substring(slash + 1));
         } catch (NumberFormatException e) {
-            follower.accept(new Delta.Unread(change.key(), "no slice number"));
+            follower.accept(new ReplicaChange.ValueUnreadable(change.key(), "no slice number"));
             return;
         }
         unreadable.readable(id, change.key());
@@ -223,7 +224,7 @@
         SliceEntry held = entry.slicesByNumber().get(number);
         if (held != null && held.version() < version) {
             entry.slicesByNumber().remove(number);
-            follower.accept(new Delta.SliceChanged(entry, held, held.value(), null));
+            follower.accept(new ReplicaChange.SliceChanged(entry, held, held.value(), null));
         }
         keepLeftovers(entry);
     }
@@ -242,10 +243,10 @@
             if (count != other.value().count()) {
                 Slice was = other.value();
                 other.restrictTo(count);
-                follower.accept(new Delta.SliceChanged(entry, other, was, other.value()));
+                follower.accept(new ReplicaChange.SliceChanged(entry, other, was, other.value()));
             }
         }
-        follower.accept(new Delta.SliceChanged(entry, held, before, held.value()));
+        follower.accept(new ReplicaChange.SliceChanged(entry, held, before, held.value()));
     }
 
     /**
@@ -289,7 +290,7 @@
     }
 
     /** The present map; null before the first. */
-    public ClusterMap map() {
+    public PartitionMap map() {
         return map;
     }
 
@@ -315,22 +316,22 @@
     }
 
     /** The final state of a job if this node has seen it; absence proves nothing. */
-    public FinalRecord fin(String id) {
+    public JobResult fin(String id) {
         return finals.getIfPresent(id);
     }
 
-    public void rememberFinal(String id, FinalRecord fin) {
+    public void rememberFinal(String id, JobResult fin) {
         finals.put(id, fin);
-        follower.accept(new Delta.Ended(id, fin));
+        follower.accept(new ReplicaChange.JobEnded(id, fin));
     }
 
     /** Records of machines by their keys. */
-    public Collection<MachineRecordIndex.Entry> machineRecords() {
+    public Collection<DecommissionIndex.Entry> machineRecords() {
         return machines.byKey();
     }
 
     /** Records of machines by the machines' names. */
-    public Map<String, MachineRecordIndex.Entry> machines() {
+    public Map<String, DecommissionIndex.Entry> machines() {
         return machines.byName();
     }
 
--- a/src/main/java/dewlane/core/store/StateFollower.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -1,23 +1,23 @@
 package dewlane.core.store;
 
-import dewlane.core.job.Cancellations;
+import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 
 /** Keeps the replica up to date: reads the whole state once, then follows it by one watch after the other. */
-public final class StateFollower {
+public final class StoreWatcher {
     /** A listing that failed is tried again after so long. */
     private static final long LIST_AGAIN_MS = 500;
 
-    private final Context context;
-    private final Replica replica;
+    private final ControllerContext context;
+    private final StoreReplica replica;
     private final Membership membership;
-    private final Cancellations cancellations;
+    private final CancellationTracker cancellations;
     private final ReadBarrier barrier;
-    private final Counters counters;
+    private final ControllerCounters counters;
     private boolean listing;
     private long listedAt;
     /** When the watch under way, or the listing before it, was asked for: its answer shows all that was by then. */
@@ -26,13 +26,13 @@
     private boolean loaded;
     private long loadedFrom;
 
-    public StateFollower(
-            Context context,
-            Replica replica,
+    public StoreWatcher(
+            ControllerContext context,
+            StoreReplica replica,
             Membership membership,
-            Cancellations cancellations,
+            CancellationTracker cancellations,
             ReadBarrier barrier,
-            Counters counters) {
+            ControllerCounters counters) {
         this.context = context;
         this.replica = replica;
         this.membership = membership;
@@ -56,12 +56,12 @@
         if (!loaded && !listing && context.now() - listedAt > LIST_AGAIN_MS) {
             listing = true;
             listedAt = context.now();
-            context.emit(new Effect.ListState());
+            context.emit(new Effect.ListStore());
         }
     }
 
     /** The whole state was read. */
-    public void listed(Input.StateListed in) {
+    public void listed(Input.StoreListed in) {
         membership.contact();
         listing = false;
         loaded = true;
@@ -85,12 +85,12 @@
     }
 
     /** A watch was answered; true if it brought changes. */
-    public boolean changed(Input.Changes in) {
+    public boolean changed(Input.WatchEvents in) {
         if (!loaded) {
             return false;
         }
         membership.contact();
-        for (Input.Change change : in.changes()) {
+        for (Input.KeyChange change : in.changes()) {
             replica.apply(change);
         }
         counters.changesSeen += in.changes().size();
@@ -102,7 +102,7 @@
         return !in.changes().isEmpty();
     }
 
-    private void log(Input.Changes in) {
+    private void log(Input.WatchEvents in) {
         if (context.ordersLogged() && !in.changes().isEmpty()) {
             context.debug("the state is read up to revision " + in.revision() + ": "
                     + in.changes().size() + " changes, asked for " + (context.now() - watchedAt) + " ms ago");
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -1,11 +1,11 @@
 package dewlane.core.store;
 
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.ValueSize;
+import dewlane.core.schema.ValueSizer;
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,8 +13,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Sends conditional writes, the most urgent first, within this controller's {@link WriteBudget}. What users wait for,
- * and the map, is few and not held up by the budget; the rest then waits longer.
+ * Sends conditional writes, the most urgent first, within this controller's {@link WriteRateLimiter}. What users wait
+ * for, and the map, is few and not held up by the budget; the rest then waits longer.
  *
  * <p>A transaction that got no answer may have been applied or may yet be. It is sent again under the same conditions
  * until the answer is definite; the state service applies it at most once, because it changes a key it is conditional
@@ -77,8 +77,8 @@
     private static final long LONGEST_PAUSE_MS = 1000;
     private static final int MOST_DOUBLINGS = 5;
 
-    private final Context context;
-    private final Counters counters;
+    private final ControllerContext context;
+    private final ControllerCounters counters;
     private final PriorityQueue<Entry> queue = new PriorityQueue<>(
             Comparator.<Entry, Urgency>comparing(e -> e.urgency).thenComparingLong(e -> e.id));
     private final Long2ObjectLinkedOpenHashMap<Entry> inFlight = new Long2ObjectLinkedOpenHashMap<>();
@@ -86,15 +86,15 @@
     /** Entries of the queue by urgency. */
     private final int[] waiting = new int[Urgency.values().length];
 
-    private final WriteBudget budget;
-    private final ValueSize size;
+    private final WriteRateLimiter budget;
+    private final ValueSizer size;
     private boolean sizeRefused;
 
-    public TransactionQueue(Context context, Counters counters, ValueSize size) {
+    public TransactionQueue(ControllerContext context, ControllerCounters counters, ValueSizer size) {
         this.context = context;
         this.counters = counters;
         this.size = size;
-        this.budget = new WriteBudget(context);
+        this.budget = new WriteRateLimiter(context);
     }
 
     /** Live controllers share the write rate. */
@@ -154,7 +154,7 @@
         return budget.tokens() < budget.capacity() / 2;
     }
 
-    public void answered(Input.TxnAnswer answer) {
+    public void answered(Input.TransactionCompleted answer) {
         Entry entry = inFlight.remove(answer.id());
         if (entry == null) {
             return;
@@ -240,7 +240,7 @@
             budget.spend(cost);
             counters.wrote(entry.urgency, entry.txn.apply().size());
             inFlight.put(entry.id, entry);
-            context.emit(new Effect.SendTxn(entry.id, entry.txn));
+            context.emit(new Effect.CommitTransaction(entry.id, entry.txn));
         }
         later.forEach(this::enqueue);
     }
--- a/src/main/java/dewlane/core/store/UnreadableKeys.java
+++ b/src/main/java/dewlane/core/store/UnreadableKeys.java
@@ -1,6 +1,6 @@
 package dewlane.core.store;
 
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -38,10 +38,10 @@
     }
 
     private static String jobOf(String key) {
-        if (key.startsWith(Keys.JOBS)) {
-            return key.substring(Keys.JOBS.length());
+        if (key.startsWith(StoreKeys.JOBS)) {
+            return key.substring(StoreKeys.JOBS.length());
         }
-        String name = key.substring(Keys.SLICES.length());
+        String name = key.substring(StoreKeys.SLICES.length());
         int slash = name.lastIndexOf('/');
         return slash < 0 ? name : name.substring(0, slash);
     }
--- a/src/main/java/dewlane/core/store/UnreadableLog.java
+++ b/src/main/java/dewlane/core/store/UnreadableValueLog.java
@@ -1,26 +1,26 @@
 package dewlane.core.store;
 
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
-import dewlane.core.message.RateLimit;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.TokenBucket;
 
 /** Says which keys have values that cannot be read; of many, only some a minute. */
-public final class UnreadableLog {
+public final class UnreadableValueLog {
     /** Some lines at once, then one every ten seconds. */
     private static final double LINES_PER_S = 0.1;
 
     private static final double MOST_LINES = 10;
 
-    private final Context context;
-    private final Counters counters;
-    private final RateLimit rate = new RateLimit(LINES_PER_S, MOST_LINES);
+    private final ControllerContext context;
+    private final ControllerCounters counters;
+    private final TokenBucket rate = new TokenBucket(LINES_PER_S, MOST_LINES);
 
-    public UnreadableLog(Context context, Counters counters) {
+    public UnreadableValueLog(ControllerContext context, ControllerCounters counters) {
         this.context = context;
         this.counters = counters;
     }
 
-    public void note(Delta.Unread unread) {
+    public void note(ReplicaChange.ValueUnreadable unread) {
         counters.unreadable++;
         if (rate.take(context.now())) {
             context.info(
--- a/src/main/java/dewlane/core/store/WriteBudget.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -1,7 +1,7 @@
 package dewlane.core.store;
 
-import dewlane.core.config.StateLimits;
-import dewlane.core.message.Context;
+import dewlane.core.config.StoreLimits;
+import dewlane.core.message.ControllerContext;
 
 /**
  * This controller's share of the rate of changes, as a token bucket. It is an equal share, and more as long as the
@@ -10,7 +10,7 @@
  * <p>A smaller rate that is to come without notice counts once changes are refused at an equal share. Now and then the
  * larger one is tried again, so that refusals for another reason slow nothing down for good.
  */
-final class WriteBudget {
+final class WriteRateLimiter {
     /** The part of the rate that is planned with: changes of leases and of other writers need some of it. */
     private static final double PLANNED = 0.85;
 
@@ -29,8 +29,8 @@
 
     private static final int MOST_DOUBLINGS = 4;
 
-    private final Context context;
-    private final StateLimits limits;
+    private final ControllerContext context;
+    private final StoreLimits limits;
     private double tokens;
     private double userTokens;
     private long refilledAt = Long.MIN_VALUE;
@@ -42,7 +42,7 @@
     private long reducedUntil = Long.MIN_VALUE / 2;
     private int reductions;
 
-    WriteBudget(Context context) {
+    WriteRateLimiter(ControllerContext context) {
         this.context = context;
         this.limits = context.settings().state();
         this.userTokens = userBurst();
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -1,17 +1,17 @@
 package dewlane.core.worker;
 
+import dewlane.core.fleet.DecommissionBatches;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.MachineRecords;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Cancellations;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.Membership;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.DecommissionRecord;
+import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value.MachineFate;
-import dewlane.core.schema.Value.MachineRecord;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -42,12 +42,12 @@
     /** A pause between two ticks, which come every second, that only a process that stood still has. */
     private static final long STOOD_STILL_MS = 3000;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final Membership membership;
     private final TransactionQueue transactions;
-    private final Cancellations cancellations;
+    private final CancellationTracker cancellations;
     private final Set<String> asking = new HashSet<>();
     private long incarnation;
     private long records;
@@ -56,12 +56,12 @@
     private long mostSilentAt = Long.MIN_VALUE / 2;
 
     public FailureDetector(
-            Context context,
-            Replica replica,
-            Machines machines,
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             Membership membership,
             TransactionQueue transactions,
-            Cancellations cancellations) {
+            CancellationTracker cancellations) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
@@ -92,7 +92,8 @@
         condemned.forEach((name, reason) -> context.info("machine " + name + " is " + reason + ", to be deleted with "
                 + machines.get(name).live.size() + " tasks on it"));
         List<String> names = List.copyOf(condemned.keySet());
-        for (List<String> some : MachineRecords.split(names, context.settings().valueBytes())) {
+        for (List<String> some :
+                DecommissionBatches.split(names, context.settings().valueBytes())) {
             condemn(some, condemned.get(some.get(0)));
         }
     }
@@ -194,7 +195,7 @@
         if (!late.isEmpty()) {
             endedAt = context.now();
             context.info("deleting at once, as they are silent with cancelled tasks: " + late);
-            context.emit(new Effect.Delete(late));
+            context.emit(new Effect.DeleteInstances(late));
         }
     }
 
@@ -208,11 +209,11 @@
      */
     private void condemn(List<String> names, String reason) {
         asking.addAll(names);
-        String key = Keys.machines(context.settings().node(), incarnation, ++records);
+        String key = StoreKeys.machines(context.settings().node(), incarnation, ++records);
         Transaction txn = new Transaction.Builder()
                 .when(key, 0)
-                .when(Keys.MAP, replica.mapVersion())
-                .set(key, new MachineRecord(MachineFate.DELETE, reason, names))
+                .when(StoreKeys.MAP, replica.mapVersion())
+                .set(key, new DecommissionRecord(DecommissionState.DELETE, reason, names))
                 .build();
         transactions.submit(TransactionQueue.Urgency.OUTCOME, txn, (status, revision) -> asking.removeAll(names));
     }
--- a/src/main/java/dewlane/core/worker/WorkerSessions.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -3,25 +3,25 @@
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.JobProgress.Outcome;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.Key;
-import dewlane.core.fleet.Machine.Live;
-import dewlane.core.fleet.Machines;
-import dewlane.core.job.Cancellations;
+import dewlane.core.fleet.Machine.AssignedAttempt;
+import dewlane.core.fleet.Machine.AttemptId;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.CancellationTracker;
+import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.membership.Membership;
 import dewlane.core.membership.PeerTable;
-import dewlane.core.membership.StandingMonitor;
-import dewlane.core.message.Context;
-import dewlane.core.message.Counters;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.Attempt;
+import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
 import dewlane.core.model.MachineType;
-import dewlane.core.model.Order;
-import dewlane.core.model.Report;
-import dewlane.core.model.Report.Phase;
-import dewlane.core.model.Report.TaskState;
-import dewlane.core.scheduling.Placement;
-import dewlane.core.store.Replica;
+import dewlane.core.model.WorkerCommand;
+import dewlane.core.scheduling.SchedulingCycle;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -33,7 +33,7 @@
  * Speaks to the workers of this controller's part: takes reports, gives orders, and finds proof that an attempt is
  * gone. All orders follow from the replica and the latest report, so a lost or repeated message changes nothing.
  */
-public final class WorkerSessions {
+public final class HeartbeatHandler {
     /** A worker that cannot reach its owner comes round again within this time. */
     private static final long STRAY_MS = 30_000;
 
@@ -46,28 +46,28 @@
     /** How often a suspected machine is asked for a sign that it hears. */
     private static final long PROBE_MS = 2000;
 
-    private final Context context;
-    private final Replica replica;
-    private final Machines machines;
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final MachineRegistry machines;
     private final PeerTable peers;
     private final Membership membership;
-    private final Placement placement;
-    private final StandingMonitor standing;
-    private final Counters counters;
+    private final SchedulingCycle placement;
+    private final AuthorityMonitor standing;
+    private final ControllerCounters counters;
     private final String self;
-    private final OrderPlanner planner;
-    private final OrderLog orderLog;
+    private final CommandPlanner planner;
+    private final CommandLog orderLog;
 
-    public WorkerSessions(
-            Context context,
-            Replica replica,
-            Machines machines,
+    public HeartbeatHandler(
+            ControllerContext context,
+            StoreReplica replica,
+            MachineRegistry machines,
             PeerTable peers,
             Membership membership,
-            Placement placement,
-            Cancellations cancellations,
-            StandingMonitor standing,
-            Counters counters) {
+            SchedulingCycle placement,
+            CancellationTracker cancellations,
+            AuthorityMonitor standing,
+            ControllerCounters counters) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
@@ -77,17 +77,17 @@
         this.standing = standing;
         this.counters = counters;
         this.self = context.settings().node();
-        this.orderLog = new OrderLog(context, replica);
-        this.planner = new OrderPlanner(context, replica, machines, cancellations, standing, counters, orderLog);
+        this.orderLog = new CommandLog(context, replica);
+        this.planner = new CommandPlanner(context, replica, machines, cancellations, standing, counters, orderLog);
     }
 
     /**
      * Takes a report; {@code id} 0 is one that came with the answer to a command.
      *
      * <p>A controller whose view is stale may miss a cancellation. It lets its workers' leases run out while there is
-     * still time for that: see {@link Standing} and {@link Cancellations}.
+     * still time for that: see {@link Authority} and {@link CancellationTracker}.
      */
-    public void report(long id, Report r) {
+    public void report(long id, Heartbeat r) {
         counters.reports++;
         if (!standing.now().mayAnswerWorkers()) {
             counters.reportsRefused++;
@@ -104,7 +104,7 @@
                 membership.claim(m.name);
                 refuse(id);
             } else if (id != 0) {
-                context.emit(new Effect.RedirectReport(id, m.owner));
+                context.emit(new Effect.RedirectHeartbeat(id, m.owner));
             }
             return;
         }
@@ -117,10 +117,10 @@
         if (id != 0) {
             m.reachability.reported(context.now());
             m.channel.answerSettled();
-            List<Order> orders = planner.orders(m, true);
+            List<WorkerCommand> orders = planner.orders(m, true);
             m.channel.answerSent(launches(orders));
             orderLog.answered(m, orders);
-            context.emit(new Effect.AnswerReport(id, m.token(), orders));
+            context.emit(new Effect.AnswerHeartbeat(id, m.token(), orders));
         }
     }
 
@@ -129,7 +129,7 @@
      * come back. Without this, a cut between them lasts until its lease has run out. The second report must be newer
      * than the first and than what the owner has: late copies of old reports move no machine.
      */
-    private boolean cannotReachOwner(Machine m, Report r) {
+    private boolean cannotReachOwner(Machine m, Heartbeat r) {
         machines.learn(r.machine(), r.address(), r.type(), r.zone(), r.spot());
         if (!membership.reachesState() || m.address == null || !r.newerThan(m.session, m.sequence)) {
             return false;
@@ -144,11 +144,11 @@
         return strayedMs > (machines.listedByOwner(m) ? LISTED_STRAY_MS : LEAST_STRAY_MS);
     }
 
-    private static Set<Key> launches(List<Order> orders) {
-        Set<Key> launches = new HashSet<>();
-        for (Order o : orders) {
-            if (o.kind() == Order.Kind.LAUNCH) {
-                launches.add(new Key(o.job(), o.task(), o.attempt()));
+    private static Set<AttemptId> launches(List<WorkerCommand> orders) {
+        Set<AttemptId> launches = new HashSet<>();
+        for (WorkerCommand o : orders) {
+            if (o.kind() == WorkerCommand.Action.LAUNCH) {
+                launches.add(new AttemptId(o.job(), o.task(), o.attempt()));
             }
         }
         return launches;
@@ -156,11 +156,11 @@
 
     private void refuse(long id) {
         if (id != 0) {
-            context.emit(new Effect.RefuseReport(id));
+            context.emit(new Effect.RejectHeartbeat(id));
         }
     }
 
-    private void take(Machine m, Report r, boolean answer) {
+    private void take(Machine m, Heartbeat r, boolean answer) {
         if (m.tokenSeen == 0 && m.sequence == 0) {
             context.debug("machine " + m.name + " reports: " + r.type() + " " + r.zone() + (r.spot() ? " spot" : ""));
         }
@@ -173,15 +173,15 @@
         m.session = r.session();
         m.sequence = r.sequence();
         m.tokenSeen = r.token();
-        Map<Key, TaskState> reported = new HashMap<>();
-        for (TaskState t : r.tasks()) {
-            reported.put(new Key(t.job(), t.task(), t.attempt()), t);
+        Map<AttemptId, TaskStatus> reported = new HashMap<>();
+        for (TaskStatus t : r.tasks()) {
+            reported.put(new AttemptId(t.job(), t.task(), t.attempt()), t);
         }
         m.reported = reported;
         hear(m, r, answer);
         MachineType type = machines.type(m);
-        for (Live l : m.live.values()) {
-            TaskState t = reported.get(l.key);
+        for (AssignedAttempt l : m.live.values()) {
+            TaskStatus t = reported.get(l.key);
             Outcome outcome = t == null ? goneBy(l.attempt, r) : endOf(t);
             if (t != null && t.phase() != Phase.EXITED && type != null && l.job.job() != null) {
                 m.fetched(l.job.job().image(), l.job.job().imageGb(), type.cacheGb());
@@ -199,11 +199,11 @@
      * report shows it as long as they come in time and each shows what the answer to the last one gave; else the
      * machine is suspected, gets no further tasks, and is asked.
      */
-    private void hear(Machine m, Report r, boolean answer) {
+    private void hear(Machine m, Heartbeat r, boolean answer) {
         long now = context.now();
         boolean missed = m.channel.answerToken() > r.token();
-        for (Key k : m.channel.answerLaunches()) {
-            Live l = m.live.get(k);
+        for (AttemptId k : m.channel.answerLaunches()) {
+            AssignedAttempt l = m.live.get(k);
             missed |= l != null && l.attempt.session() == r.session() && !m.reported.containsKey(k);
         }
         boolean sure = answer
@@ -224,7 +224,7 @@
         }
     }
 
-    private void notice(Machine m, Report r) {
+    private void notice(Machine m, Heartbeat r) {
         if (Double.isNaN(r.noticeS())) {
             m.takenAt = 0;
         } else {
@@ -239,14 +239,14 @@
      * A report that lacks an attempt proves it gone only if it is from a later session than the launch, or if the
      * worker had by then seen a token above the launch's, so that a late copy of the launch is refused.
      */
-    private static Outcome goneBy(Attempt a, Report r) {
+    private static Outcome goneBy(Attempt a, Heartbeat r) {
         if (r.session() > a.session() || (r.session() == a.session() && r.token() > a.token())) {
             return Outcome.GONE;
         }
         return null;
     }
 
-    private static Outcome endOf(TaskState t) {
+    private static Outcome endOf(TaskStatus t) {
         if (t.phase() != Phase.EXITED) {
             return null;
         }
@@ -259,7 +259,7 @@
     }
 
     /** Tells faulty machines from faulty jobs: a machine is to blame once tasks of two jobs failed on it in a row. */
-    private void judge(Machine m, Live l, Outcome outcome) {
+    private void judge(Machine m, AssignedAttempt l, Outcome outcome) {
         context.debug(l.job.id + "/" + l.attempt.task() + " #" + l.attempt.number() + " on " + m.name + ": " + outcome);
         if (outcome == Outcome.DONE) {
             m.failedJobs.clear();
@@ -290,8 +290,8 @@
                 later.add(m);
                 continue;
             }
-            List<Order> orders = planner.orders(m, false);
-            boolean urgent = orders.stream().anyMatch(o -> o.kind() != Order.Kind.FORGET);
+            List<WorkerCommand> orders = planner.orders(m, false);
+            boolean urgent = orders.stream().anyMatch(o -> o.kind() != WorkerCommand.Action.FORGET);
             boolean probe = m.reachability.probeDue(context.now(), PROBE_MS)
                     && (!m.reachability.tokenTold() && !m.live.isEmpty() || m.sequence > 0);
             if (urgent || probe) {
@@ -301,12 +301,12 @@
                     m.reachability.probed(context.now());
                 }
                 m.reachability.tokenSent();
-                for (Order o : orders) {
-                    m.commanded.put(new Key(o.job(), o.task(), o.attempt()), context.now());
+                for (WorkerCommand o : orders) {
+                    m.commanded.put(new AttemptId(o.job(), o.task(), o.attempt()), context.now());
                 }
                 m.channel.commandSent(launches(orders), context.now());
                 orderLog.commanded(m, orders);
-                context.emit(new Effect.Command(m.name, m.address, m.session, m.token(), orders));
+                context.emit(new Effect.SendCommands(m.name, m.address, m.session, m.token(), orders));
             }
         }
         machines.changed().clear();
@@ -324,7 +324,7 @@
         }
     }
 
-    public void answered(Input.CommandAnswered in) {
+    public void answered(Input.CommandCompleted in) {
         Machine m = machines.get(in.machine());
         if (m == null) {
             return;
--- a/src/main/java/dewlane/io/CloudClient.java
+++ b/src/main/java/dewlane/io/CloudClient.java
@@ -2,8 +2,8 @@
 
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.model.ListedMachine;
-import dewlane.wire.CloudWire;
+import dewlane.core.model.CloudInstance;
+import dewlane.wire.CloudProtocol;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -22,21 +22,21 @@
     private static final int RENT_TRIES = 4;
 
     private final XnioIoThread thread;
-    private final HttpPool calls;
+    private final HttpConnectionPool calls;
     private final Consumer<Input> core;
     private boolean listing;
 
     CloudClient(XnioIoThread thread, ByteBufferPool buffers, String address, Consumer<Input> core) {
         this.thread = thread;
-        this.calls = new HttpPool(thread, buffers, address, 4);
+        this.calls = new HttpConnectionPool(thread, buffers, address, 4);
         this.core = core;
     }
 
     void catalog() {
-        calls.send(Methods.GET, CloudWire.CATALOG, null, CALL_MS, (status, body) -> {
+        calls.send(Methods.GET, CloudProtocol.CATALOG, null, CALL_MS, (status, body) -> {
             try {
                 if (status == 200) {
-                    core.accept(new Input.CatalogRead(CloudWire.catalog(body)));
+                    core.accept(new Input.MachineTypesListed(CloudProtocol.catalog(body)));
                 }
             } catch (IOException e) {
                 LOG.error("unreadable catalog: {}", e.getMessage());
@@ -51,21 +51,21 @@
         }
     }
 
-    private void page(String after, List<ListedMachine> machines) {
-        calls.send(Methods.GET, CloudWire.page(after), null, CALL_MS, (status, body) -> {
+    private void page(String after, List<CloudInstance> machines) {
+        calls.send(Methods.GET, CloudProtocol.page(after), null, CALL_MS, (status, body) -> {
             listing = false;
             if (status != 200) {
                 LOG.debug("the cloud lists no machines: {}", status);
                 return;
             }
             try {
-                CloudWire.Page page = CloudWire.page(body);
+                CloudProtocol.Page page = CloudProtocol.page(body);
                 machines.addAll(page.machines());
                 if (page.more() && !page.machines().isEmpty()) {
                     listing = true;
                     page(page.machines().get(page.machines().size() - 1).name(), machines);
                 } else {
-                    core.accept(new Input.MachinesListed(machines));
+                    core.accept(new Input.InstancesListed(machines));
                 }
             } catch (IOException e) {
                 LOG.error("unreadable machine list: {}", e.getMessage());
@@ -73,31 +73,31 @@
         });
     }
 
-    void rent(Effect.Rent rent) {
+    void rent(Effect.CreateInstances rent) {
         rent(rent, 1);
     }
 
     /** The same request under the same name rents nothing twice, so it is repeated until it is answered. */
-    private void rent(Effect.Rent rent, int attempt) {
-        byte[] request = CloudWire.rent(rent.request(), rent.type(), rent.zone(), rent.spot(), rent.count());
-        calls.send(Methods.POST, CloudWire.MACHINES, request, CALL_MS, (status, body) -> {
+    private void rent(Effect.CreateInstances rent, int attempt) {
+        byte[] request = CloudProtocol.rent(rent.request(), rent.type(), rent.zone(), rent.spot(), rent.count());
+        calls.send(Methods.POST, CloudProtocol.MACHINES, request, CALL_MS, (status, body) -> {
             if (status == 200) {
                 List<String> names = List.of();
                 try {
-                    names = CloudWire.rented(body);
+                    names = CloudProtocol.rented(body);
                 } catch (IOException e) {
                     LOG.error("unreadable rental: {}", e.getMessage());
                 }
-                core.accept(new Input.Rented(rent.request(), Input.RentStatus.RENTED, names));
-            } else if (status == 503 && CloudWire.noCapacity(body)) {
-                core.accept(new Input.Rented(rent.request(), Input.RentStatus.NO_CAPACITY, List.of()));
+                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.RENTED, names));
+            } else if (status == 503 && CloudProtocol.noCapacity(body)) {
+                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.NO_CAPACITY, List.of()));
             } else if (status == 400) {
                 LOG.error("the cloud calls a rental malformed: {}", rent);
-                core.accept(new Input.Rented(rent.request(), Input.RentStatus.INVALID, List.of()));
+                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.INVALID, List.of()));
             } else if (attempt < RENT_TRIES) {
                 thread.executeAfter(() -> rent(rent, attempt + 1), 1000L * attempt, TimeUnit.MILLISECONDS);
             } else {
-                core.accept(new Input.Rented(rent.request(), Input.RentStatus.UNKNOWN, List.of()));
+                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.UNKNOWN, List.of()));
             }
         });
     }
@@ -105,9 +105,9 @@
     void delete(List<String> machines) {
         calls.send(
                 Methods.POST,
-                CloudWire.DELETE,
-                CloudWire.delete(machines),
+                CloudProtocol.DELETE,
+                CloudProtocol.delete(machines),
                 CALL_MS,
-                (status, body) -> core.accept(new Input.Deleted(machines, status == 200)));
+                (status, body) -> core.accept(new Input.InstancesDeleted(machines, status == 200)));
     }
 }
--- a/src/main/java/dewlane/io/Node.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -4,11 +4,11 @@
 import dewlane.core.controller.Controller;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.model.Report;
-import dewlane.wire.PeerWire;
-import dewlane.wire.UserWire;
-import dewlane.wire.ValueCodec;
-import dewlane.wire.WorkerWire;
+import dewlane.core.model.Heartbeat;
+import dewlane.wire.PeerProtocol;
+import dewlane.wire.StoredValueCodec;
+import dewlane.wire.UserProtocol;
+import dewlane.wire.WorkerProtocol;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
@@ -34,8 +34,8 @@
 import org.xnio.XnioWorker;
 
 /** One controller's sockets and timers round its core. Everything runs on one I/O thread, so nothing is locked. */
-public final class Node {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class ControllerServer {
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
     private static final Logger CORE = LoggerFactory.getLogger(Controller.class);
     private static final long TICK_MS = 100;
     /** Users wait 5 s for an answer, and 2 s when they ask about a job. */
@@ -54,10 +54,10 @@
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, 8192, 200, 0);
-    private final StateClient state;
+    private final StoreClient state;
     private final CloudClient cloud;
-    private final WorkerPools workers;
-    private final WorkerCommands commands;
+    private final WorkerConnectionPools workers;
+    private final WorkerCommandClient commands;
     private final PeerClient peers;
     private final Long2ObjectOpenHashMap<HttpServerExchange> pending = new Long2ObjectOpenHashMap<>();
     /** Requests of users in the order in which they came; most are answered by the time it is looked at. */
@@ -70,10 +70,10 @@
     private Undertow server;
     private long nextId = 1;
 
-    public Node(Settings settings, Endpoints endpoints, long seed) throws IOException {
+    public ControllerServer(Settings settings, Endpoints endpoints, long seed) throws IOException {
         this.settings = settings;
         this.endpoints = endpoints;
-        this.controller = new Controller(settings, seed, value -> ValueCodec.bytes(value).length);
+        this.controller = new Controller(settings, seed, value -> StoredValueCodec.bytes(value).length);
         this.controller.logOrders(CORE.isDebugEnabled());
         this.worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -84,7 +84,7 @@
                         .set(Options.THREAD_DAEMON, false)
                         .getMap());
         this.thread = worker.getIoThread();
-        this.state = new StateClient(
+        this.state = new StoreClient(
                 thread,
                 buffers,
                 endpoints.state(),
@@ -92,8 +92,8 @@
                 settings.peers().size() + 1,
                 this::accept);
         this.cloud = new CloudClient(thread, buffers, endpoints.cloud(), this::accept);
-        this.workers = new WorkerPools(thread, buffers, endpoints.commands());
-        this.commands = new WorkerCommands(workers, this::accept);
+        this.workers = new WorkerConnectionPools(thread, buffers, endpoints.commands());
+        this.commands = new WorkerCommandClient(workers, this::accept);
         this.peers = new PeerClient(thread, buffers, endpoints.peers().values());
     }
 
@@ -146,7 +146,7 @@
     /** Tells those to come back who have been without an answer for about as long as they wait for one. */
     private void giveUp(Deque<Asked> requests, long afterMs) {
         while (!requests.isEmpty() && System.nanoTime() - requests.peek().at() > afterMs * 1_000_000) {
-            reply(requests.poll().id(), 503, UserWire.error("no answer in time, try again"));
+            reply(requests.poll().id(), 503, UserProtocol.error("no answer in time, try again"));
         }
     }
 
@@ -180,15 +180,15 @@
     }
 
     private void act(Effect effect) {
-        if (effect instanceof Effect.AnswerReport e) {
-            reply(e.id(), 200, WorkerWire.answer(e.token(), e.orders()));
-        } else if (effect instanceof Effect.RedirectReport e) {
-            reply(e.id(), 421, WorkerWire.redirect(e.node()));
-        } else if (effect instanceof Effect.RefuseReport e) {
-            reply(e.id(), 503, UserWire.error("not entitled now"));
+        if (effect instanceof Effect.AnswerHeartbeat e) {
+            reply(e.id(), 200, WorkerProtocol.answer(e.token(), e.orders()));
+        } else if (effect instanceof Effect.RedirectHeartbeat e) {
+            reply(e.id(), 421, WorkerProtocol.redirect(e.node()));
+        } else if (effect instanceof Effect.RejectHeartbeat e) {
+            reply(e.id(), 503, UserProtocol.error("not entitled now"));
         } else if (effect instanceof Effect.AnswerUser e) {
             answerUser(e);
-        } else if (effect instanceof Effect.SendTxn e) {
+        } else if (effect instanceof Effect.CommitTransaction e) {
             state.txn(e.id(), e.txn());
         } else if (effect instanceof Effect.Watch e) {
             state.watch(e.since());
@@ -196,23 +196,23 @@
             state.read(e.id(), e.key());
         } else if (effect instanceof Effect.ReadRevision) {
             state.readRevision();
-        } else if (effect instanceof Effect.ListState) {
+        } else if (effect instanceof Effect.ListStore) {
             state.list();
         } else if (effect instanceof Effect.GrantLease e) {
             state.grant(e.ttlMs());
-        } else if (effect instanceof Effect.TouchLease e) {
+        } else if (effect instanceof Effect.RenewLease e) {
             state.touch(e.lease());
-        } else if (effect instanceof Effect.Command e) {
+        } else if (effect instanceof Effect.SendCommands e) {
             commands.send(e);
-        } else if (effect instanceof Effect.ReadCatalog) {
+        } else if (effect instanceof Effect.ListMachineTypes) {
             cloud.catalog();
-        } else if (effect instanceof Effect.ListMachines) {
+        } else if (effect instanceof Effect.ListInstances) {
             cloud.list();
-        } else if (effect instanceof Effect.Rent e) {
+        } else if (effect instanceof Effect.CreateInstances e) {
             cloud.rent(e);
-        } else if (effect instanceof Effect.Delete e) {
+        } else if (effect instanceof Effect.DeleteInstances e) {
             cloud.delete(e.machines());
-        } else if (effect instanceof Effect.TellPeers e) {
+        } else if (effect instanceof Effect.BroadcastStatus e) {
             peers.tell(e);
         } else if (effect instanceof Effect.Log e) {
             switch (e.level()) {
@@ -231,7 +231,7 @@
         if (answer.status() == 503) {
             exchange.getResponseHeaders().put(RETRY_AFTER, answer.retryAfterS());
         }
-        byte[] body = answer.state() != null ? UserWire.state(answer.state()) : UserWire.error(answer.reason());
+        byte[] body = answer.state() != null ? UserProtocol.state(answer.state()) : UserProtocol.error(answer.reason());
         HttpExchanges.send(exchange, answer.status(), body);
     }
 
@@ -240,51 +240,51 @@
         HttpString method = exchange.getRequestMethod();
         if (path.equals("/healthz")) {
             if (!method.equals(Methods.GET)) {
-                HttpExchanges.send(exchange, 405, UserWire.error("use GET"));
+                HttpExchanges.send(exchange, 405, UserProtocol.error("use GET"));
             } else if (controller.healthy()) {
-                HttpExchanges.send(exchange, 200, UserWire.error("none"));
+                HttpExchanges.send(exchange, 200, UserProtocol.error("none"));
             } else {
-                HttpExchanges.send(exchange, 503, UserWire.error("not ready"));
+                HttpExchanges.send(exchange, 503, UserProtocol.error("not ready"));
             }
-        } else if (path.equals(WorkerWire.REPORT)) {
+        } else if (path.equals(WorkerProtocol.REPORT)) {
             HttpExchanges.only(exchange, Methods.POST, () -> HttpExchanges.receive(exchange, this::report));
-        } else if (path.equals(UserWire.RUNS)) {
+        } else if (path.equals(UserProtocol.RUNS)) {
             HttpExchanges.only(exchange, Methods.POST, () -> HttpExchanges.receive(exchange, this::submit));
-        } else if (path.startsWith(UserWire.RUNS + "/")) {
-            job(exchange, path.substring(UserWire.RUNS.length() + 1));
+        } else if (path.startsWith(UserProtocol.RUNS + "/")) {
+            job(exchange, path.substring(UserProtocol.RUNS.length() + 1));
         } else {
-            HttpExchanges.send(exchange, 404, UserWire.error("no such path"));
+            HttpExchanges.send(exchange, 404, UserProtocol.error("no such path"));
         }
     }
 
     private void job(HttpServerExchange exchange, String rest) {
         int slash = rest.indexOf('/');
         String id = slash < 0 ? rest : rest.substring(0, slash);
-        boolean abort = slash >= 0 && rest.substring(slash + 1).equals(UserWire.ABORT);
+        boolean abort = slash >= 0 && rest.substring(slash + 1).equals(UserProtocol.ABORT);
         if (slash >= 0 && !abort) {
-            HttpExchanges.send(exchange, 404, UserWire.error("no such path"));
+            HttpExchanges.send(exchange, 404, UserProtocol.error("no such path"));
         } else if (!exchange.getRequestMethod().equals(abort ? Methods.POST : Methods.GET)) {
-            HttpExchanges.send(exchange, 405, UserWire.error("use " + (abort ? "POST" : "GET")));
-        } else if (!UserWire.isUid(id)) {
-            HttpExchanges.send(exchange, 404, UserWire.error("no such job"));
+            HttpExchanges.send(exchange, 405, UserProtocol.error("use " + (abort ? "POST" : "GET")));
+        } else if (!UserProtocol.isUid(id)) {
+            HttpExchanges.send(exchange, 404, UserProtocol.error("no such job"));
         } else if (abort) {
-            HttpExchanges.receive(exchange, (e, body) -> fromUser(e, asked, n -> new Input.Abort(n, id)));
+            HttpExchanges.receive(exchange, (e, body) -> fromUser(e, asked, n -> new Input.CancelJob(n, id)));
         } else {
             exchange.dispatch(
-                    SameThreadExecutor.INSTANCE, () -> fromUser(exchange, polled, n -> new Input.Poll(n, id)));
+                    SameThreadExecutor.INSTANCE, () -> fromUser(exchange, polled, n -> new Input.GetJobStatus(n, id)));
         }
     }
 
     private void submit(HttpServerExchange exchange, byte[] body) {
-        UserWire.Submission s = UserWire.submission(body);
-        fromUser(exchange, asked, n -> new Input.Submit(n, s.uid(), s.job(), s.reason()));
+        UserProtocol.Submission s = UserProtocol.submission(body);
+        fromUser(exchange, asked, n -> new Input.SubmitJob(n, s.uid(), s.job(), s.reason()));
     }
 
     /** Asks the core for an answer. Too many at once are told to come back. */
     private void fromUser(
             HttpServerExchange exchange, Deque<Asked> requests, java.util.function.LongFunction<Input> input) {
         if (pending.size() >= MAX_PENDING) {
-            HttpExchanges.send(exchange, 503, UserWire.error("too busy, try again"));
+            HttpExchanges.send(exchange, 503, UserProtocol.error("too busy, try again"));
             return;
         }
         long id = nextId++;
@@ -299,11 +299,11 @@
     }
 
     private void report(HttpServerExchange exchange, byte[] body) {
-        Report report;
+        Heartbeat report;
         try {
-            report = WorkerWire.report(body);
+            report = WorkerProtocol.report(body);
         } catch (IOException | NumberFormatException e) {
-            HttpExchanges.send(exchange, 400, UserWire.error("not a report"));
+            HttpExchanges.send(exchange, 400, UserProtocol.error("not a report"));
             return;
         }
         if (controller.machines() > endpoints.keptReportConnections()) {
@@ -312,21 +312,21 @@
         }
         long id = nextId++;
         pending.put(id, exchange);
-        accept(new Input.ReportReceived(id, report));
-        reply(id, 503, UserWire.error("not entitled now"));
+        accept(new Input.HeartbeatReceived(id, report));
+        reply(id, 503, UserProtocol.error("not entitled now"));
     }
 
     private void servePeer(HttpServerExchange exchange) {
-        if (!exchange.getRelativePath().equals(PeerWire.STATUS)) {
-            HttpExchanges.send(exchange, 404, UserWire.error("no such path"));
+        if (!exchange.getRelativePath().equals(PeerProtocol.STATUS)) {
+            HttpExchanges.send(exchange, 404, UserProtocol.error("no such path"));
             return;
         }
         HttpExchanges.receive(exchange, (e, body) -> {
             try {
-                accept(new Input.PeerHeard(PeerWire.status(body)));
-                HttpExchanges.send(e, 200, UserWire.error("none"));
+                accept(new Input.PeerStatusReceived(PeerProtocol.status(body)));
+                HttpExchanges.send(e, 200, UserProtocol.error("none"));
             } catch (IOException | RuntimeException bad) {
-                HttpExchanges.send(e, 400, UserWire.error("not a status"));
+                HttpExchanges.send(e, 400, UserProtocol.error("not a status"));
             }
         });
     }
--- a/src/main/java/dewlane/io/HttpPool.java
+++ b/src/main/java/dewlane/io/HttpConnectionPool.java
@@ -26,7 +26,7 @@
  * Kept-open connections to one address, one request at a time on each. All of it runs on one I/O thread. A call whose
  * time runs out closes its connection and is told that no answer came; the request may still be carried out.
  */
-final class HttpPool {
+final class HttpConnectionPool {
     /** No answer came. */
     static final int NO_ANSWER = -1;
 
@@ -87,7 +87,7 @@
     private long usedAt = System.nanoTime();
     private boolean closed;
 
-    HttpPool(XnioIoThread thread, ByteBufferPool buffers, String address, int most) {
+    HttpConnectionPool(XnioIoThread thread, ByteBufferPool buffers, String address, int most) {
         this.thread = thread;
         this.buffers = buffers;
         this.address = address;
--- a/src/main/java/dewlane/io/HttpExchanges.java
+++ b/src/main/java/dewlane/io/HttpExchanges.java
@@ -1,6 +1,6 @@
 package dewlane.io;
 
-import dewlane.wire.UserWire;
+import dewlane.wire.UserProtocol;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
@@ -23,7 +23,7 @@
         if (exchange.getRequestMethod().equals(method)) {
             then.run();
         } else {
-            send(exchange, 405, UserWire.error("use " + method));
+            send(exchange, 405, UserProtocol.error("use " + method));
         }
     }
 
@@ -31,7 +31,7 @@
     static void receive(HttpServerExchange exchange, Receiver receiver) {
         if (exchange.getRequestContentLength() > MAX_BODY) {
             exchange.setPersistent(false);
-            send(exchange, 400, UserWire.error("the body is over 64 KiB"));
+            send(exchange, 400, UserProtocol.error("the body is over 64 KiB"));
             return;
         }
         exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY);
@@ -40,7 +40,7 @@
                         (e, body) -> e.dispatch(SameThreadExecutor.INSTANCE, () -> receiver.received(e, body)),
                         (e, bad) -> {
                             e.setPersistent(false);
-                            send(e, 400, UserWire.error("the body is over 64 KiB or broke off"));
+                            send(e, 400, UserProtocol.error("the body is over 64 KiB or broke off"));
                         });
     }
 
--- a/src/main/java/dewlane/io/PeerClient.java
+++ b/src/main/java/dewlane/io/PeerClient.java
@@ -2,7 +2,7 @@
 
 import dewlane.core.message.Effect;
 import dewlane.core.model.PeerStatus;
-import dewlane.wire.PeerWire;
+import dewlane.wire.PeerProtocol;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -18,26 +18,27 @@
     private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
     private static final long PEER_MS = 1500;
 
-    private final List<HttpPool> pools = new ArrayList<>();
+    private final List<HttpConnectionPool> pools = new ArrayList<>();
 
     PeerClient(XnioIoThread thread, ByteBufferPool buffers, Collection<String> addresses) {
-        addresses.forEach(address -> pools.add(new HttpPool(thread, buffers, address, 1)));
+        addresses.forEach(address -> pools.add(new HttpConnectionPool(thread, buffers, address, 1)));
     }
 
-    void tell(Effect.TellPeers tell) {
+    void tell(Effect.BroadcastStatus tell) {
         List<byte[]> pages = new ArrayList<>();
         try {
             for (PeerStatus page : tell.pages()) {
-                pages.add(PeerWire.status(page));
+                pages.add(PeerProtocol.status(page));
             }
         } catch (IOException e) {
             LOG.error("cannot write a status: {}", e.getMessage());
             return;
         }
-        for (HttpPool pool : pools) {
+        for (HttpConnectionPool pool : pools) {
             // One that does not answer is told again once its time has run out, of what is true by then.
             if (!pool.busy()) {
-                pages.forEach(page -> pool.send(Methods.POST, PeerWire.STATUS, page, PEER_MS, (status, answer) -> {}));
+                pages.forEach(
+                        page -> pool.send(Methods.POST, PeerProtocol.STATUS, page, PEER_MS, (status, answer) -> {}));
             }
         }
     }
--- a/src/main/java/dewlane/io/StateClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -1,9 +1,9 @@
 package dewlane.io;
 
 import dewlane.core.message.Input;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.Transaction;
-import dewlane.wire.StateWire;
+import dewlane.wire.StoreProtocol;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
 import java.io.IOException;
@@ -16,8 +16,8 @@
 import org.xnio.XnioIoThread;
 
 /** Talks to the state service and hands its answers to the core. */
-final class StateClient {
-    private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
+final class StoreClient {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private static final int PAGE = 200;
     private static final long CALL_MS = 1500;
     private static final long WATCH_MS = 800;
@@ -29,13 +29,13 @@
     private static final long RETRY_MS = 300;
 
     private final XnioIoThread thread;
-    private final HttpPool calls;
-    private final HttpPool leases;
-    private final HttpPool watches;
+    private final HttpConnectionPool calls;
+    private final HttpConnectionPool leases;
+    private final HttpConnectionPool watches;
     private final Consumer<Input> core;
     private final long watchPauseMs;
 
-    StateClient(
+    StoreClient(
             XnioIoThread thread,
             ByteBufferPool buffers,
             String address,
@@ -43,35 +43,35 @@
             int controllers,
             Consumer<Input> core) {
         this.thread = thread;
-        this.calls = new HttpPool(thread, buffers, address, 12);
-        this.leases = new HttpPool(thread, buffers, address, 2);
-        this.watches = new HttpPool(thread, buffers, address, 2);
+        this.calls = new HttpConnectionPool(thread, buffers, address, 12);
+        this.leases = new HttpConnectionPool(thread, buffers, address, 2);
+        this.watches = new HttpConnectionPool(thread, buffers, address, 2);
         this.core = core;
         this.watchPauseMs = Math.max(WATCH_PAUSE_MS, Math.round(1000 * controllers / (rps * WATCH_SHARE)));
     }
 
     void list() {
-        page(Keys.AFTER_FINALS, new ArrayList<>(), 0);
+        page(StoreKeys.AFTER_FINALS, new ArrayList<>(), 0);
     }
 
-    private void page(String after, List<Input.Row> rows, long first) {
-        calls.send(Methods.GET, StateWire.list(Keys.ROOT, after, PAGE), null, 3000, (status, body) -> {
+    private void page(String after, List<Input.StoreRow> rows, long first) {
+        calls.send(Methods.GET, StoreProtocol.list(StoreKeys.ROOT, after, PAGE), null, 3000, (status, body) -> {
             if (status != 200) {
-                thread.executeAfter(() -> core.accept(new Input.ListFailed()), RETRY_MS, TimeUnit.MILLISECONDS);
+                thread.executeAfter(() -> core.accept(new Input.StoreListFailed()), RETRY_MS, TimeUnit.MILLISECONDS);
                 return;
             }
             try {
-                StateWire.Page page = StateWire.page(body);
+                StoreProtocol.Page page = StoreProtocol.page(body);
                 rows.addAll(page.rows());
                 long from = first == 0 ? page.revision() : first;
                 if (page.more() && page.last() != null) {
                     page(page.last(), rows, from);
                 } else {
-                    core.accept(new Input.StateListed(rows, from, page.revision()));
+                    core.accept(new Input.StoreListed(rows, from, page.revision()));
                 }
             } catch (IOException e) {
                 LOG.error("unreadable list of the state service: {}", e.getMessage());
-                core.accept(new Input.ListFailed());
+                core.accept(new Input.StoreListFailed());
             }
         });
     }
@@ -82,24 +82,28 @@
 
     private void openWatch(long since) {
         watches.send(
-                Methods.GET, StateWire.watch(Keys.ROOT, since, WATCH_MS), null, WATCH_MS + 1500, (status, body) -> {
+                Methods.GET,
+                StoreProtocol.watch(StoreKeys.ROOT, since, WATCH_MS),
+                null,
+                WATCH_MS + 1500,
+                (status, body) -> {
                     try {
                         if (status == 200) {
-                            StateWire.Events events = StateWire.events(body);
-                            core.accept(new Input.Changes(events.changes(), events.revision()));
+                            StoreProtocol.Events events = StoreProtocol.events(body);
+                            core.accept(new Input.WatchEvents(events.changes(), events.revision()));
                             return;
                         }
                     } catch (IOException e) {
                         LOG.error("unreadable changes of the state service: {}", e.getMessage());
                     }
-                    long pause = status == HttpPool.NO_ANSWER ? 0 : RETRY_MS;
+                    long pause = status == HttpConnectionPool.NO_ANSWER ? 0 : RETRY_MS;
                     thread.executeAfter(
                             () -> core.accept(new Input.WatchFailed(status == 410)), pause, TimeUnit.MILLISECONDS);
                 });
     }
 
     void txn(long id, Transaction txn) {
-        calls.send(Methods.POST, StateWire.TXN, StateWire.txn(txn), CALL_MS, (status, body) -> {
+        calls.send(Methods.POST, StoreProtocol.TXN, StoreProtocol.txn(txn), CALL_MS, (status, body) -> {
             Transaction.Status outcome =
                     switch (status) {
                         case 200 -> Transaction.Status.COMMITTED;
@@ -112,7 +116,7 @@
             long revision = 0;
             try {
                 if (status == 200 || status == 409) {
-                    revision = StateWire.revision(body);
+                    revision = StoreProtocol.revision(body);
                 } else if (status == 400) {
                     LOG.error(
                             "the state service calls a write invalid: {}",
@@ -121,15 +125,15 @@
             } catch (IOException e) {
                 outcome = Transaction.Status.UNKNOWN;
             }
-            core.accept(new Input.TxnAnswer(id, outcome, revision));
+            core.accept(new Input.TransactionCompleted(id, outcome, revision));
         });
     }
 
     void read(long id, String key) {
-        calls.send(Methods.GET, StateWire.get(key), null, CALL_MS, (status, body) -> {
+        calls.send(Methods.GET, StoreProtocol.get(key), null, CALL_MS, (status, body) -> {
             try {
                 if (status == 200) {
-                    Input.Row row = StateWire.row(key, body);
+                    Input.StoreRow row = StoreProtocol.row(key, body);
                     core.accept(new Input.ValueRead(id, true, row.value(), row.version()));
                     return;
                 }
@@ -142,11 +146,11 @@
 
     /** Reads a key that never exists: the answer names the latest revision. */
     void readRevision() {
-        calls.send(Methods.GET, StateWire.get(Keys.NONE), null, CALL_MS, (status, body) -> {
+        calls.send(Methods.GET, StoreProtocol.get(StoreKeys.NONE), null, CALL_MS, (status, body) -> {
             Input.RevisionRead read = new Input.RevisionRead(false, 0);
             try {
                 if (status == 404) {
-                    read = new Input.RevisionRead(true, StateWire.revision(body));
+                    read = new Input.RevisionRead(true, StoreProtocol.revision(body));
                 }
             } catch (IOException e) {
                 LOG.error("unreadable revision of the state service: {}", e.getMessage());
@@ -156,10 +160,10 @@
     }
 
     void grant(long ttlMs) {
-        leases.send(Methods.POST, StateWire.GRANTS, StateWire.grant(ttlMs), CALL_MS, (status, body) -> {
+        leases.send(Methods.POST, StoreProtocol.GRANTS, StoreProtocol.grant(ttlMs), CALL_MS, (status, body) -> {
             long lease = 0;
             try {
-                lease = status == 200 ? StateWire.granted(body) : 0;
+                lease = status == 200 ? StoreProtocol.granted(body) : 0;
             } catch (IOException e) {
                 LOG.error("unreadable grant: {}", e.getMessage());
             }
@@ -170,9 +174,9 @@
     void touch(long lease) {
         leases.send(
                 Methods.POST,
-                StateWire.touch(lease),
+                StoreProtocol.touch(lease),
                 new byte[0],
                 1000,
-                (status, body) -> core.accept(new Input.LeaseTouched(lease, status == 200, status == 404)));
+                (status, body) -> core.accept(new Input.LeaseRenewalCompleted(lease, status == 200, status == 404)));
     }
 }
--- a/src/main/java/dewlane/io/WorkerPools.java
+++ b/src/main/java/dewlane/io/WorkerConnectionPools.java
@@ -12,7 +12,7 @@
  * machines must not use up the sockets that reports, users and the state service need. The one that was idle for
  * longest makes room.
  */
-final class WorkerPools {
+final class WorkerConnectionPools {
     private static final long COMMAND_MS = 2500;
     private static final long IDLE_MS = 60_000;
 
@@ -20,22 +20,22 @@
     private final ByteBufferPool buffers;
     private final int most;
     /** The least recently used first. */
-    private final Map<String, HttpPool> pools = new LinkedHashMap<>(64, 0.75f, true);
+    private final Map<String, HttpConnectionPool> pools = new LinkedHashMap<>(64, 0.75f, true);
 
-    WorkerPools(XnioIoThread thread, ByteBufferPool buffers, int most) {
+    WorkerConnectionPools(XnioIoThread thread, ByteBufferPool buffers, int most) {
         this.thread = thread;
         this.buffers = buffers;
         this.most = most;
     }
 
     /** Sends a command; false if no connection may be opened for it now, so that nothing is sent. */
-    boolean send(String address, String path, byte[] body, HttpPool.Callback callback) {
-        HttpPool pool = pools.get(address);
+    boolean send(String address, String path, byte[] body, HttpConnectionPool.Callback callback) {
+        HttpConnectionPool pool = pools.get(address);
         if (pool == null) {
             if (pools.size() >= most && !makeRoom()) {
                 return false;
             }
-            pool = new HttpPool(thread, buffers, address, 1);
+            pool = new HttpConnectionPool(thread, buffers, address, 1);
             pools.put(address, pool);
         }
         // A pool stays after a call without an answer: a new one would open one more connection to a machine that
@@ -45,8 +45,8 @@
     }
 
     private boolean makeRoom() {
-        for (Iterator<HttpPool> i = pools.values().iterator(); i.hasNext(); ) {
-            HttpPool pool = i.next();
+        for (Iterator<HttpConnectionPool> i = pools.values().iterator(); i.hasNext(); ) {
+            HttpConnectionPool pool = i.next();
             if (!pool.busy()) {
                 i.remove();
                 pool.close();
--- a/src/main/java/dewlane/wire/CloudWire.java
+++ b/src/main/java/dewlane/wire/CloudProtocol.java
@@ -1,6 +1,6 @@
 package dewlane.wire;
 
-import dewlane.core.model.ListedMachine;
+import dewlane.core.model.CloudInstance;
 import dewlane.core.model.MachineType;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -8,17 +8,17 @@
 import java.util.Map;
 
 /** The cloud's protocol. */
-public final class CloudWire {
+public final class CloudProtocol {
     public static final String CATALOG = "/catalog";
     public static final String MACHINES = "/machines";
     public static final String DELETE = "/machines/delete";
     public static final int MAX_DELETE = 100;
     private static final int PAGE = 500;
 
-    private CloudWire() {}
+    private CloudProtocol() {}
 
     /** A page of the machine list. */
-    public record Page(List<ListedMachine> machines, boolean more) {}
+    public record Page(List<CloudInstance> machines, boolean more) {}
 
     /** Reads the machine types, their zones and present prices. */
     public static List<MachineType> catalog(byte[] body) throws IOException {
@@ -53,19 +53,19 @@
     /** Reads one page of the machine list. */
     public static Page page(byte[] body) throws IOException {
         Map<String, Object> in = Json.object(body);
-        List<ListedMachine> machines = new ArrayList<>();
+        List<CloudInstance> machines = new ArrayList<>();
         for (Object o : Json.list(in, "casks")) {
             Map<String, Object> m = Json.object(o);
-            machines.add(new ListedMachine(
+            machines.add(new CloudInstance(
                     Json.string(m, "uid"),
                     Json.string(m, "address"),
                     Json.string(m, "rack"),
                     Json.string(m, "cellar"),
                     Json.flag(m, "consignment"),
                     switch (String.valueOf(Json.string(m, "condition"))) {
-                        case "running" -> ListedMachine.State.RUNNING;
-                        case "failed" -> ListedMachine.State.FAILED;
-                        default -> ListedMachine.State.STARTING;
+                        case "running" -> CloudInstance.State.RUNNING;
+                        case "failed" -> CloudInstance.State.FAILED;
+                        default -> CloudInstance.State.STARTING;
                     },
                     zeroIfNone(m, "heldS")));
         }
--- a/src/main/java/dewlane/wire/JobIdList.java
+++ b/src/main/java/dewlane/wire/JobIdListCodec.java
@@ -13,7 +13,7 @@
  * prefix and digits; those with equally many digits are sorted and written as differences, five bits a character:
  * {@code 6:differences;7:differences}.
  */
-final class JobIdList {
+final class JobIdListCodec {
     private static final String PREFIX = "wk-";
     /** The first half ends a number, the second half says that more of it follows. */
     private static final String DIGITS = "0123456789ABCDEFGHIJKLMNOPQRSTUV" + "abcdefghijklmnopqrstuvwxyz!#$&*+";
@@ -21,7 +21,7 @@
     private static final int BITS = 5;
     private static final int MORE = 1 << BITS;
 
-    private JobIdList() {}
+    private JobIdListCodec() {}
 
     static String write(Collection<String> ids) {
         Map<Integer, TreeSet<BigInteger>> byLength = new TreeMap<>();
--- a/src/main/java/dewlane/wire/JobCodec.java
+++ b/src/main/java/dewlane/wire/JobRecordCodec.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** The fields in which a job's record keeps what its user submitted. */
-final class JobCodec {
+final class JobRecordCodec {
     /** All fields of a job's record, those included that tell how it was dealt and that it was cancelled. */
     static final Set<String> FIELDS = Set.of(
             "id",
@@ -35,7 +35,7 @@
             "deals",
             "aborted");
 
-    private JobCodec() {}
+    private JobRecordCodec() {}
 
     static void write(JsonGenerator out, Job j) throws IOException {
         out.writeStringField("id", j.id());
@@ -65,7 +65,7 @@
         out.writeNumberField("deadline", j.deadlineS());
         out.writeNumberField("accepted", j.acceptedMs());
         if (!j.awaits().isEmpty()) {
-            out.writeStringField("awaits", JobIdList.write(j.awaits()));
+            out.writeStringField("awaits", JobIdListCodec.write(j.awaits()));
         }
     }
 
@@ -97,6 +97,6 @@
                 Json.number(in, "save"),
                 Json.number(in, "deadline"),
                 Json.whole(in, "accepted"),
-                JobIdList.read(Json.string(in, "awaits")));
+                JobIdListCodec.read(Json.string(in, "awaits")));
     }
 }
--- a/src/main/java/dewlane/wire/PeerWire.java
+++ b/src/main/java/dewlane/wire/PeerProtocol.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
 import dewlane.core.model.PeerStatus;
-import dewlane.core.model.PeerStatus.PeerMachine;
+import dewlane.core.model.PeerStatus.MachineStatus;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,10 +10,10 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** What controllers tell one another, as MessagePack. */
-public final class PeerWire {
+public final class PeerProtocol {
     public static final String STATUS = "/peer/status";
 
-    private PeerWire() {}
+    private PeerProtocol() {}
 
     /** Encodes what a controller tells its peers. */
     public static byte[] status(PeerStatus s) throws IOException {
@@ -24,7 +24,7 @@
                 out.packString(job);
             }
             out.packArrayHeader(s.machines().size());
-            for (PeerMachine m : s.machines()) {
+            for (MachineStatus m : s.machines()) {
                 out.packString(m.name())
                         .packString(m.address())
                         .packString(m.type())
@@ -49,9 +49,9 @@
                 cancelled.add(in.unpackString());
             }
             int n = in.unpackArrayHeader();
-            List<PeerMachine> machines = new ArrayList<>();
+            List<MachineStatus> machines = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                machines.add(new PeerMachine(
+                machines.add(new MachineStatus(
                         in.unpackString(),
                         in.unpackString(),
                         in.unpackString(),
--- a/src/main/java/dewlane/wire/StateWire.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -1,31 +1,31 @@
 package dewlane.wire;
 
-import dewlane.core.message.Input.Change;
-import dewlane.core.message.Input.Row;
-import dewlane.core.schema.Keys;
+import dewlane.core.message.Input.KeyChange;
+import dewlane.core.message.Input.StoreRow;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** The state service's protocol; {@link ValueCodec} has the form in which values are kept there. */
-public final class StateWire {
+/** The state service's protocol; {@link StoredValueCodec} has the form in which values are kept there. */
+public final class StoreProtocol {
     public static final String TXN = "/txn";
     public static final String GRANTS = "/grants";
 
-    private StateWire() {}
+    private StoreProtocol() {}
 
     /**
      * A page of keys.
      *
      * @param last the last key of the page, also if this version does not know it; null if the page is empty
      */
-    public record Page(List<Row> rows, String last, boolean more, long revision) {}
+    public record Page(List<StoreRow> rows, String last, boolean more, long revision) {}
 
     /** An answer of the watch. */
-    public record Events(List<Change> changes, long revision) {}
+    public record Events(List<KeyChange> changes, long revision) {}
 
     /** The path that reads one key. */
     public static String get(String key) {
@@ -67,24 +67,24 @@
     }
 
     /** The value and version of a key that was read. */
-    public static Row row(String key, byte[] body) throws IOException {
+    public static StoreRow row(String key, byte[] body) throws IOException {
         return row(key, Json.object(body));
     }
 
-    private static Row row(String key, Map<String, Object> in) {
-        return new Row(key, ValueCodec.decode(key, Json.object(in.get("value"))), Json.whole(in, "entry"));
+    private static StoreRow row(String key, Map<String, Object> in) {
+        return new StoreRow(key, StoredValueCodec.decode(key, Json.object(in.get("value"))), Json.whole(in, "entry"));
     }
 
     /** Reads one page of a listing. */
     public static Page page(byte[] body) throws IOException {
         Map<String, Object> in = Json.object(body);
-        List<Row> rows = new ArrayList<>();
+        List<StoreRow> rows = new ArrayList<>();
         String last = null;
         for (Object o : Json.list(in, "rows")) {
             Map<String, Object> row = Json.object(o);
             String key = Json.string(row, "key");
             last = key;
-            if (Keys.known(key)) {
+            if (StoreKeys.known(key)) {
                 rows.add(row(key, row));
             }
         }
@@ -94,14 +94,14 @@
     /** Reads the changes that a watch returned. */
     public static Events events(byte[] body) throws IOException {
         Map<String, Object> in = Json.object(body);
-        List<Change> changes = new ArrayList<>();
+        List<KeyChange> changes = new ArrayList<>();
         for (Object o : Json.list(in, "log")) {
             Map<String, Object> e = Json.object(o);
             String set = Json.string(e, "set");
             String key = set == null ? Json.string(e, "delete") : set;
-            if (Keys.known(key)) {
-                Value value = set == null ? null : ValueCodec.decode(key, Json.object(e.get("value")));
-                changes.add(new Change(key, value, Json.whole(e, "entry")));
+            if (StoreKeys.known(key)) {
+                StoredValue value = set == null ? null : StoredValueCodec.decode(key, Json.object(e.get("value")));
+                changes.add(new KeyChange(key, value, Json.whole(e, "entry")));
             }
         }
         return new Events(changes, Json.whole(in, "ledger"));
@@ -112,7 +112,7 @@
         return Json.write(out -> {
             out.writeStartObject();
             out.writeArrayFieldStart("when");
-            for (Transaction.Guard g : txn.when()) {
+            for (Transaction.Precondition g : txn.when()) {
                 out.writeStartObject();
                 out.writeStringField("key", g.key());
                 out.writeNumberField("entry", g.version());
@@ -127,7 +127,7 @@
                 } else {
                     out.writeStringField("set", w.key());
                     out.writeFieldName("value");
-                    ValueCodec.encode(out, w.value());
+                    StoredValueCodec.encode(out, w.value());
                     if (w.lease() != 0) {
                         out.writeNumberField("tenancy", w.lease());
                     }
--- a/src/main/java/dewlane/wire/ValueCodec.java
+++ b/src/main/java/dewlane/wire/StoredValueCodec.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import dewlane.core.model.Attempt;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.SchemaVersion;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.UnknownFields;
-import dewlane.core.schema.Value;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -20,36 +20,36 @@
  * that it does not know and loses them when it rewrites a value, so a field that is new here is written only where it
  * has something to say. Fields that this version does not know are kept.
  */
-public final class ValueCodec {
+public final class StoredValueCodec {
     private static final Set<String> SLICE_FIELDS = Set.of("owner", "first", "count", "launches", "done", "live");
     private static final Set<String> MAP_FIELDS = Set.of("epoch", "members", "moved", "loans", "formats");
     private static final Set<String> MACHINE_FIELDS = Set.of("fate", "reason", "names");
 
-    private ValueCodec() {}
+    private StoredValueCodec() {}
 
     /** A value as it is kept. */
-    public static byte[] bytes(Value value) {
+    public static byte[] bytes(StoredValue value) {
         return Json.write(out -> encode(out, value));
     }
 
-    static void encode(JsonGenerator out, Value value) throws IOException {
+    static void encode(JsonGenerator out, StoredValue value) throws IOException {
         out.writeStartObject();
-        if (value instanceof Value.JobRecord v) {
+        if (value instanceof StoredValue.JobRecord v) {
             jobRecord(out, v);
-        } else if (value instanceof Value.FinalRecord v) {
+        } else if (value instanceof StoredValue.JobResult v) {
             out.writeBooleanField("aborted", v.aborted());
             out.writeNumberField("at", v.atMs());
-        } else if (value instanceof Value.Slice v) {
+        } else if (value instanceof StoredValue.Slice v) {
             slice(out, v);
-        } else if (value instanceof Value.ClusterMap v) {
+        } else if (value instanceof StoredValue.PartitionMap v) {
             clusterMap(out, v);
-        } else if (value instanceof Value.Presence v) {
+        } else if (value instanceof StoredValue.Presence v) {
             out.writeNumberField("incarnation", v.incarnation());
             out.writeNumberField("format", v.format());
-        } else if (value instanceof Value.TeamRecord v) {
+        } else if (value instanceof StoredValue.TeamUsageRecord v) {
             out.writeNumberField("cpus", v.cpus());
             out.writeNumberField("gpus", v.gpus());
-        } else if (value instanceof Value.MachineRecord v) {
+        } else if (value instanceof StoredValue.DecommissionRecord v) {
             machineRecord(out, v);
         } else {
             throw new IllegalArgumentException("never written: " + value);
@@ -57,10 +57,10 @@
         out.writeEndObject();
     }
 
-    private static void jobRecord(JsonGenerator out, Value.JobRecord record) throws IOException {
-        JobCodec.write(out, record.job());
+    private static void jobRecord(JsonGenerator out, StoredValue.JobRecord record) throws IOException {
+        JobRecordCodec.write(out, record.job());
         out.writeArrayFieldStart("deals");
-        for (Value.Deal deal : record.deals()) {
+        for (StoredValue.SliceAssignment deal : record.deals()) {
             out.writeString(deal.owner());
             out.writeNumber(deal.first());
             out.writeNumber(deal.count());
@@ -72,10 +72,10 @@
         unknownFields(out, record.unknown());
     }
 
-    private static void clusterMap(JsonGenerator out, Value.ClusterMap map) throws IOException {
+    private static void clusterMap(JsonGenerator out, StoredValue.PartitionMap map) throws IOException {
         out.writeNumberField("epoch", map.epoch());
         out.writeObjectFieldStart("members");
-        for (Value.Member member : map.members()) {
+        for (StoredValue.Member member : map.members()) {
             out.writeNumberField(member.name(), member.incarnation());
         }
         out.writeEndObject();
@@ -86,7 +86,7 @@
         out.writeEndObject();
         if (!map.loans().isEmpty()) {
             out.writeArrayFieldStart("loans");
-            for (Value.Loan loan : map.loans()) {
+            for (StoredValue.QuotaTransfer loan : map.loans()) {
                 out.writeString(loan.team());
                 out.writeString(loan.node());
                 out.writeNumber(loan.cpus());
@@ -104,7 +104,7 @@
         unknownFields(out, map.unknown());
     }
 
-    private static void machineRecord(JsonGenerator out, Value.MachineRecord record) throws IOException {
+    private static void machineRecord(JsonGenerator out, StoredValue.DecommissionRecord record) throws IOException {
         out.writeStringField("fate", StoredWords.word(record.fate()));
         out.writeStringField("reason", record.reason());
         if (!record.names().isEmpty()) {
@@ -140,12 +140,12 @@
      * Attempts of one launch on one machine are one entry, and what a launch's entries share is written once: the value
      * is written anew at each change and read by every controller.
      */
-    private static void slice(JsonGenerator out, Value.Slice s) throws IOException {
+    private static void slice(JsonGenerator out, StoredValue.Slice s) throws IOException {
         out.writeStringField("owner", s.owner());
         out.writeNumberField("first", s.first());
         out.writeNumberField("count", s.count());
         out.writeNumberField("launches", s.launches());
-        out.writeStringField("done", TaskRanges.write(s.done()));
+        out.writeStringField("done", TaskRangeCodec.write(s.done()));
         Map<Launch, Map<Place, BitSet>> launches = new LinkedHashMap<>();
         for (Attempt a : s.attempts()) {
             launches.computeIfAbsent(new Launch(a.number(), a.launchedMs()), l -> new LinkedHashMap<>())
@@ -163,7 +163,7 @@
                 out.writeString(place.getKey().machine());
                 out.writeNumber(place.getKey().session());
                 out.writeNumber(place.getKey().token() - token);
-                out.writeString(TaskRanges.write(place.getValue()));
+                out.writeString(TaskRangeCodec.write(place.getValue()));
             }
             out.writeEndArray();
         }
@@ -177,59 +177,59 @@
     /** What attempts of one launch on one machine share. */
     private record Place(String machine, long session, long token) {}
 
-    /** The value of a key, or {@link Value.Unreadable} if this version cannot make sense of it. */
-    static Value decode(String key, Map<String, Object> in) {
+    /** The value of a key, or {@link StoredValue.Unreadable} if this version cannot make sense of it. */
+    static StoredValue decode(String key, Map<String, Object> in) {
         try {
-            if (key.startsWith(Keys.SLICES)) {
+            if (key.startsWith(StoreKeys.SLICES)) {
                 return slice(in);
-            } else if (key.startsWith(Keys.JOBS)) {
-                return new Value.JobRecord(
-                        JobCodec.read(in),
+            } else if (key.startsWith(StoreKeys.JOBS)) {
+                return new StoredValue.JobRecord(
+                        JobRecordCodec.read(in),
                         deals(Json.list(in, "deals")),
                         Json.whole(in, "aborted"),
-                        unknownFields(in, JobCodec.FIELDS));
-            } else if (key.startsWith(Keys.FINALS)) {
+                        unknownFields(in, JobRecordCodec.FIELDS));
+            } else if (key.startsWith(StoreKeys.FINALS)) {
                 return finalRecord(in);
-            } else if (key.startsWith(Keys.MACHINES)) {
-                return new Value.MachineRecord(
+            } else if (key.startsWith(StoreKeys.MACHINES)) {
+                return new StoredValue.DecommissionRecord(
                         StoredWords.machineFate(Json.string(in, "fate")),
                         Json.string(in, "reason"),
                         List.copyOf(Json.strings(in, "names")),
                         unknownFields(in, MACHINE_FIELDS));
-            } else if (key.startsWith(Keys.PRESENCE)) {
+            } else if (key.startsWith(StoreKeys.PRESENCE)) {
                 long format = Json.whole(in, "format");
-                return new Value.Presence(
-                        Json.whole(in, "incarnation"), format == 0 ? StoredFormat.FIRST : (int) format);
-            } else if (key.startsWith(Keys.TEAMS)) {
-                return new Value.TeamRecord(Json.number(in, "cpus"), Json.number(in, "gpus"));
+                return new StoredValue.Presence(
+                        Json.whole(in, "incarnation"), format == 0 ? SchemaVersion.FIRST : (int) format);
+            } else if (key.startsWith(StoreKeys.TEAMS)) {
+                return new StoredValue.TeamUsageRecord(Json.number(in, "cpus"), Json.number(in, "gpus"));
             }
             return clusterMap(in);
         } catch (IllegalArgumentException | NullPointerException | ClassCastException | IndexOutOfBoundsException e) {
-            return new Value.Unreadable(String.valueOf(e.getMessage()));
+            return new StoredValue.Unreadable(String.valueOf(e.getMessage()));
         }
     }
 
-    private static Value.FinalRecord finalRecord(Map<String, Object> in) {
+    private static StoredValue.JobResult finalRecord(Map<String, Object> in) {
         if (!(in.get("aborted") instanceof Boolean aborted)) {
             throw new IllegalArgumentException("aborted is missing");
         }
-        return new Value.FinalRecord(aborted, Json.whole(in, "at"));
+        return new StoredValue.JobResult(aborted, Json.whole(in, "at"));
     }
 
-    private static Value.ClusterMap clusterMap(Map<String, Object> in) {
+    private static StoredValue.PartitionMap clusterMap(Map<String, Object> in) {
         if (!(in.get("epoch") instanceof Long epoch) || !(in.get("members") instanceof Map<?, ?>)) {
             throw new IllegalArgumentException("epoch or members are missing");
         }
-        List<Value.Member> members = new ArrayList<>();
+        List<StoredValue.Member> members = new ArrayList<>();
         Json.object(in.get("members"))
-                .forEach(
-                        (name, incarnation) -> members.add(new Value.Member(name, ((Number) incarnation).longValue())));
+                .forEach((name, incarnation) ->
+                        members.add(new StoredValue.Member(name, ((Number) incarnation).longValue())));
         members.sort((a, b) -> a.name().compareTo(b.name()));
         Map<String, String> moved = new HashMap<>();
         Json.object(in.get("moved")).forEach((machine, taker) -> moved.put(machine, (String) taker));
         Map<String, Integer> formats = new HashMap<>();
         Json.object(in.get("formats")).forEach((node, format) -> formats.put(node, ((Number) format).intValue()));
-        return new Value.ClusterMap(
+        return new StoredValue.PartitionMap(
                 epoch,
                 List.copyOf(members),
                 Map.copyOf(moved),
@@ -238,19 +238,19 @@
                 unknownFields(in, MAP_FIELDS));
     }
 
-    private static List<Value.Deal> deals(List<Object> in) {
-        List<Value.Deal> deals = new ArrayList<>();
+    private static List<StoredValue.SliceAssignment> deals(List<Object> in) {
+        List<StoredValue.SliceAssignment> deals = new ArrayList<>();
         for (int i = 0; i < in.size(); i += 3) {
-            deals.add(new Value.Deal(
+            deals.add(new StoredValue.SliceAssignment(
                     (String) in.get(i), ((Number) in.get(i + 1)).intValue(), ((Number) in.get(i + 2)).intValue()));
         }
         return List.copyOf(deals);
     }
 
-    private static List<Value.Loan> loans(List<?> in) {
-        List<Value.Loan> loans = new ArrayList<>();
+    private static List<StoredValue.QuotaTransfer> loans(List<?> in) {
+        List<StoredValue.QuotaTransfer> loans = new ArrayList<>();
         for (int i = 0; i < in.size(); i += 4) {
-            loans.add(new Value.Loan(
+            loans.add(new StoredValue.QuotaTransfer(
                     (String) in.get(i),
                     (String) in.get(i + 1),
                     ((Number) in.get(i + 2)).doubleValue(),
@@ -259,7 +259,7 @@
         return List.copyOf(loans);
     }
 
-    private static Value.Slice slice(Map<String, Object> in) {
+    private static StoredValue.Slice slice(Map<String, Object> in) {
         if (!(in.get("first") instanceof Long from) || !(in.get("count") instanceof Long count)) {
             throw new IllegalArgumentException("first or count is missing");
         }
@@ -274,16 +274,16 @@
                 String machine = (String) launch.get(i);
                 long session = ((Number) launch.get(i + 1)).longValue();
                 long own = token + ((Number) launch.get(i + 2)).longValue();
-                BitSet tasks = TaskRanges.read((String) launch.get(i + 3));
+                BitSet tasks = TaskRangeCodec.read((String) launch.get(i + 3));
                 tasks.stream().forEach(t -> attempts.add(new Attempt(first + t, number, machine, session, own, at)));
             }
         }
-        return new Value.Slice(
+        return new StoredValue.Slice(
                 Json.string(in, "owner"),
                 first,
                 count.intValue(),
                 (int) Json.whole(in, "launches"),
-                TaskRanges.read(Json.string(in, "done")),
+                TaskRangeCodec.read(Json.string(in, "done")),
                 List.copyOf(attempts),
                 unknownFields(in, SLICE_FIELDS));
     }
--- a/src/main/java/dewlane/wire/StoredWords.java
+++ b/src/main/java/dewlane/wire/StoredWords.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Value.MachineFate;
+import dewlane.core.schema.StoredValue.DecommissionState;
 
 /**
  * The words that stand for constants in stored values. They are kept apart from the names of the Java constants, as
@@ -39,7 +39,7 @@
         };
     }
 
-    static String word(MachineFate fate) {
+    static String word(DecommissionState fate) {
         return switch (fate) {
             case RETURN -> RETURN;
             case DELETE -> DELETE;
@@ -48,11 +48,11 @@
     }
 
     /** The fate that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
-    static MachineFate machineFate(String word) {
+    static DecommissionState machineFate(String word) {
         return switch (String.valueOf(word)) {
-            case RETURN -> MachineFate.RETURN;
-            case DELETE -> MachineFate.DELETE;
-            case GONE -> MachineFate.GONE;
+            case RETURN -> DecommissionState.RETURN;
+            case DELETE -> DecommissionState.DELETE;
+            case GONE -> DecommissionState.GONE;
             default -> throw new IllegalArgumentException("unknown fate of a machine " + word);
         };
     }
--- a/src/main/java/dewlane/wire/TaskRanges.java
+++ b/src/main/java/dewlane/wire/TaskRangeCodec.java
@@ -3,8 +3,8 @@
 import java.util.BitSet;
 
 /** Sets of tasks as ranges, such as 0-4,7: tasks are launched in order, so there are few. */
-final class TaskRanges {
-    private TaskRanges() {}
+final class TaskRangeCodec {
+    private TaskRangeCodec() {}
 
     static String write(BitSet set) {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/dewlane/wire/UserWire.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -1,7 +1,7 @@
 package dewlane.wire;
 
-import dewlane.core.message.Effect.Condition;
-import dewlane.core.message.Effect.JobState;
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.message.Effect.JobStatus;
 import dewlane.core.model.Job;
 import dewlane.core.model.Priority;
 import java.io.IOException;
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 
 /** The users' protocol. */
-public final class UserWire {
+public final class UserProtocol {
     public static final String RUNS = "/v2/runs";
     public static final String ABORT = "abort";
 
@@ -21,7 +21,7 @@
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
 
-    private UserWire() {}
+    private UserProtocol() {}
 
     /** A submission's body: the job, or why it is malformed; the id is kept if it at least has one. */
     public record Submission(String uid, Job job, String reason) {}
@@ -153,7 +153,7 @@
     }
 
     /** The body that tells a user the state of a job. */
-    public static byte[] state(JobState state) {
+    public static byte[] state(JobStatus state) {
         return Json.write(out -> {
             out.writeStartObject();
             out.writeStringField("uid", state.job());
@@ -164,7 +164,7 @@
         });
     }
 
-    private static String word(Condition condition) {
+    private static String word(JobCondition condition) {
         return switch (condition) {
             case PENDING -> "pending";
             case RUNNING -> "running";
--- a/src/main/java/dewlane/wire/WorkerWire.java
+++ b/src/main/java/dewlane/wire/WorkerProtocol.java
@@ -1,25 +1,25 @@
 package dewlane.wire;
 
 import com.fasterxml.jackson.core.JsonGenerator;
-import dewlane.core.model.Order;
-import dewlane.core.model.Report;
-import dewlane.core.model.Report.End;
-import dewlane.core.model.Report.Phase;
-import dewlane.core.model.Report.TaskState;
+import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.ExitReason;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
+import dewlane.core.model.WorkerCommand;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /** The workers' protocol. */
-public final class WorkerWire {
+public final class WorkerProtocol {
     public static final String REPORT = "/v1/report";
     public static final String COMMAND = "/do";
 
-    private WorkerWire() {}
+    private WorkerProtocol() {}
 
     /** Reads a report; throws if it lacks what makes it one. */
-    public static Report report(byte[] body) throws IOException {
+    public static Heartbeat report(byte[] body) throws IOException {
         Map<String, Object> in = Json.object(body);
         String machine = Json.string(in, "cask");
         String address = Json.string(in, "address");
@@ -33,7 +33,7 @@
                 || Json.whole(in, "pour") < 1) {
             throw new IOException("not a report");
         }
-        List<TaskState> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         for (Object o : Json.list(in, "bottles")) {
             Map<String, Object> t = Json.object(o);
             String name = Json.string(t, "bottle");
@@ -42,7 +42,7 @@
                 throw new IOException("not a task: " + name);
             }
             Phase phase = phase(Json.string(t, "condition"));
-            tasks.add(new TaskState(
+            tasks.add(new TaskStatus(
                     name.substring(0, slash),
                     Integer.parseInt(name.substring(slash + 1)),
                     (int) Json.whole(t, "try"),
@@ -50,7 +50,7 @@
                     phase == Phase.EXITED ? end(Json.string(t, "fault")) : null,
                     Json.flag(t, "kept")));
         }
-        return new Report(
+        return new Heartbeat(
                 machine,
                 address,
                 type,
@@ -73,19 +73,19 @@
         };
     }
 
-    private static End end(String word) {
+    private static ExitReason end(String word) {
         return switch (String.valueOf(word)) {
-            case "done" -> End.DONE;
-            case "stopped" -> End.STOPPED;
-            case "full" -> End.NO_ROOM;
-            case "busy" -> End.BUSY;
-            case "no_such" -> End.UNKNOWN;
-            default -> End.ERROR;
+            case "done" -> ExitReason.DONE;
+            case "stopped" -> ExitReason.STOPPED;
+            case "full" -> ExitReason.NO_ROOM;
+            case "busy" -> ExitReason.BUSY;
+            case "no_such" -> ExitReason.UNKNOWN;
+            default -> ExitReason.ERROR;
         };
     }
 
     /** The answer to a report: the token to obey and the commands under it. */
-    public static byte[] answer(long token, List<Order> orders) {
+    public static byte[] answer(long token, List<WorkerCommand> orders) {
         return Json.write(out -> {
             out.writeStartObject();
             out.writeNumberField("seal", token);
@@ -95,7 +95,7 @@
     }
 
     /** The body of a direct command, valid for one session of the worker. */
-    public static byte[] command(long session, long token, List<Order> orders) {
+    public static byte[] command(long session, long token, List<WorkerCommand> orders) {
         return Json.write(out -> {
             out.writeStartObject();
             out.writeNumberField("seal", token);
@@ -116,9 +116,9 @@
         });
     }
 
-    private static void orders(JsonGenerator out, List<Order> orders) throws IOException {
+    private static void orders(JsonGenerator out, List<WorkerCommand> orders) throws IOException {
         out.writeArrayFieldStart("orders");
-        for (Order o : orders) {
+        for (WorkerCommand o : orders) {
             out.writeStartObject();
             out.writeStringField(
                     "order",
@@ -129,7 +129,7 @@
                     });
             out.writeStringField("bottle", o.job() + "/" + o.task());
             out.writeNumberField("try", o.attempt());
-            if (o.kind() == Order.Kind.STOP) {
+            if (o.kind() == WorkerCommand.Action.STOP) {
                 out.writeNumberField("restS", o.graceS());
             }
             out.writeEndObject();
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -36,7 +36,7 @@
         assertEquals(16_384, file.settings().valueBytes());
         assertEquals(10, file.settings().within("guarantee", "any"));
         assertTrue(file.settings().teams().get("blue").limited());
-        assertFalse(new Settings.Team("none", 0, 0, 0, 0).limited());
+        assertFalse(new Settings.TeamQuota("none", 0, 0, 0, 0).limited());
     }
 
     @ParameterizedTest
--- a/src/test/java/dewlane/core/config/TestSettings.java
+++ b/src/test/java/dewlane/core/config/TestSettings.java
@@ -5,7 +5,7 @@
 
 /** Settings for tests of single parts of a controller. */
 public final class TestSettings {
-    public static final StateLimits LIMITS = StateLimits.constant(100, 100, 16_384, 16);
+    public static final StoreLimits LIMITS = StoreLimits.constant(100, 100, 16_384, 16);
     public static final double CANCEL_S = 60;
 
     private TestSettings() {}
@@ -17,7 +17,7 @@
 
     /** Controller n0 in one zone, with workers' leases of 30 s. */
     public static Settings of(
-            List<String> peers, Map<String, Settings.Team> teams, double cancelS, StateLimits limits) {
+            List<String> peers, Map<String, Settings.TeamQuota> teams, double cancelS, StoreLimits limits) {
         return new Settings(
                 "n0",
                 peers,
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -6,16 +6,16 @@
 import dewlane.core.config.TestSettings;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
+import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.MachineType;
-import dewlane.core.model.Report;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.Member;
+import dewlane.core.schema.StoredValue.PartitionMap;
+import dewlane.core.schema.StoredValue.Presence;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
-import dewlane.core.schema.Value.ClusterMap;
-import dewlane.core.schema.Value.Member;
-import dewlane.core.schema.Value.Presence;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -28,7 +28,11 @@
     public final Controller controller = new Controller(
             TestSettings.of(
                     List.of("n1"),
-                    Map.of("blue", new Settings.Team("blue", 0, 0, 4, 0), "red", new Settings.Team("red", 0, 0, 0, 0)),
+                    Map.of(
+                            "blue",
+                            new Settings.TeamQuota("blue", 0, 0, 4, 0),
+                            "red",
+                            new Settings.TeamQuota("red", 0, 0, 0, 0)),
                     TestSettings.CANCEL_S,
                     TestSettings.LIMITS),
             1,
@@ -42,9 +46,9 @@
         effects.addAll(controller.handle(now, now, input));
     }
 
-    void change(String key, Value value) {
+    void change(String key, StoredValue value) {
         revision++;
-        hear(60, new Input.Changes(List.of(new Input.Change(key, value, revision)), revision));
+        hear(60, new Input.WatchEvents(List.of(new Input.KeyChange(key, value, revision)), revision));
     }
 
     public <T extends Effect> List<T> take(Class<T> kind) {
@@ -54,14 +58,14 @@
         return found;
     }
 
-    public Report report(long session, long sequence, long token) {
-        return new Report("m1", "h:1", "box", "east", true, session, sequence, token, Double.NaN, List.of());
+    public Heartbeat report(long session, long sequence, long token) {
+        return new Heartbeat("m1", "h:1", "box", "east", true, session, sequence, token, Double.NaN, List.of());
     }
 
     /** A machine that reports, and shows by its next report that it got the answer. */
     void meet() {
-        hear(60, new Input.ReportReceived(1, report(1, 1, 0)));
-        hear(500, new Input.ReportReceived(2, report(1, 2, 1L << 20)));
+        hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
+        hear(500, new Input.HeartbeatReceived(2, report(1, 2, 1L << 20)));
     }
 
     static Job job(int tasks, double cpus) {
@@ -76,19 +80,21 @@
     void join() {
         hear(0, new Input.Tick());
         hear(10, new Input.LeaseGranted(7));
-        hear(10, new Input.StateListed(List.of(), revision, revision));
-        hear(10, new Input.CatalogRead(List.of(BOX)));
+        hear(10, new Input.StoreListed(List.of(), revision, revision));
+        hear(10, new Input.MachineTypesListed(List.of(BOX)));
         hear(100, new Input.Tick());
-        Effect.SendTxn txn = take(Effect.SendTxn.class).get(0);
+        Effect.CommitTransaction txn = take(Effect.CommitTransaction.class).get(0);
         revision++;
-        hear(5, new Input.TxnAnswer(txn.id(), Transaction.Status.COMMITTED, revision));
+        hear(5, new Input.TransactionCompleted(txn.id(), Transaction.Status.COMMITTED, revision));
         hear(
                 5,
-                new Input.Changes(
+                new Input.WatchEvents(
                         List.of(
-                                new Input.Change(
-                                        Keys.MAP, new ClusterMap(1, List.of(new Member("n0", 1)), Map.of()), revision),
-                                new Input.Change(Keys.presence("n0"), new Presence(1), revision)),
+                                new Input.KeyChange(
+                                        StoreKeys.MAP,
+                                        new PartitionMap(1, List.of(new Member("n0", 1)), Map.of()),
+                                        revision),
+                                new Input.KeyChange(StoreKeys.presence("n0"), new Presence(1), revision)),
                         revision));
         assertTrue(controller.ready());
         effects.clear();
--- a/src/test/java/dewlane/core/controller/ForgetTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetTest.java
@@ -7,14 +7,14 @@
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.Attempt;
-import dewlane.core.model.Order;
-import dewlane.core.model.Report;
-import dewlane.core.model.Report.End;
-import dewlane.core.model.Report.Phase;
-import dewlane.core.model.Report.TaskState;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.JobRecord;
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.ExitReason;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
+import dewlane.core.model.WorkerCommand;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.Slice;
 import java.util.BitSet;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -25,42 +25,42 @@
  */
 class ForgetTest extends ControllerFixture {
     private static final long TOKEN = 1L << 20;
-    private static final Order LAUNCH = new Order(Order.Kind.LAUNCH, "wk-1", 0, 1, 0);
-    private static final Order FORGET = new Order(Order.Kind.FORGET, "wk-1", 0, 1, 0);
-    private static final TaskState FAILED = new TaskState("wk-1", 0, 1, Phase.EXITED, End.ERROR, false);
-    private static final TaskState RUNNING = new TaskState("wk-1", 0, 1, Phase.RUNNING, null, false);
+    private static final WorkerCommand LAUNCH = new WorkerCommand(WorkerCommand.Action.LAUNCH, "wk-1", 0, 1, 0);
+    private static final WorkerCommand FORGET = new WorkerCommand(WorkerCommand.Action.FORGET, "wk-1", 0, 1, 0);
+    private static final TaskStatus FAILED = new TaskStatus("wk-1", 0, 1, Phase.EXITED, ExitReason.ERROR, false);
+    private static final TaskStatus RUNNING = new TaskStatus("wk-1", 0, 1, Phase.RUNNING, null, false);
 
     private long sequence = 2;
 
-    private Report reportOf(long token, TaskState... tasks) {
-        return new Report("m1", "h:1", "box", "east", true, 1, ++sequence, token, Double.NaN, List.of(tasks));
+    private Heartbeat reportOf(long token, TaskStatus... tasks) {
+        return new Heartbeat("m1", "h:1", "box", "east", true, 1, ++sequence, token, Double.NaN, List.of(tasks));
     }
 
-    private Effect.AnswerReport answerTo(Report report) {
+    private Effect.AnswerHeartbeat answerTo(Heartbeat report) {
         effects.clear();
-        hear(300, new Input.ReportReceived(100 + sequence, report));
-        return take(Effect.AnswerReport.class).get(0);
+        hear(300, new Input.HeartbeatReceived(100 + sequence, report));
+        return take(Effect.AnswerHeartbeat.class).get(0);
     }
 
     private void attemptIs(Attempt... attempts) {
         change(
-                Keys.slice("wk-1", 0),
+                StoreKeys.slice("wk-1", 0),
                 new Slice("n0", 0, 2, attempts.length == 0 ? 2 : attempts.length, new BitSet(), List.of(attempts)));
     }
 
-    private Effect.Command launchDirectly() {
+    private Effect.SendCommands launchDirectly() {
         meet();
-        change(Keys.job("wk-1"), new JobRecord(job(2, 1), List.of(), 0));
+        change(StoreKeys.job("wk-1"), new JobRecord(job(2, 1), List.of(), 0));
         effects.clear();
         attemptIs(new Attempt(0, 1, "m1", 1, TOKEN, 1));
-        Effect.Command command = take(Effect.Command.class).get(0);
+        Effect.SendCommands command = take(Effect.SendCommands.class).get(0);
         assertEquals(List.of(LAUNCH), command.orders());
         assertEquals(TOKEN, command.token());
         return command;
     }
 
     private void giveUpOnCommand() {
-        hear(10, new Input.CommandAnswered("m1", TOKEN, true, null));
+        hear(10, new Input.CommandCompleted("m1", TOKEN, true, null));
     }
 
     @Test
@@ -69,7 +69,7 @@
         assertTrue(answerTo(reportOf(TOKEN)).orders().contains(LAUNCH), "the answer to a report launches it too");
         answerTo(reportOf(TOKEN, FAILED));
         attemptIs();
-        Effect.AnswerReport answer = answerTo(reportOf(TOKEN, FAILED));
+        Effect.AnswerHeartbeat answer = answerTo(reportOf(TOKEN, FAILED));
         assertFalse(
                 answer.token() == TOKEN && answer.orders().contains(FORGET),
                 "forgotten while the command that launches it may still arrive");
@@ -83,9 +83,9 @@
     void underTheSameTokenOnceTheDirectLaunchIsAnswered() {
         launchDirectly();
         answerTo(reportOf(TOKEN));
-        hear(10, new Input.CommandAnswered("m1", TOKEN, true, reportOf(TOKEN, FAILED)));
+        hear(10, new Input.CommandCompleted("m1", TOKEN, true, reportOf(TOKEN, FAILED)));
         attemptIs();
-        Effect.AnswerReport answer = answerTo(reportOf(TOKEN, FAILED));
+        Effect.AnswerHeartbeat answer = answerTo(reportOf(TOKEN, FAILED));
         assertTrue(answer.orders().contains(FORGET));
         assertEquals(TOKEN, answer.token(), "no other launch is given up on for it");
     }
@@ -94,13 +94,13 @@
     void notByCommandWhileTheAnswerToAReportIsUnderWay() {
         launchDirectly();
         assertTrue(answerTo(reportOf(TOKEN)).orders().contains(LAUNCH));
-        hear(10, new Input.CommandAnswered("m1", TOKEN, true, reportOf(TOKEN, FAILED)));
+        hear(10, new Input.CommandCompleted("m1", TOKEN, true, reportOf(TOKEN, FAILED)));
         attemptIs();
         effects.clear();
         attemptIs(new Attempt(0, 2, "m2", 1, TOKEN, 1), new Attempt(1, 3, "m1", 1, TOKEN, 1));
-        Effect.Command command = take(Effect.Command.class).get(0);
+        Effect.SendCommands command = take(Effect.SendCommands.class).get(0);
         assertEquals(
-                List.of(new Order(Order.Kind.LAUNCH, "wk-1", 1, 3, 0)),
+                List.of(new WorkerCommand(WorkerCommand.Action.LAUNCH, "wk-1", 1, 3, 0)),
                 command.orders(),
                 "the worker may be handed its answer up to 4 s after it was sent");
     }
@@ -116,7 +116,7 @@
         }
         answerTo(reportOf(TOKEN, FAILED));
         attemptIs();
-        Effect.AnswerReport answer = answerTo(reportOf(TOKEN, FAILED));
+        Effect.AnswerHeartbeat answer = answerTo(reportOf(TOKEN, FAILED));
         assertTrue(answer.orders().contains(FORGET));
         assertTrue(answer.token() > TOKEN);
     }
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -1,6 +1,6 @@
 package dewlane.core.fleet;
 
-import dewlane.core.fleet.Machine.Key;
+import dewlane.core.fleet.Machine.AttemptId;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashSet;
@@ -19,8 +19,8 @@
         ONE,
         TWO;
 
-        Key key() {
-            return new Key("wk-1", ordinal(), 1);
+        AttemptId key() {
+            return new AttemptId("wk-1", ordinal(), 1);
         }
     }
 
@@ -41,8 +41,8 @@
 
     /** Orders under way to the worker. */
     record Message(long token, Set<Task> launches, Set<Task> forgets) {
-        Set<Key> launchKeys() {
-            Set<Key> keys = new HashSet<>();
+        Set<AttemptId> launchKeys() {
+            Set<AttemptId> keys = new HashSet<>();
             launches.forEach(task -> keys.add(task.key()));
             return keys;
         }
--- a/src/test/java/dewlane/core/fleet/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.model.Report;
+import dewlane.core.model.Heartbeat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -43,7 +43,7 @@
 
     @Test
     void aWorkerStraysOnceItComesBackWithANewerReport() {
-        StrayReports strays = new StrayReports();
+        MisroutedHeartbeats strays = new MisroutedHeartbeats();
         assertEquals(-1, strays.take(report(1, 5), 1000, 30_000));
         assertEquals(-1, strays.take(report(1, 5), 2000, 30_000), "a copy");
         assertEquals(1500, strays.take(report(1, 6), 2500, 30_000));
@@ -53,7 +53,7 @@
         assertEquals(-1, strays.take(report(2, 10), 31_500, 30_000));
     }
 
-    private static Report report(long session, long sequence) {
-        return new Report("m1", "h:1", "box", "east", true, session, sequence, 0, Double.NaN, List.of());
+    private static Heartbeat report(long session, long sequence) {
+        return new Heartbeat("m1", "h:1", "box", "east", true, session, sequence, 0, Double.NaN, List.of());
     }
 }
--- a/src/test/java/dewlane/core/job/ReleaseTest.java
+++ b/src/test/java/dewlane/core/job/DependencyGraphTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.job.Release.Result;
+import dewlane.core.job.DependencyGraph.Result;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** When jobs with sources may start. */
-class ReleaseTest {
-    private final Release release = new Release();
+class DependencyGraphTest {
+    private final DependencyGraph release = new DependencyGraph();
 
     @Test
     void itemsBecomeReadyWhenTheirLastSourceClearsAndInThatOrder() {
--- a/src/test/java/dewlane/core/job/DependenciesTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -5,32 +5,32 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.config.TestSettings;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Input;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.FinalRecord;
-import dewlane.core.schema.Value.JobRecord;
-import dewlane.core.store.FinalReader;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.JobResult;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.JobResultReader;
+import dewlane.core.store.StoreReplica;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What jobs that await each other are treated as, change by change. */
-class DependenciesTest {
-    private final Context context = new Context(TestSettings.alone(), 1);
-    private final Release release = new Release();
-    private Dependencies dependencies;
-    private final Replica replica = new Replica(delta -> dependencies.follow(delta));
+class DependencyTrackerTest {
+    private final ControllerContext context = new ControllerContext(TestSettings.alone(), 1);
+    private final DependencyGraph release = new DependencyGraph();
+    private DependencyTracker dependencies;
+    private final StoreReplica replica = new StoreReplica(delta -> dependencies.follow(delta));
     private long revision;
 
     @BeforeEach
     void start() {
-        dependencies = new Dependencies(context, replica, release, new FinalReader(context, replica));
+        dependencies = new DependencyTracker(context, replica, release, new JobResultReader(context, replica));
     }
 
     private JobRecord record(String id, Priority priority, double deadlineS, String... awaits) {
@@ -44,7 +44,7 @@
     }
 
     private void store(JobRecord record) {
-        replica.apply(new Input.Change(Keys.job(record.job().id()), record, ++revision));
+        replica.apply(new Input.KeyChange(StoreKeys.job(record.job().id()), record, ++revision));
     }
 
     @Test
@@ -72,9 +72,9 @@
         store(record("one", Priority.HIGH, 0));
         store(record("other", Priority.HIGH, 0));
         store(record("both", Priority.HIGH, 60, "one", "other"));
-        replica.apply(new Input.Change(Keys.fin("other"), new FinalRecord(false, 70_000), ++revision));
+        replica.apply(new Input.KeyChange(StoreKeys.fin("other"), new JobResult(false, 70_000), ++revision));
         assertFalse(release.isReady("both"));
-        replica.apply(new Input.Change(Keys.fin("one"), new FinalRecord(false, 40_000), ++revision));
+        replica.apply(new Input.KeyChange(StoreKeys.fin("one"), new JobResult(false, 40_000), ++revision));
         assertTrue(release.isReady("both"));
         assertEquals(70_000, replica.job("both").waitsSinceMs());
         assertEquals(61_000, replica.job("both").deadlineMs(), "the deadline counts from the submission");
@@ -86,7 +86,7 @@
         store(record("third", Priority.HIGH, 0, "second"));
         assertFalse(dependencies.resolved("second"));
         assertFalse(dependencies.resolved("third"));
-        replica.rememberFinal("gone", new FinalRecord(true, 500));
+        replica.rememberFinal("gone", new JobResult(true, 500));
         assertTrue(dependencies.resolved("third"));
         assertTrue(dependencies.cancelled(replica.job("second")) && dependencies.cancelled(replica.job("third")));
     }
--- a/src/test/java/dewlane/core/job/SliceSizes.java
+++ b/src/test/java/dewlane/core/job/SliceSizes.java
@@ -1,6 +1,6 @@
 package dewlane.core.job;
 
-import dewlane.core.schema.Value.Slice;
+import dewlane.core.schema.StoredValue.Slice;
 import java.util.List;
 
 /** Lets tests of other packages see how slices are measured and cut. */
@@ -9,7 +9,7 @@
 
     /** The most bytes that the slice may come to take. */
     public static int bound(Slice slice) {
-        return SliceSize.bound(slice);
+        return SliceSizeBound.bound(slice);
     }
 
     /** The slice in runs within the limit. */
--- a/src/test/java/dewlane/core/membership/StandingTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -7,7 +7,7 @@
 import dewlane.core.config.TestSettings;
 import dewlane.core.controller.Controller;
 import dewlane.core.controller.ControllerFixture;
-import dewlane.core.membership.Standing.Limit;
+import dewlane.core.membership.Authority.Restriction;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.PeerStatus;
@@ -16,26 +16,28 @@
 import org.junit.jupiter.api.Test;
 
 /** What a controller may do while it lacks its place in the map, the state service, its peers or a young view. */
-class StandingTest extends ControllerFixture {
+class AuthorityTest extends ControllerFixture {
     private static final long TOKEN = 1L << 20;
 
-    private static Standing standing(int bits) {
-        return new Standing(
+    private static Authority standing(int bits) {
+        return new Authority(
                 (bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0, (bits & 8) != 0, (bits & 16) != 0, (bits & 32) != 0);
     }
 
     @Test
     void everyLimitTakesAwayWhatItSays() {
         for (int bits = 0; bits < 64; bits++) {
-            Standing standing = standing(bits);
-            Limit limit = standing.limit();
-            boolean keepsWorkers = limit == Limit.NONE || limit == Limit.VIEW_OLD || limit == Limit.STATE_OUT_OF_REACH;
+            Authority standing = standing(bits);
+            Restriction limit = standing.limit();
+            boolean keepsWorkers = limit == Restriction.NONE
+                    || limit == Restriction.VIEW_OLD
+                    || limit == Restriction.STATE_OUT_OF_REACH;
             assertEquals(keepsWorkers, standing.mayAnswerWorkers(), standing.toString());
-            if (limit == Limit.NONE) {
+            if (limit == Restriction.NONE) {
                 assertTrue(standing.mayDecide() && standing.maySendLaunches(), standing.toString());
-            } else if (limit == Limit.VIEW_OLD) {
+            } else if (limit == Restriction.VIEW_OLD) {
                 assertFalse(standing.maySendLaunches(), standing.toString());
-            } else if (limit == Limit.STATE_OUT_OF_REACH || limit == Limit.NOT_JOINED) {
+            } else if (limit == Restriction.STATE_OUT_OF_REACH || limit == Restriction.NOT_JOINED) {
                 assertFalse(standing.mayDecide(), standing.toString());
             }
         }
@@ -52,31 +54,31 @@
     @Test
     void theLogSaysWhichCaseItIsIn() {
         hear(1000, new Input.Tick());
-        assertEquals(List.of(Limit.NONE.meaning()), said());
+        assertEquals(List.of(Restriction.NONE.meaning()), said());
         hear(2300, new Input.Tick());
-        assertEquals(List.of(Limit.STATE_OUT_OF_REACH.meaning()), said());
+        assertEquals(List.of(Restriction.STATE_OUT_OF_REACH.meaning()), said());
         for (int i = 0; i < 10; i++) {
-            hear(1000, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
+            hear(1000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
             hear(0, new Input.Tick());
         }
         assertEquals(List.of(), said(), "an outage for all changes nothing more");
         hear(5500, new Input.Tick());
-        assertEquals(List.of(Limit.ISOLATED.meaning()), said());
-        hear(10, new Input.ReportReceived(1, report(1, 1, TOKEN)));
-        assertEquals(1, take(Effect.RefuseReport.class).size());
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(40_000, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
+        assertEquals(List.of(Restriction.ISOLATED.meaning()), said());
+        hear(10, new Input.HeartbeatReceived(1, report(1, 1, TOKEN)));
+        assertEquals(1, take(Effect.RejectHeartbeat.class).size());
+        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
+        hear(40_000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
         hear(0, new Input.Tick());
-        assertEquals(List.of(Limit.VIEW_EXPIRED.meaning()), said());
-        hear(10, new Input.Changes(List.of(), revision));
-        hear(10, new Input.Changes(List.of(), revision));
+        assertEquals(List.of(Restriction.VIEW_EXPIRED.meaning()), said());
+        hear(10, new Input.WatchEvents(List.of(), revision));
+        hear(10, new Input.WatchEvents(List.of(), revision));
         hear(1000, new Input.Tick());
-        assertEquals(List.of(Limit.NONE.meaning()), said());
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 9, true, List.of(), List.of())));
+        assertEquals(List.of(Restriction.NONE.meaning()), said());
+        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 9, true, List.of(), List.of())));
         hear(1100, new Input.Tick());
-        assertEquals(List.of(Limit.SUPERSEDED.meaning()), said());
-        hear(10, new Input.ReportReceived(2, report(1, 2, TOKEN)));
-        assertEquals(1, take(Effect.RefuseReport.class).size());
+        assertEquals(List.of(Restriction.SUPERSEDED.meaning()), said());
+        hear(10, new Input.HeartbeatReceived(2, report(1, 2, TOKEN)));
+        assertEquals(1, take(Effect.RejectHeartbeat.class).size());
     }
 
     /** Seen in a recorded incident: users stayed with a controller that the state service refused. */
@@ -85,31 +87,31 @@
         assertTrue(controller.healthy());
         hear(6000, new Input.Tick());
         assertTrue(controller.healthy(), "in an outage for all, no other would serve better");
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 1, true, List.of(), List.of())));
+        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, true, List.of(), List.of())));
         assertFalse(controller.healthy());
     }
 
     @Test
     void aControllerWithoutWordFromTheStateServiceLetsItsWorkersLeasesRunOut() {
-        hear(60, new Input.ReportReceived(1, report(1, 1, 0)));
-        assertEquals(1, take(Effect.AnswerReport.class).size());
-        hear(28_000, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(0, new Input.ReportReceived(2, report(1, 2, 0)));
-        assertEquals(1, take(Effect.AnswerReport.class).size(), "what it renews still ends in time");
-        hear(1000, new Input.ReportReceived(3, report(1, 3, 0)));
-        assertEquals(1, take(Effect.RefuseReport.class).size(), "a cancellation may have been missed");
+        hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
+        assertEquals(1, take(Effect.AnswerHeartbeat.class).size());
+        hear(28_000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
+        hear(0, new Input.HeartbeatReceived(2, report(1, 2, 0)));
+        assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "what it renews still ends in time");
+        hear(1000, new Input.HeartbeatReceived(3, report(1, 3, 0)));
+        assertEquals(1, take(Effect.RejectHeartbeat.class).size(), "a cancellation may have been missed");
     }
 
     /** A trouble the users named: without state service and peers its lease is over, and others have its machines. */
     @Test
     void aControllerThatOnlyItsWorkersReachSendsThemAwayButNotInAnOutageForAll() {
-        hear(60, new Input.ReportReceived(1, report(1, 1, 0)));
-        assertEquals(1, take(Effect.AnswerReport.class).size());
-        hear(6000, new Input.ReportReceived(2, report(1, 2, 0)));
-        assertEquals(1, take(Effect.RefuseReport.class).size());
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(10, new Input.ReportReceived(3, report(1, 3, 0)));
-        assertEquals(1, take(Effect.AnswerReport.class).size(), "its peers do not reach the state service either");
+        hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
+        assertEquals(1, take(Effect.AnswerHeartbeat.class).size());
+        hear(6000, new Input.HeartbeatReceived(2, report(1, 2, 0)));
+        assertEquals(1, take(Effect.RejectHeartbeat.class).size());
+        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
+        hear(10, new Input.HeartbeatReceived(3, report(1, 3, 0)));
+        assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "its peers do not reach the state service either");
     }
 
     @Test
--- a/src/test/java/dewlane/core/quota/QuotaTest.java
+++ b/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
@@ -8,10 +8,10 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.JobRecord;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobRecord;
 import dewlane.core.store.JobEntry;
-import dewlane.core.store.Replica;
+import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Teams' limits and guarantees, counted task by task. */
-class QuotaTest {
+class QuotaEnforcerTest {
     private final Settings settings = TestSettings.of(
             List.of(),
-            Map.of("blue", new Settings.Team("blue", 20, 0, 0, 0)),
+            Map.of("blue", new Settings.TeamQuota("blue", 20, 0, 0, 0)),
             TestSettings.CANCEL_S,
             TestSettings.LIMITS);
-    private final Replica replica = new Replica(delta -> {});
+    private final StoreReplica replica = new StoreReplica(delta -> {});
     private final List<JobEntry> ready = new ArrayList<>();
 
     private void accepted(String id, Priority priority, int tasks) {
@@ -35,12 +35,12 @@
                 .cpus(2)
                 .acceptedMs(1)
                 .build();
-        replica.apply(new Input.Change(Keys.job(id), new JobRecord(job, List.of(), 0), ready.size() + 1));
+        replica.apply(new Input.KeyChange(StoreKeys.job(id), new JobRecord(job, List.of(), 0), ready.size() + 1));
         ready.add(replica.job(id));
     }
 
     private Set<String> guaranteed() {
-        return new Quota(settings, replica, null).guaranteed(ready);
+        return new QuotaEnforcer(settings, replica, null).guaranteed(ready);
     }
 
     /** Counted on a day: an idle backlog, always the oldest, took the whole guarantee before work with a deadline. */
--- a/src/test/java/dewlane/core/store/WriteBudgetTest.java
+++ b/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
@@ -2,21 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import dewlane.core.config.TestSettings;
-import dewlane.core.message.Context;
+import dewlane.core.message.ControllerContext;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** The share of the rate of changes, against a state service whose limit becomes smaller. */
-class WriteBudgetTest {
+class WriteRateLimiterTest {
     private static final int CONTROLLERS = 5;
-    private static final StateLimits LIMITS =
-            new StateLimits(new StateLimits.Limits(150, 30, 32_768, 16), new StateLimits.Limits(150, 21, 2048, 5));
+    private static final StoreLimits LIMITS =
+            new StoreLimits(new StoreLimits.Limits(150, 30, 32_768, 16), new StoreLimits.Limits(150, 21, 2048, 5));
 
-    private final Context context = new Context(TestSettings.of(List.of(), Map.of(), TestSettings.CANCEL_S, LIMITS), 1);
-    private final WriteBudget budget = new WriteBudget(context);
+    private final ControllerContext context =
+            new ControllerContext(TestSettings.of(List.of(), Map.of(), TestSettings.CANCEL_S, LIMITS), 1);
+    private final WriteRateLimiter budget = new WriteRateLimiter(context);
     private long now;
 
     /**
--- a/src/test/java/dewlane/io/EffectQueueTest.java
+++ b/src/test/java/dewlane/io/EffectQueueTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void whatAnEffectGivesRiseToWaitsForItsTurn() {
-        queue.take(List.of(new Effect.ReadCatalog(), new Effect.ListState()));
+        queue.take(List.of(new Effect.ListMachineTypes(), new Effect.ListStore()));
         assertEquals(1, deepest);
         assertEquals(100_001, acted);
     }
--- a/src/test/java/dewlane/io/WorkerPoolsTest.java
+++ b/src/test/java/dewlane/io/WorkerConnectionPoolsTest.java
@@ -24,14 +24,14 @@
  * Found by counting: a controller that had commanded all machines kept two connections to each, and with every report
  * connection beside them passed the sockets it is given.
  */
-class WorkerPoolsTest {
+class WorkerConnectionPoolsTest {
     private static final int MOST = 10;
 
     private final LinkedBlockingQueue<HttpServerExchange> held = new LinkedBlockingQueue<>();
     private Undertow machines;
     private int port;
     private XnioWorker worker;
-    private WorkerPools pools;
+    private WorkerConnectionPools pools;
 
     /** One listener stands for all machines, each with a loopback address of its own. */
     @BeforeEach
@@ -56,7 +56,7 @@
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
-        pools = new WorkerPools(worker.getIoThread(), new DefaultByteBufferPool(false, 1024), MOST);
+        pools = new WorkerConnectionPools(worker.getIoThread(), new DefaultByteBufferPool(false, 1024), MOST);
     }
 
     @AfterEach
--- a/src/test/java/dewlane/sim/Checker.java
+++ b/src/test/java/dewlane/sim/Checker.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
 import dewlane.core.config.Settings;
-import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.model.Job;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -26,11 +26,11 @@
 
     private final World world;
     private final Map<String, Set<Integer>> done = new HashMap<>();
-    private final Map<String, Condition> finals = new HashMap<>();
+    private final Map<String, JobCondition> finals = new HashMap<>();
     private final Map<String, Long> finalsAt = new HashMap<>();
     private final Set<String> asked = new HashSet<>();
     private final Set<String> everStarted = new HashSet<>();
-    private final Map<String, Condition> last = new HashMap<>();
+    private final Map<String, JobCondition> last = new HashMap<>();
     /** By job and machine, since when the job waits while that machine has room for it. */
     private final Map<String, Map<String, Long>> waitsBeside = new HashMap<>();
 
@@ -71,7 +71,7 @@
 
     void started(SimWorker on, SimTask task) {
         starts++;
-        if (finals.get(task.job) == Condition.ABORTED) {
+        if (finals.get(task.job) == JobCondition.ABORTED) {
             startsInFlight++;
             if (task.orderedAt - finalsAt.get(task.job) > VIEW_MS) {
                 broken(
@@ -118,7 +118,7 @@
     }
 
     private void checkLimit(Job job, String name) {
-        Settings.Team team = world.settings.teams().get(job.team());
+        Settings.TeamQuota team = world.settings.teams().get(job.team());
         double used = 0;
         for (SimWorker m : world.cloud.machines.values()) {
             for (SimTask t : m.tasks.values()) {
@@ -131,24 +131,24 @@
         }
     }
 
-    void told(String job, Condition condition, long askedAt) {
+    void told(String job, JobCondition condition, long askedAt) {
         last.put(job, finals.getOrDefault(job, condition));
-        if (condition == Condition.DONE
+        if (condition == JobCondition.DONE
                 && done.getOrDefault(job, Set.of()).size()
                         < world.users.job(job).tasks()) {
             broken("not_done", job + " was called done");
         }
         checkCancellation(job, condition, askedAt);
-        Condition known = finals.get(job);
+        JobCondition known = finals.get(job);
         // An answer to a question asked before the final state was told may overtake it on the way.
         if (known != null
                 && condition != known
                 && (askedAt > finalsAt.get(job) && askedAt != Long.MAX_VALUE
-                        || condition == Condition.DONE
-                        || condition == Condition.ABORTED)) {
+                        || condition == JobCondition.DONE
+                        || condition == JobCondition.ABORTED)) {
             broken("went_back", job + " was called " + known + ", then " + condition);
         }
-        if (known == null && (condition == Condition.DONE || condition == Condition.ABORTED)) {
+        if (known == null && (condition == JobCondition.DONE || condition == JobCondition.ABORTED)) {
             finals.put(job, condition);
             finalsAt.put(job, world.now());
             last.put(job, condition);
@@ -156,10 +156,11 @@
     }
 
     /** Cancellations pass down to all jobs that need the cancelled one, within the time they have, and to no others. */
-    private void checkCancellation(String job, Condition condition, long askedAt) {
+    private void checkCancellation(String job, JobCondition condition, long askedAt) {
         boolean askedSelf = asked.contains(job);
-        if (condition == Condition.ABORTED && !askedSelf) {
-            boolean through = needs(job).stream().anyMatch(a -> asked.contains(a) && finals.get(a) != Condition.DONE);
+        if (condition == JobCondition.ABORTED && !askedSelf) {
+            boolean through =
+                    needs(job).stream().anyMatch(a -> asked.contains(a) && finals.get(a) != JobCondition.DONE);
             if (!through) {
                 broken("went_back", job + " was called cancelled, but nobody asked");
             }
@@ -167,10 +168,10 @@
                 broken("cancelled_after_start", job + " had a task, so all that it awaited was done");
             }
         }
-        if (condition == Condition.PENDING || condition == Condition.RUNNING) {
+        if (condition == JobCondition.PENDING || condition == JobCondition.RUNNING) {
             for (String ancestor : needs(job)) {
                 long toldAt = finalsAt.getOrDefault(ancestor, Long.MAX_VALUE);
-                if (finals.get(ancestor) == Condition.ABORTED
+                if (finals.get(ancestor) == JobCondition.ABORTED
                         && askedAt != Long.MAX_VALUE
                         && askedAt - toldAt > world.settings.cancelS() * 1000) {
                     broken(
@@ -212,9 +213,9 @@
                         broken(
                                 "left_waiting",
                                 id + " waits beside room on " + m.name + " of "
-                                        + dewlane.core.schema.Partitions.owner(
-                                                (dewlane.core.schema.Value.ClusterMap)
-                                                        world.state.get(dewlane.core.schema.Keys.MAP),
+                                        + dewlane.core.schema.Partitioner.owner(
+                                                (dewlane.core.schema.StoredValue.PartitionMap)
+                                                        world.state.get(dewlane.core.schema.StoreKeys.MAP),
                                                 m.name)
                                         + "\n" + world.lately(m.name) + world.describe(id));
                     }
@@ -230,7 +231,7 @@
         long held = done.getOrDefault(job.id(), Set.of()).size();
         for (SimWorker m : world.cloud.machines.values()) {
             held += m.tasks.values().stream()
-                    .filter(t -> t.job.equals(job.id()) && t.phase != dewlane.core.model.Report.Phase.EXITED)
+                    .filter(t -> t.job.equals(job.id()) && t.phase != dewlane.core.model.Heartbeat.Phase.EXITED)
                     .count();
         }
         return held < job.tasks();
@@ -241,7 +242,7 @@
         for (SimWorker m : world.cloud.machines.values()) {
             for (SimTask t : m.tasks.values()) {
                 Job other = world.users.job(t.job);
-                used += t.phase != dewlane.core.model.Report.Phase.EXITED
+                used += t.phase != dewlane.core.model.Heartbeat.Phase.EXITED
                                 && other.team().equals(job.team())
                         ? other.cpus()
                         : 0;
@@ -251,19 +252,19 @@
         return most <= 0 || used <= most + 1e-9;
     }
 
-    Condition lastTold(String job) {
+    JobCondition lastTold(String job) {
         return last.get(job);
     }
 
     /** Checked after every step of the world. */
     void check() {
-        if (!finals.containsValue(Condition.ABORTED)) {
+        if (!finals.containsValue(JobCondition.ABORTED)) {
             return;
         }
         for (SimWorker m : world.cloud.machines.values()) {
             for (SimTask t : m.tasks.values()) {
                 if (t.on()
-                        && finals.get(t.job) == Condition.ABORTED
+                        && finals.get(t.job) == JobCondition.ABORTED
                         && world.now() - finalsAt.get(t.job) > world.settings.cancelS() * 1000) {
                     broken(
                             "ran_cancelled",
--- a/src/test/java/dewlane/sim/CombinedFailuresTest.java
+++ b/src/test/java/dewlane/sim/CombinedFailuresTest.java
@@ -12,11 +12,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.Priority;
-import dewlane.core.model.Report;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -70,7 +70,7 @@
         }
         world.run(40_000);
         long aborted = world.users.accepted().stream()
-                .filter(id -> world.checker.lastTold(id) == Condition.ABORTED)
+                .filter(id -> world.checker.lastTold(id) == JobCondition.ABORTED)
                 .count();
         assertTrue(aborted >= 8, aborted + " cancelled");
         assertEquals(30, world.users.accepted().size());
@@ -97,7 +97,7 @@
         world.run(30_000);
         assertTrue(map(world).epoch() >= epoch + 2, "the part was taken over and given back");
         for (int i = 1; i <= 8; i++) {
-            assertEquals(Condition.ABORTED, world.checker.lastTold(id(i)));
+            assertEquals(JobCondition.ABORTED, world.checker.lastTold(id(i)));
         }
         calm(world, 120_000);
     }
@@ -199,7 +199,7 @@
         world.run(16_000);
         List<SimWorker> machines = with(world, id(1));
         assertTrue(machines.size() > 1);
-        List<Report> old = new ArrayList<>();
+        List<Heartbeat> old = new ArrayList<>();
         machines.forEach(m -> old.add(m.report()));
         world.run(24_000);
         int starts = world.checker.starts;
@@ -220,6 +220,6 @@
         world.run(world.now() + 15_000);
         assertEquals(starts, world.checker.starts, "no task was begun again");
         calm(world, 200_000);
-        assertNotNull(world.state.get(Keys.fin(id(1))));
+        assertNotNull(world.state.get(StoreKeys.fin(id(1))));
     }
 }
--- a/src/test/java/dewlane/sim/MeetingsTest.java
+++ b/src/test/java/dewlane/sim/MeetingsTest.java
@@ -17,13 +17,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.config.Settings;
-import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -61,14 +61,14 @@
         world.run(world.now() + afterMs);
         SimNode confirming = other(world, leader);
         world.users.cancelAt(confirming, JOB);
-        for (int step = 0; step < 200 && world.checker.lastTold(JOB) != Condition.ABORTED; step++) {
+        for (int step = 0; step < 200 && world.checker.lastTold(JOB) != JobCondition.ABORTED; step++) {
             world.run(world.now() + 5);
         }
         if (untold) {
             confirming.crash(50_000);
         }
         world.run(world.now() + 700);
-        assertEquals(Condition.ABORTED, world.checker.lastTold(JOB), "another controller confirmed it");
+        assertEquals(JobCondition.ABORTED, world.checker.lastTold(JOB), "another controller confirmed it");
         long confirmed = world.now();
         world.state.outage((long) (world.settings.cancelS() * 1000) + 12_000);
         return confirmed;
@@ -247,7 +247,7 @@
         world.users.submit(job(1, Priority.HIGH, 8, 2, 90));
         world.run(16_000);
         SimWorker machine = with(world, JOB).get(0);
-        List<dewlane.core.model.Report> old = new ArrayList<>(List.of(machine.report(), machine.report()));
+        List<dewlane.core.model.Heartbeat> old = new ArrayList<>(List.of(machine.report(), machine.report()));
         long session = machine.session();
         machine.cut = true;
         world.run(50_000);
@@ -303,7 +303,7 @@
         world.run(10_120);
         world.cloud.machines.values().forEach(m -> m.hangsUntil = world.now() + 6000);
         world.run(13_000);
-        assertFalse(world.state.all(Keys.SLICES).isEmpty(), "launches were written");
+        assertFalse(world.state.all(StoreKeys.SLICES).isEmpty(), "launches were written");
         assertEquals(0, world.checker.starts, "and none arrived");
         if (seed != 2) {
             world.users.cancel(JOB);
@@ -401,8 +401,8 @@
             world.after(i * 800L, () -> world.users.submit(job));
         }
         calm(world, 100_000);
-        long cancelled = world.state.all(Keys.FINALS).values().stream()
-                .filter(f -> ((Value.FinalRecord) f).aborted())
+        long cancelled = world.state.all(StoreKeys.FINALS).values().stream()
+                .filter(f -> ((StoredValue.JobResult) f).aborted())
                 .count();
         assertTrue(cancelled > 0 && cancelled < 30, cancelled + " of 30 were cancelled before their end was written");
     }
@@ -419,7 +419,7 @@
         world.nodes.values().forEach(n -> n.crash(36_000));
         world.run(56_000);
         assertEquals(0, running(world, JOB), "their leases have ended");
-        assertNotNull(world.state.get(Keys.job(JOB)));
+        assertNotNull(world.state.get(StoreKeys.job(JOB)));
         calm(world, 300_000);
         assertTrue(world.checker.starts >= 24, "every task was begun again");
     }
@@ -429,7 +429,7 @@
     @ValueSource(doubles = {12, 1200})
     void aTeamIsAtItsLimitWhenTheLeaderChangesAndItsMachinesCannotBeAsked(double limit) {
         int machines = limit > 100 ? 320 : 6;
-        World world = World.quiet(3, Map.of("blue", new Settings.Team("blue", 0, 0, limit, 0)), 16, machines);
+        World world = World.quiet(3, Map.of("blue", new Settings.TeamQuota("blue", 0, 0, limit, 0)), 16, machines);
         world.cloud.room = machines;
         int tasks = (int) limit / 4;
         world.users.submit(job(1, Priority.HIGH, tasks, 2, 60));
@@ -445,7 +445,7 @@
         world.run(41_000);
         world.users.cancel(JOB);
         world.run(52_000);
-        assertEquals(Condition.ABORTED, world.checker.lastTold(JOB));
+        assertEquals(JobCondition.ABORTED, world.checker.lastTold(JOB));
         assertTrue(lost.stream().anyMatch(m -> m.running(JOB) > 0), "what cannot be asked still runs");
         world.run(65_000);
         lost.forEach(m -> m.cut = false);
@@ -468,7 +468,7 @@
         world.state.refused.add(leader.name);
         world.users.cancelAt(other(world, leader), JOB);
         world.run(35_500);
-        assertEquals(Condition.ABORTED, world.checker.lastTold(JOB));
+        assertEquals(JobCondition.ABORTED, world.checker.lastTold(JOB));
         world.state.outage(70_000);
         world.run(106_500);
         world.state.refused.clear();
@@ -515,7 +515,7 @@
         world.users.cancelAt(other(world, leader), JOB);
         world.every(500, () -> world.users.pollAt(leader, JOB));
         world.run(100_000);
-        assertNotEquals(leader.name, Partitions.leader(map(world)), "another leads");
+        assertNotEquals(leader.name, Partitioner.leader(map(world)), "another leads");
         leader.cutFromState = false;
         leader.cutFromPeers = false;
         calm(world, 200_000);
@@ -575,7 +575,7 @@
         world.users.submit(job(1, Priority.HIGH, 18, 2, 60));
         world.cloud.machines.values().forEach(m -> m.deaf = true);
         world.run(10_300 + 20 * seed);
-        assertFalse(world.state.all(Keys.SLICES).isEmpty(), "launches were written");
+        assertFalse(world.state.all(StoreKeys.SLICES).isEmpty(), "launches were written");
         assertEquals(0, world.checker.starts, "and none arrived");
         long confirmed = gap(world, leader(world), 0, true);
         world.run(confirmed + 5000);
--- a/src/test/java/dewlane/sim/PipelinesTest.java
+++ b/src/test/java/dewlane/sim/PipelinesTest.java
@@ -12,12 +12,12 @@
 
 import dewlane.core.config.Settings;
 import dewlane.core.message.Effect;
-import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.model.Job;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -47,7 +47,7 @@
         return answer.get();
     }
 
-    private static Condition told(World world, SimNode node, String job) {
+    private static JobCondition told(World world, SimNode node, String job) {
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         node.poll(job, answer::set);
         world.run(world.now() + 3000);
@@ -60,11 +60,11 @@
     }
 
     private static boolean done(World world, int job) {
-        return world.state.get(Keys.fin(id(job))) instanceof Value.FinalRecord result && !result.aborted();
+        return world.state.get(StoreKeys.fin(id(job))) instanceof StoredValue.JobResult result && !result.aborted();
     }
 
     private static boolean cancelled(World world, int job) {
-        return world.state.get(Keys.fin(id(job))) instanceof Value.FinalRecord result && result.aborted();
+        return world.state.get(StoreKeys.fin(id(job))) instanceof StoredValue.JobResult result && result.aborted();
     }
 
     @ParameterizedTest
@@ -90,8 +90,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void whatIsAwaitedMayBeOfAnotherTeamDoneLongAgoOrCancelled(long seed) {
-        Map<String, Settings.Team> teams =
-                Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0), "red", new Settings.Team("red", 0, 0, 0, 0));
+        Map<String, Settings.TeamQuota> teams = Map.of(
+                "blue", new Settings.TeamQuota("blue", 0, 0, 0, 0), "red", new Settings.TeamQuota("red", 0, 0, 0, 0));
         World world = World.quiet(seed, teams, 16, 9);
         assertEquals(201, submitAt(world, node(world, 0), small(1)).status());
         assertEquals(201, submitAt(world, node(world, 0), small(2)).status());
@@ -104,7 +104,7 @@
         assertEquals(201, submitAt(world, node(world, 2), small(3, 1)).status());
         Effect.AnswerUser late = submitAt(world, node(world, 2), small(4, 1, 2));
         assertEquals(201, late.status());
-        assertEquals(Condition.ABORTED, told(world, node(world, 0), id(4)));
+        assertEquals(JobCondition.ABORTED, told(world, node(world, 0), id(4)));
         calm(world, 60_000);
         assertTrue(done(world, 3));
     }
@@ -123,7 +123,7 @@
         world.nodes.values().forEach(n -> n.crash(500));
         world.run(world.now() + 15_000);
         assertEquals(200, submitAt(world, node(world, 1), small(5, 1)).status());
-        assertNull(world.state.get(Keys.job(id(2))));
+        assertNull(world.state.get(StoreKeys.job(id(2))));
     }
 
     /** Any controller may have accepted the awaited job a moment ago, which this one's watch has not shown yet. */
@@ -161,7 +161,7 @@
         world.run(world.now() + 1500);
         for (int number : new int[] {1, 2, 3, 5}) {
             for (SimNode node : world.nodes.values()) {
-                assertEquals(Condition.ABORTED, told(world, node, id(number)), id(number));
+                assertEquals(JobCondition.ABORTED, told(world, node, id(number)), id(number));
             }
         }
         calm(world, 90_000);
@@ -227,8 +227,8 @@
         world.every(10, () -> {
             if (!struck[0] && done(world, 1)) {
                 struck[0] = true;
-                Value.ClusterMap map = (Value.ClusterMap) world.state.get(Keys.MAP);
-                SimNode owner = world.nodes.get(Partitions.owner(map, Keys.job(id(2))));
+                StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.MAP);
+                SimNode owner = world.nodes.get(Partitioner.owner(map, StoreKeys.job(id(2))));
                 if (seed % 2 == 0) {
                     world.nodes.values().forEach(n -> n.crash(world.between(200, 4000)));
                 } else {
@@ -247,7 +247,7 @@
         submitAt(world, node(world, 0), small(1));
         submitAt(world, node(world, 1), small(2, 1));
         world.run(world.now() + 30_000);
-        assertEquals(Condition.PENDING, told(world, node(world, 0), id(2)));
+        assertEquals(JobCondition.PENDING, told(world, node(world, 0), id(2)));
         world.cloud.machines.values().forEach(m -> m.sick = false);
         world.users.cancel(id(1));
         calm(world, 90_000);
@@ -259,7 +259,7 @@
      */
     @Test
     void aWaitingJobHoldsNothingOfItsTeamsLimitAndStopsNobody() {
-        Map<String, Settings.Team> teams = Map.of("blue", new Settings.Team("blue", 12, 0, 12, 0));
+        Map<String, Settings.TeamQuota> teams = Map.of("blue", new Settings.TeamQuota("blue", 12, 0, 12, 0));
         World world = World.quiet(9, teams, 16, 3);
         submitAt(world, node(world, 0), job(1, Priority.IDLE, 1, 1, 200));
         for (int i = 2; i < 6; i++) {
--- a/src/test/java/dewlane/sim/ProductionView.java
+++ b/src/test/java/dewlane/sim/ProductionView.java
@@ -2,11 +2,11 @@
 
 import dewlane.core.message.Input;
 import dewlane.core.model.Job;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.SchemaVersion;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.UnknownFields;
-import dewlane.core.schema.Value;
 import java.util.List;
 
 /**
@@ -18,23 +18,23 @@
 
     /** A message as that version reads it. */
     static Input read(Input input) {
-        if (input instanceof Input.StateListed in) {
-            List<Input.Row> rows = in.rows().stream()
-                    .map(row -> new Input.Row(row.key(), read(row.key(), row.value()), row.version()))
+        if (input instanceof Input.StoreListed in) {
+            List<Input.StoreRow> rows = in.rows().stream()
+                    .map(row -> new Input.StoreRow(row.key(), read(row.key(), row.value()), row.version()))
                     .toList();
-            return new Input.StateListed(rows, in.revision(), in.latest());
+            return new Input.StoreListed(rows, in.revision(), in.latest());
         }
-        if (input instanceof Input.Changes in) {
-            List<Input.Change> changes = in.changes().stream()
-                    .map(c -> new Input.Change(c.key(), read(c.key(), c.value()), c.version()))
+        if (input instanceof Input.WatchEvents in) {
+            List<Input.KeyChange> changes = in.changes().stream()
+                    .map(c -> new Input.KeyChange(c.key(), read(c.key(), c.value()), c.version()))
                     .toList();
-            return new Input.Changes(changes, in.revision());
+            return new Input.WatchEvents(changes, in.revision());
         }
         return input;
     }
 
-    private static Value read(String key, Value value) {
-        if (!Keys.known(key)) {
+    private static StoredValue read(String key, StoredValue value) {
+        if (!StoreKeys.known(key)) {
             throw new AssertionError("version 0.1 stops at the key " + key);
         }
         return known(value);
@@ -48,20 +48,20 @@
         return new Transaction(txn.when(), writes);
     }
 
-    private static Value known(Value value) {
-        if (value instanceof Value.JobRecord v) {
+    private static StoredValue known(StoredValue value) {
+        if (value instanceof StoredValue.JobRecord v) {
             Job job = v.job().withAwaits(List.of());
-            return new Value.JobRecord(job, v.deals(), v.abortedMs());
+            return new StoredValue.JobRecord(job, v.deals(), v.abortedMs());
         }
-        if (value instanceof Value.Presence v) {
-            return new Value.Presence(v.incarnation(), StoredFormat.FIRST);
+        if (value instanceof StoredValue.Presence v) {
+            return new StoredValue.Presence(v.incarnation(), SchemaVersion.FIRST);
         }
-        if (value instanceof Value.Slice v) {
-            return new Value.Slice(
+        if (value instanceof StoredValue.Slice v) {
+            return new StoredValue.Slice(
                     v.owner(), v.first(), v.count(), v.launches(), v.done(), v.attempts(), UnknownFields.NONE);
         }
-        if (value instanceof Value.ClusterMap v) {
-            return new Value.ClusterMap(v.epoch(), v.members(), v.moved(), v.loans());
+        if (value instanceof StoredValue.PartitionMap v) {
+            return new StoredValue.PartitionMap(v.epoch(), v.members(), v.moved(), v.loans());
         }
         return value;
     }
--- a/src/test/java/dewlane/sim/RandomRunsTest.java
+++ b/src/test/java/dewlane/sim/RandomRunsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.config.Settings;
-import dewlane.core.config.StateLimits;
-import dewlane.core.schema.Keys;
+import dewlane.core.config.StoreLimits;
+import dewlane.core.schema.StoreKeys;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
@@ -21,29 +21,29 @@
     static final long STORM_MS = 240_000;
     private static final long CALM_MS = 700_000;
 
-    private static final StateLimits LIMITS_NOW = StateLimits.constant(150, 60, 16_384, 16);
+    private static final StoreLimits LIMITS_NOW = StoreLimits.constant(150, 60, 16_384, 16);
 
     private static List<String> names(int controllers) {
         return IntStream.range(0, controllers).mapToObj(i -> "n" + i).toList();
     }
 
     /** The next limits are those that {@link #shrinking} worlds change to. */
-    private static final StateLimits LIMITS =
-            new StateLimits(new StateLimits.Limits(150, 60, 16_384, 16), new StateLimits.Limits(150, 45, 1536, 4));
+    private static final StoreLimits LIMITS =
+            new StoreLimits(new StoreLimits.Limits(150, 60, 16_384, 16), new StoreLimits.Limits(150, 45, 1536, 4));
 
     /** Blue's limit is lent launch by launch, green's is shared by the controllers, red has none. */
-    private static Settings settings(int controllers, StateLimits limits) {
+    private static Settings settings(int controllers, StoreLimits limits) {
         return new Settings(
                 "none",
                 names(controllers),
                 Map.of(
                         "green",
-                        new Settings.Team("green", 6, 0, 4.0 * controllers, 0),
+                        new Settings.TeamQuota("green", 6, 0, 4.0 * controllers, 0),
                         "blue",
-                        new Settings.Team("blue", 6, 0, 11.5, 0),
+                        new Settings.TeamQuota("blue", 6, 0, 11.5, 0),
                         "red",
-                        new Settings.Team("red", 0, 0, 0, 0)),
-                List.of(new Settings.Objective("finished", null, 60)),
+                        new Settings.TeamQuota("red", 0, 0, 0, 0)),
+                List.of(new Settings.ServiceLevelObjective("finished", null, 60)),
                 List.of("east", "west"),
                 3,
                 20,
@@ -129,14 +129,14 @@
                     "seed " + seed + ": " + world.users.accepted().size() + " accepted");
             for (String id : world.users.accepted()) {
                 assertNotNull(
-                        world.state.get(Keys.fin(id)),
+                        world.state.get(StoreKeys.fin(id)),
                         "seed " + seed + ": " + id + " never ended\n" + world.lately(id) + world.describe(id));
             }
             assertEquals(
                     Map.of(),
-                    world.state.all(Keys.JOBS),
+                    world.state.all(StoreKeys.JOBS),
                     "seed " + seed + ": jobs that are over leave nothing but their final state");
-            assertEquals(Map.of(), world.state.all(Keys.SLICES), "seed " + seed);
+            assertEquals(Map.of(), world.state.all(StoreKeys.SLICES), "seed " + seed);
         }
     }
 
@@ -149,11 +149,11 @@
             assertTrue(world.checker.starts > 50, "seed " + seed + ": only " + world.checker.starts + " starts");
             for (String id : world.users.accepted()) {
                 assertNotNull(
-                        world.state.get(Keys.fin(id)),
+                        world.state.get(StoreKeys.fin(id)),
                         "seed " + seed + ": " + id + " never ended\n" + world.lately(id) + world.describe(id));
             }
-            assertEquals(Map.of(), world.state.all(Keys.JOBS), "seed " + seed);
-            assertEquals(Map.of(), world.state.all(Keys.SLICES), "seed " + seed);
+            assertEquals(Map.of(), world.state.all(StoreKeys.JOBS), "seed " + seed);
+            assertEquals(Map.of(), world.state.all(StoreKeys.SLICES), "seed " + seed);
         }
     }
 
--- a/src/test/java/dewlane/sim/ScaleTest.java
+++ b/src/test/java/dewlane/sim/ScaleTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.config.Settings;
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
@@ -33,13 +33,13 @@
         Settings settings = new Settings(
                 "none",
                 names,
-                Map.of("blue", new Settings.Team("blue", 600, 0, 3000, 0)),
+                Map.of("blue", new Settings.TeamQuota("blue", 600, 0, 3000, 0)),
                 List.of(),
                 List.of("east", "west"),
                 5,
                 29,
                 59,
-                StateLimits.constant(150, 30, 32_768, 16),
+                StoreLimits.constant(150, 30, 32_768, 16),
                 4,
                 4,
                 new Settings.Tuning(3000, 12, idleS, 4, 256));
@@ -85,7 +85,7 @@
         double perJob = (double) (world.state.changes - before) / JOBS;
         for (int i = 0; i < JOBS; i++) {
             String id = String.format("wk-%06d", i);
-            assertTrue(world.state.get(Keys.fin(id)) != null, id + " never ended\n" + world.lately(id));
+            assertTrue(world.state.get(StoreKeys.fin(id)) != null, id + " never ended\n" + world.lately(id));
         }
         assertTrue(world.checker.starts < tasks * 1.05, world.checker.starts + " starts for " + tasks + " tasks");
         assertTrue(perJob <= 20, perJob + " changes a job");
@@ -108,10 +108,10 @@
         }
         world.run(120_000);
         for (int i = 0; i < 30; i++) {
-            assertTrue(world.state.get(Keys.fin(job(i, 60).id())) != null, i + " never ended");
+            assertTrue(world.state.get(StoreKeys.fin(job(i, 60).id())) != null, i + " never ended");
         }
         assertEquals(MACHINES, world.cloud.machines.size(), "no machine was deleted for its silence");
-        long maps = ((Value.ClusterMap) world.state.get(Keys.MAP)).epoch();
+        long maps = ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP)).epoch();
         assertTrue(maps <= 3 * CONTROLLERS, maps + " maps for one crash of all but one");
     }
 
@@ -130,7 +130,7 @@
         world.nodes.values().stream().skip(1).forEach(n -> n.crash(20_000));
         world.run(15_000 + JOBS * ARRIVE_MS + 60_000);
         for (int i = 0; i < JOBS; i++) {
-            assertTrue(world.state.get(Keys.fin(job(i, 60).id())) != null, i + " never ended");
+            assertTrue(world.state.get(StoreKeys.fin(job(i, 60).id())) != null, i + " never ended");
         }
         double perJob = (double) (world.state.changes - before) / JOBS;
         assertTrue(perJob <= 20, perJob + " changes a job");
--- a/src/test/java/dewlane/sim/ScenarioTest.java
+++ b/src/test/java/dewlane/sim/ScenarioTest.java
@@ -9,9 +9,9 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Partitions;
-import dewlane.core.schema.Value;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,7 @@
     }
 
     private static World quietWorld(int machines, int txnOps) {
-        return World.quiet(5, Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0)), txnOps, machines);
+        return World.quiet(5, Map.of("blue", new Settings.TeamQuota("blue", 0, 0, 0, 0)), txnOps, machines);
     }
 
     private static Job job(int tasks, double cpus, List<String> types, boolean spot, double estimateS) {
@@ -43,7 +43,7 @@
         World world = quietWorld(3);
         world.users.submit(job(1, 1, List.of("large"), false, 1));
         world.run(120_000);
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     /**
@@ -62,17 +62,17 @@
         for (int i = 0; i < 12_000; i++) {
             world.after(5L * i, world.users::pollSome);
         }
-        Value map = world.state.get(Keys.MAP);
+        StoredValue map = world.state.get(StoreKeys.MAP);
         world.run(70_000);
-        int done = world.state.all(Keys.FINALS).size();
+        int done = world.state.all(StoreKeys.FINALS).size();
         assertTrue(done >= 300, done + " of " + jobs + " jobs were done while they came");
-        assertEquals(map, world.state.get(Keys.MAP), "no controller lost its lease");
+        assertEquals(map, world.state.get(StoreKeys.MAP), "no controller lost its lease");
         assertTrue(
                 world.state.requestsRefused < world.state.requests / 10,
                 world.state.requestsRefused + " of " + world.state.requests + " requests refused");
         world.run(400_000);
         for (String id : world.users.accepted) {
-            assertNotNull(world.state.get(Keys.fin(id)), id);
+            assertNotNull(world.state.get(StoreKeys.fin(id)), id);
         }
     }
 
@@ -108,7 +108,7 @@
         world.run(200_000);
         assertEquals(18, world.checker.starts, "every task ran on where it was");
         assertEquals(9, world.cloud.machines.size(), "no machine was deleted for its silence");
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
@@ -124,7 +124,7 @@
         node.cutFromState = false;
         node.cutFromWorkers = false;
         world.run(90_000);
-        assertEquals(Map.of(), world.state.all(Keys.MACHINES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.MACHINES));
         assertEquals(18, world.checker.starts);
     }
 
@@ -141,7 +141,7 @@
         world.state.outage(45_000);
         world.nodes.get("n0").freeze(44_000);
         world.run(200_000);
-        assertEquals(Map.of(), world.state.all(Keys.MACHINES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.MACHINES));
         for (int i = 1; i <= 9; i++) {
             assertTrue(world.cloud.machines.containsKey("vm-00000" + i), "machine " + i + " was not deleted");
         }
@@ -157,8 +157,8 @@
         world.cloud.room = 9;
         world.users.submit(job(600, 1, List.of(), true, 5));
         world.run(400_000);
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
-        assertEquals(Map.of(), world.state.all(Keys.SLICES));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 
     @Test
@@ -169,7 +169,7 @@
         assertTrue(world.checker.starts > 1000, world.checker.starts + " starts");
         world.users.cancel("wk-000001");
         world.run(150_000);
-        assertEquals(Map.of(), world.state.all(Keys.SLICES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 
     @Test
@@ -183,7 +183,7 @@
         world.users.know(job(4, 1, List.of(), true, 2));
         world.run(60_000);
         assertTrue(accepted[0]);
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     @Test
@@ -195,8 +195,8 @@
         world.run(21_000);
         world.users.cancel("wk-000001");
         world.run(100_000);
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
-        assertEquals(Map.of(), world.state.all(Keys.SLICES));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 
     private static void submitOn(World world, int tasks, double estimateS) {
@@ -223,9 +223,9 @@
                     .build());
             for (int step = 0; step < 10; step++) {
                 world.run(world.now() + 100);
-                boolean launched = world.state.all(Keys.SLICES).entrySet().stream()
+                boolean launched = world.state.all(StoreKeys.SLICES).entrySet().stream()
                         .anyMatch(e -> !e.getKey().contains("wk-000001")
-                                && ((Value.Slice) e.getValue())
+                                && ((StoredValue.Slice) e.getValue())
                                         .attempts().stream()
                                                 .anyMatch(a ->
                                                         a.machine().equals(deaf.name) && a.launchedMs() > 1_023_500));
@@ -233,11 +233,13 @@
             }
         }
         assertTrue(
-                ((Value.ClusterMap) world.state.get(Keys.MAP)).moved().containsKey(deaf.name),
+                ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP))
+                        .moved()
+                        .containsKey(deaf.name),
                 "one that it hears has it");
         world.run(200_000);
         assertEquals(1, world.lately("start wk-000001/").lines().count(), "and lost nothing");
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     @Test
@@ -251,7 +253,7 @@
         world.run(17_000);
         world.users.cancel("wk-000001");
         world.run(100_000);
-        assertEquals(Map.of(), world.state.all(Keys.SLICES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 
     @Test
@@ -265,7 +267,7 @@
         world.run(150_000);
         assertEquals(6, world.cloud.machines.size(), "none was deleted");
         assertEquals(12, world.checker.starts, "and every task ran to its end where it was");
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     /** A trouble the users named: copies of reports come late, to whichever controller. */
@@ -273,14 +275,14 @@
     void aLateCopyBringsNoMachineBackAndMovesNone() {
         World world = quietWorld(6);
         SimWorker machine = world.cloud.machines.values().iterator().next();
-        List<dewlane.core.model.Report> copies = List.of(machine.report(), machine.report(), machine.report());
+        List<dewlane.core.model.Heartbeat> copies = List.of(machine.report(), machine.report(), machine.report());
         world.cloud.machines.remove(machine.name);
         machine.vanish();
         world.run(50_000);
         world.nodes.values().forEach(n -> n.crash(300));
         world.run(60_000);
-        Value.ClusterMap map = (Value.ClusterMap) world.state.get(Keys.MAP);
-        Map<String, Value> records = world.state.all(Keys.MACHINES);
+        StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.MAP);
+        Map<String, StoredValue> records = world.state.all(StoreKeys.MACHINES);
         for (int i = 0; i < copies.size(); i++) {
             for (SimNode node : world.nodes.values()) {
                 machine.copyLate(copies.get(i), node, 1 + 4000L * i);
@@ -288,10 +290,10 @@
         }
         submitOn(world, 14, 5);
         world.run(140_000);
-        assertEquals(map, world.state.get(Keys.MAP), "no machine was moved");
+        assertEquals(map, world.state.get(StoreKeys.MAP), "no machine was moved");
         assertEquals(
                 Map.of(),
-                world.state.all(Keys.MACHINES).entrySet().stream()
+                world.state.all(StoreKeys.MACHINES).entrySet().stream()
                         .filter(e -> !records.containsKey(e.getKey()))
                         .collect(java.util.stream.Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)),
                 "none was condemned");
@@ -311,12 +313,12 @@
         world.run(45_000);
         world.users.submit(JobBuilder.job("wk-000002").tasks(18).estimateS(5).build());
         world.run(120_000);
-        assertNotNull(world.state.get(Keys.fin("wk-000002")), "its machines serve others");
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000002")), "its machines serve others");
         node.cutFromState = false;
         node.cutFromPeers = false;
         world.run(160_000);
         assertEquals(36, world.checker.starts, "no task was lost");
-        assertEquals(Map.of(), world.state.all(Keys.MACHINES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.MACHINES));
     }
 
     @Test
@@ -332,7 +334,7 @@
         world.run(200_000);
         assertEquals(18, world.checker.starts);
         assertEquals(9, world.cloud.machines.size());
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
@@ -343,12 +345,12 @@
         world.run(10_150);
         world.nodes.get("n2").crash(20_000);
         world.run(200_000);
-        Value.ClusterMap map = (Value.ClusterMap) world.state.get(Keys.MAP);
+        StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.MAP);
         assertTrue(map.epoch() >= 5, "n2 left and came back");
         assertTrue(
                 world.cloud.machines.values().stream().anyMatch(m -> m.seal() >> 20 < map.epoch() - 1),
                 "some kept their token");
-        assertNotNull(world.state.get(Keys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
     }
 
     /**
@@ -359,10 +361,10 @@
         World world = quietWorld(30);
         submitOn(world, 60, 60);
         world.run(25_000);
-        long before = ((Value.ClusterMap) world.state.get(Keys.MAP)).epoch();
+        long before = ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP)).epoch();
         world.nodes.get("n1").crash(8000);
         world.run(60_000);
-        assertEquals(before + 2, ((Value.ClusterMap) world.state.get(Keys.MAP)).epoch());
+        assertEquals(before + 2, ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP)).epoch());
         assertEquals(60, world.checker.starts);
     }
 
@@ -381,7 +383,7 @@
             String id = String.format("wk-%06d", i);
             world.users.submit(JobBuilder.job(id).tasks(10).estimateS(300).build());
             world.run(world.now() + 1000);
-            ((Value.JobRecord) world.state.get(Keys.job(id)))
+            ((StoredValue.JobRecord) world.state.get(StoreKeys.job(id)))
                     .deals()
                     .forEach(d -> waiting.merge(d.owner(), d.count(), Integer::sum));
         }
@@ -395,7 +397,7 @@
         SimWorker large = world.cloud.create("large", "east", true);
         large.boot();
         world.run(15_000);
-        String has = Partitions.owner((Value.ClusterMap) world.state.get(Keys.MAP), large.name);
+        String has = Partitioner.owner((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP), large.name);
         String hasNot = world.nodes.keySet().stream()
                 .filter(n -> !n.equals(has))
                 .findFirst()
@@ -405,9 +407,9 @@
         Job job = job(3, 4, List.of("large"), true, 5);
         world.users.know(job);
         world.checker.finished(job.id(), 2);
-        world.state.put(Keys.job(job.id()), new Value.JobRecord(job.withAccepted(1_000_000), List.of(), 0));
-        world.state.put(Keys.slice(job.id(), 0), new Value.Slice(hasNot, 0, 3, 1, done, List.of()));
+        world.state.put(StoreKeys.job(job.id()), new StoredValue.JobRecord(job.withAccepted(1_000_000), List.of(), 0));
+        world.state.put(StoreKeys.slice(job.id(), 0), new StoredValue.Slice(hasNot, 0, 3, 1, done, List.of()));
         world.run(90_000);
-        assertNotNull(world.state.get(Keys.fin(job.id())));
+        assertNotNull(world.state.get(StoreKeys.fin(job.id())));
     }
 }
--- a/src/test/java/dewlane/sim/Scenarios.java
+++ b/src/test/java/dewlane/sim/Scenarios.java
@@ -7,14 +7,14 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value.ClusterMap;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.PartitionMap;
 import java.util.List;
 import java.util.Map;
 
 /** What scenarios share: small worlds, jobs, who is where, and what has to hold once all troubles are over. */
 final class Scenarios {
-    static final Map<String, Settings.Team> NO_LIMIT = Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0));
+    static final Map<String, Settings.TeamQuota> NO_LIMIT = Map.of("blue", new Settings.TeamQuota("blue", 0, 0, 0, 0));
 
     private Scenarios() {}
 
@@ -46,8 +46,8 @@
                 .orElseThrow();
     }
 
-    static ClusterMap map(World world) {
-        return (ClusterMap) world.state.get(Keys.MAP);
+    static PartitionMap map(World world) {
+        return (PartitionMap) world.state.get(StoreKeys.MAP);
     }
 
     static long running(World world, String job) {
@@ -69,9 +69,10 @@
         world.checker.watchWaiting();
         world.run(world.now() + ms);
         for (String id : world.users.accepted()) {
-            assertNotNull(world.state.get(Keys.fin(id)), id + " never ended\n" + world.lately(id) + world.describe(id));
+            assertNotNull(
+                    world.state.get(StoreKeys.fin(id)), id + " never ended\n" + world.lately(id) + world.describe(id));
         }
-        assertEquals(Map.of(), world.state.all(Keys.JOBS));
-        assertEquals(Map.of(), world.state.all(Keys.SLICES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.JOBS));
+        assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 }
