--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -2,9 +2,9 @@
 
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.model.ListedMachine;
+import dewlane.core.model.CloudInstance;
 import dewlane.core.model.MachineType;
-import dewlane.core.model.Order;
+import dewlane.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -19,7 +19,7 @@
     private final List<MachineType> types = List.of(
             new MachineType("small", 4, 0, 16, 20, 1, 0.2, 0.06, 4, List.of("east", "west")),
             new MachineType("large", 8, 0, 32, 20, 1, 0.4, 0.1, 6, List.of("east", "west")));
-    private List<ListedMachine> shown = List.of();
+    private List<CloudInstance> shown = List.of();
     boolean out;
     int room = 12;
     private int nextName = 1;
@@ -27,7 +27,7 @@
     SimCloud(World world) {
         this.world = world;
         world.every(1500, () -> {
-            List<ListedMachine> now = new ArrayList<>();
+            List<CloudInstance> now = new ArrayList<>();
             machines.values().forEach(m -> now.add(m.listed()));
             world.after(world.between(1000, 4000), () -> shown = now);
         });
@@ -53,26 +53,26 @@
     int heldUp;
 
     int heldUpPastTheirSender;
-    private final List<Effect.Command> heldCommands = new ArrayList<>();
+    private final List<Effect.SendCommands> heldCommands = new ArrayList<>();
 
     void catalog(SimNode node) {
         if (!out) {
-            node.call(() -> true, () -> new Input.CatalogRead(types), new Input.Tick(), 5000);
+            node.call(() -> true, () -> new Input.MachineTypesListed(types), new Input.Tick(), 5000);
         }
     }
 
     void list(SimNode node) {
         if (!out) {
-            node.call(() -> true, () -> new Input.MachinesListed(shown), new Input.Tick(), 5000);
+            node.call(() -> true, () -> new Input.InstancesListed(shown), new Input.Tick(), 5000);
         }
     }
 
-    void rent(SimNode node, Effect.Rent e) {
+    void rent(SimNode node, Effect.CreateInstances e) {
         node.call(
                 () -> true,
                 () -> {
                     if (out) {
-                        return new Input.Rented(e.request(), Input.RentStatus.UNKNOWN, List.of());
+                        return new Input.InstancesCreated(e.request(), Input.CreateStatus.UNKNOWN, List.of());
                     }
                     List<String> names = requests.get(e.request());
                     if (names == null) {
@@ -87,13 +87,13 @@
                             }
                         }
                         if (names.isEmpty()) {
-                            return new Input.Rented(e.request(), Input.RentStatus.NO_CAPACITY, List.of());
+                            return new Input.InstancesCreated(e.request(), Input.CreateStatus.NO_CAPACITY, List.of());
                         }
                         requests.put(e.request(), names);
                     }
-                    return new Input.Rented(e.request(), Input.RentStatus.RENTED, names);
+                    return new Input.InstancesCreated(e.request(), Input.CreateStatus.RENTED, names);
                 },
-                new Input.Rented(e.request(), Input.RentStatus.UNKNOWN, List.of()),
+                new Input.InstancesCreated(e.request(), Input.CreateStatus.UNKNOWN, List.of()),
                 5000);
     }
 
@@ -102,7 +102,7 @@
                 () -> true,
                 () -> {
                     if (out) {
-                        return new Input.Deleted(names, false);
+                        return new Input.InstancesDeleted(names, false);
                     }
                     names.forEach(n -> {
                         SimWorker m = machines.remove(n);
@@ -110,22 +110,23 @@
                             m.vanish();
                         }
                     });
-                    return new Input.Deleted(names, true);
+                    return new Input.InstancesDeleted(names, true);
                 },
-                new Input.Deleted(names, false),
+                new Input.InstancesDeleted(names, false),
                 5000);
     }
 
     /** True if a command to the machine that launches the order's attempt is held up on its way. */
-    boolean holdsLaunch(String machine, Order order) {
-        Order launch = new Order(Order.Kind.LAUNCH, order.job(), order.task(), order.attempt(), 0);
+    boolean holdsLaunch(String machine, WorkerCommand order) {
+        WorkerCommand launch =
+                new WorkerCommand(WorkerCommand.Action.LAUNCH, order.job(), order.task(), order.attempt(), 0);
         return heldCommands.stream()
                 .anyMatch(c -> c.machine().equals(machine) && c.orders().contains(launch));
     }
 
-    void command(SimNode node, Effect.Command e) {
+    void command(SimNode node, Effect.SendCommands e) {
         SimWorker m = machines.get(e.machine());
-        Input silence = new Input.CommandAnswered(e.machine(), e.token(), true, null);
+        Input silence = new Input.CommandCompleted(e.machine(), e.token(), true, null);
         if (m == null) {
             world.after(2500, () -> node.hear(node.life, silence));
             return;
@@ -157,7 +158,7 @@
                 () -> world.deliver(() -> {
                     if (!heard[0] && !node.cutFromWorkers) {
                         heard[0] = true;
-                        node.hear(of, new Input.CommandAnswered(e.machine(), e.token(), true, m.report()));
+                        node.hear(of, new Input.CommandCompleted(e.machine(), e.token(), true, m.report()));
                     }
                 }),
                 () -> m.command(e, sentAt)));
--- a/src/test/java/dewlane/sim/SimLimits.java
+++ b/src/test/java/dewlane/sim/SimLimits.java
@@ -1,17 +1,17 @@
 package dewlane.sim;
 
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
-import dewlane.wire.StateWire;
-import dewlane.wire.ValueCodec;
+import dewlane.wire.StoreProtocol;
+import dewlane.wire.StoredValueCodec;
 
 /** The limits of the stand-in for the state service, which may change without notice. */
 final class SimLimits {
     private static final int MOST_TXN_BYTES = 65_536;
 
     private final World world;
-    private StateLimits.Limits now;
+    private StoreLimits.Limits now;
     /** Transactions that were larger than the limits in force. */
     int exceeded;
 
@@ -20,7 +20,7 @@
         this.now = world.settings.state().present();
     }
 
-    StateLimits.Limits now() {
+    StoreLimits.Limits now() {
         return now;
     }
 
@@ -33,14 +33,14 @@
     boolean exceededBy(Transaction txn) {
         boolean tooLarge = txn.apply().size() > now.txnOps()
                 || txn.when().size() > 4 * now.txnOps()
-                || StateWire.txn(txn).length > MOST_TXN_BYTES
+                || StoreProtocol.txn(txn).length > MOST_TXN_BYTES
                 || txn.apply().stream().anyMatch(w -> bytes(w.value()) > now.valueBytes());
         exceeded += tooLarge ? 1 : 0;
         return tooLarge;
     }
 
-    private static int bytes(Value value) {
-        return value == null ? 0 : ValueCodec.bytes(value).length;
+    private static int bytes(StoredValue value) {
+        return value == null ? 0 : StoredValueCodec.bytes(value).length;
     }
 
     /**
@@ -62,7 +62,7 @@
                 throw new AssertionError(node.name + " sends a value of " + bytes + " bytes for " + w.key());
             }
         }
-        if (StateWire.txn(txn).length > MOST_TXN_BYTES) {
+        if (StoreProtocol.txn(txn).length > MOST_TXN_BYTES) {
             throw new AssertionError(node.name + " sends a transaction of more than 64 KiB");
         }
     }
--- a/src/test/java/dewlane/sim/SimNode.java
+++ b/src/test/java/dewlane/sim/SimNode.java
@@ -1,14 +1,14 @@
 package dewlane.sim;
 
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import dewlane.core.controller.Controller;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.model.Order;
+import dewlane.core.model.Heartbeat;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.model.Report;
-import dewlane.wire.PeerWire;
-import dewlane.wire.ValueCodec;
+import dewlane.core.model.WorkerCommand;
+import dewlane.wire.PeerProtocol;
+import dewlane.wire.StoredValueCodec;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayDeque;
@@ -23,7 +23,7 @@
 /** A controller process: the real core, with everything round it made up. */
 final class SimNode {
     /** A worker's answer: the status, and for 200 the token and orders, for 421 the node to report to. */
-    record ReportAnswer(int status, long token, List<Order> orders, String node) {}
+    record ReportAnswer(int status, long token, List<WorkerCommand> orders, String node) {}
 
     final World world;
     final String name;
@@ -60,7 +60,7 @@
         effects.clear();
         slept.clear();
         frozenUntil = 0;
-        core = new Controller(settingsOf(name), world.random.nextLong(), value -> ValueCodec.bytes(value).length);
+        core = new Controller(settingsOf(name), world.random.nextLong(), value -> StoredValueCodec.bytes(value).length);
         core.logOrders(true);
         ticks(life);
     }
@@ -76,7 +76,7 @@
                 s.reportS(),
                 s.leaseS(),
                 s.cancelS(),
-                production ? new StateLimits(s.state().present(), s.state().present()) : s.state(),
+                production ? new StoreLimits(s.state().present(), s.state().present()) : s.state(),
                 s.cloudRps(),
                 s.listLagS(),
                 s.tuning());
@@ -187,19 +187,19 @@
     }
 
     void submit(dewlane.core.model.Job job, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Submit(id, job.id(), job, null), then);
+        ask(id -> new Input.SubmitJob(id, job.id(), job, null), then);
     }
 
     void submitMalformed(String uid, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Submit(id, uid, null, "a field is missing"), then);
+        ask(id -> new Input.SubmitJob(id, uid, null, "a field is missing"), then);
     }
 
     void poll(String job, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Poll(id, job), then);
+        ask(id -> new Input.GetJobStatus(id, job), then);
     }
 
     void abort(String job, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Abort(id, job), then);
+        ask(id -> new Input.CancelJob(id, job), then);
     }
 
     private void ask(java.util.function.LongFunction<Input> input, Consumer<Effect.AnswerUser> then) {
@@ -208,10 +208,10 @@
         hear(life, input.apply(id));
     }
 
-    void report(Report report, Consumer<ReportAnswer> then) {
+    void report(Heartbeat report, Consumer<ReportAnswer> then) {
         long id = nextId++;
         reports.put(id, then);
-        hear(life, new Input.ReportReceived(id, report));
+        hear(life, new Input.HeartbeatReceived(id, report));
     }
 
     private void answerReport(long id, ReportAnswer answer) {
@@ -224,7 +224,7 @@
     /** Half of what a peer takes at most, as names and addresses are short here. */
     private void measure(PeerStatus page) {
         try {
-            int bytes = PeerWire.status(page).length;
+            int bytes = PeerProtocol.status(page).length;
             if (bytes > 32_768) {
                 throw new AssertionError(name + " sends its peers " + bytes + " bytes at once");
             }
@@ -239,13 +239,13 @@
             if (then != null) {
                 then.accept(e);
             }
-        } else if (effect instanceof Effect.AnswerReport e) {
+        } else if (effect instanceof Effect.AnswerHeartbeat e) {
             answerReport(e.id(), new ReportAnswer(200, e.token(), e.orders(), null));
-        } else if (effect instanceof Effect.RedirectReport e) {
+        } else if (effect instanceof Effect.RedirectHeartbeat e) {
             answerReport(e.id(), new ReportAnswer(421, 0, null, e.node()));
-        } else if (effect instanceof Effect.RefuseReport e) {
+        } else if (effect instanceof Effect.RejectHeartbeat e) {
             answerReport(e.id(), new ReportAnswer(503, 0, null, null));
-        } else if (effect instanceof Effect.SendTxn e) {
+        } else if (effect instanceof Effect.CommitTransaction e) {
             world.state.txn(this, e.id(), production ? ProductionView.written(e.txn()) : e.txn());
         } else if (effect instanceof Effect.Watch e) {
             world.state.watch(this, e.since());
@@ -253,23 +253,23 @@
             world.state.read(this, e.id(), e.key());
         } else if (effect instanceof Effect.ReadRevision) {
             world.state.readRevision(this);
-        } else if (effect instanceof Effect.ListState) {
+        } else if (effect instanceof Effect.ListStore) {
             world.state.list(this);
         } else if (effect instanceof Effect.GrantLease e) {
             world.state.grant(this, e.ttlMs());
-        } else if (effect instanceof Effect.TouchLease e) {
+        } else if (effect instanceof Effect.RenewLease e) {
             world.state.touch(this, e.lease(), world.settings.tuning().memberTtlMs());
-        } else if (effect instanceof Effect.Command e) {
+        } else if (effect instanceof Effect.SendCommands e) {
             world.cloud.command(this, e);
-        } else if (effect instanceof Effect.ReadCatalog) {
+        } else if (effect instanceof Effect.ListMachineTypes) {
             world.cloud.catalog(this);
-        } else if (effect instanceof Effect.ListMachines) {
+        } else if (effect instanceof Effect.ListInstances) {
             world.cloud.list(this);
-        } else if (effect instanceof Effect.Rent e) {
+        } else if (effect instanceof Effect.CreateInstances e) {
             world.cloud.rent(this, e);
-        } else if (effect instanceof Effect.Delete e) {
+        } else if (effect instanceof Effect.DeleteInstances e) {
             world.cloud.delete(this, e.machines());
-        } else if (effect instanceof Effect.TellPeers e) {
+        } else if (effect instanceof Effect.BroadcastStatus e) {
             tellPeers(e.pages());
         } else if (effect instanceof Effect.Log e) {
             world.trace(name + " " + e.text());
@@ -281,7 +281,7 @@
         for (SimNode peer : world.nodes.values()) {
             int of = peer.life;
             if (peer != this && !cutFromPeers && !peer.cutFromPeers) {
-                pages.forEach(page -> world.deliver(() -> peer.hear(of, new Input.PeerHeard(page))));
+                pages.forEach(page -> world.deliver(() -> peer.hear(of, new Input.PeerStatusReceived(page))));
             }
         }
     }
--- a/src/test/java/dewlane/sim/SimState.java
+++ b/src/test/java/dewlane/sim/SimState.java
@@ -1,11 +1,11 @@
 package dewlane.sim;
 
 import dewlane.core.message.Input;
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.Value;
-import dewlane.wire.StateWire;
-import dewlane.wire.ValueCodec;
+import dewlane.wire.StoreProtocol;
+import dewlane.wire.StoredValueCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,7 +16,7 @@
 
 /** The state service: conditional writes, leases and a watch, with outages, refusals to one node and late writes. */
 final class SimState {
-    private record Held(Value value, long version, long lease) {}
+    private record Held(StoredValue value, long version, long lease) {}
 
     private record Watch(SimNode node, int life, long since, long openedAt) {}
 
@@ -27,7 +27,7 @@
 
     private final World world;
     private final TreeMap<String, Held> keys = new TreeMap<>();
-    private final List<Input.Change> log = new ArrayList<>();
+    private final List<Input.KeyChange> log = new ArrayList<>();
     private final Map<Long, Long> leases = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
     final Set<String> refused = new HashSet<>();
@@ -71,21 +71,21 @@
         world.every(50, this::expire);
     }
 
-    Value get(String key) {
+    StoredValue get(String key) {
         Held held = keys.get(key);
         return held == null ? null : held.value;
     }
 
     /** Sets a key as a test wants it to be. */
-    void put(String key, Value value) {
+    void put(String key, StoredValue value) {
         revision++;
         keys.put(key, new Held(value, revision, 0));
-        log.add(new Input.Change(key, value, revision));
+        log.add(new Input.KeyChange(key, value, revision));
         notifyWatches();
     }
 
-    Map<String, Value> all(String prefix) {
-        Map<String, Value> found = new TreeMap<>();
+    Map<String, StoredValue> all(String prefix) {
+        Map<String, StoredValue> found = new TreeMap<>();
         keys.subMap(prefix, prefix + "\uffff").forEach((k, v) -> found.put(k, v.value));
         return found;
     }
@@ -98,17 +98,17 @@
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
-                        return new Input.ListFailed();
+                        return new Input.StoreListFailed();
                     }
-                    List<Input.Row> rows = new ArrayList<>();
+                    List<Input.StoreRow> rows = new ArrayList<>();
                     keys.forEach((k, v) -> {
-                        if (!k.startsWith(Keys.FINALS)) {
-                            rows.add(new Input.Row(k, v.value, v.version));
+                        if (!k.startsWith(StoreKeys.FINALS)) {
+                            rows.add(new Input.StoreRow(k, v.value, v.version));
                         }
                     });
-                    return new Input.StateListed(rows, revision, revision);
+                    return new Input.StoreListed(rows, revision, revision);
                 },
-                new Input.ListFailed(),
+                new Input.StoreListFailed(),
                 3000);
     }
 
@@ -143,10 +143,11 @@
                 left.add(w);
                 continue;
             }
-            List<Input.Change> changes =
+            List<Input.KeyChange> changes =
                     log.stream().filter(c -> c.version() > w.since).toList();
             long at = revision;
-            world.after(world.between(1, 6) + watchLagMs, () -> w.node.hear(w.life, new Input.Changes(changes, at)));
+            world.after(
+                    world.between(1, 6) + watchLagMs, () -> w.node.hear(w.life, new Input.WatchEvents(changes, at)));
         }
         watches.clear();
         watches.addAll(left);
@@ -161,27 +162,29 @@
                     lateTried++;
                     Input answer = apply(id, txn);
                     lateApplied +=
-                            answer instanceof Input.TxnAnswer a && a.status() == Transaction.Status.COMMITTED ? 1 : 0;
+                            answer instanceof Input.TransactionCompleted a && a.status() == Transaction.Status.COMMITTED
+                                    ? 1
+                                    : 0;
                 }
             });
-            world.after(1500, () -> node.hear(of, new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0)));
+            world.after(1500, () -> node.hear(of, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
             return;
         }
         if (lostAnswers > 0 && world.chance(lostAnswers) && node.stateReachable()) {
             int of = node.life;
             world.deliver(() -> {
-                if (serves(node) && apply(id, txn) instanceof Input.TxnAnswer a) {
+                if (serves(node) && apply(id, txn) instanceof Input.TransactionCompleted a) {
                     answersLost += a.status() == Transaction.Status.COMMITTED ? 1 : 0;
                 }
             });
-            world.after(1500, () -> node.hear(of, new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0)));
+            world.after(1500, () -> node.hear(of, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
             return;
         }
         node.callState(
                 () -> serves(node) && withinRequests()
                         ? apply(id, txn)
-                        : new Input.TxnAnswer(id, Transaction.Status.REFUSED, 0),
-                new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0),
+                        : new Input.TransactionCompleted(id, Transaction.Status.REFUSED, 0),
+                new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0),
                 1500);
     }
 
@@ -195,55 +198,55 @@
 
     private Input apply(long id, Transaction txn) {
         if (!writeRate.take(txn.apply().size(), limits.now().writeRps(), world.now())) {
-            return new Input.TxnAnswer(id, Transaction.Status.OVER_RATE, 0);
+            return new Input.TransactionCompleted(id, Transaction.Status.OVER_RATE, 0);
         }
         if (limits.exceededBy(txn)) {
-            return new Input.TxnAnswer(id, Transaction.Status.INVALID, 0);
+            return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
         }
         for (Transaction.Write w : txn.apply()) {
             if (w.lease() != 0 && !leases.containsKey(w.lease())) {
-                return new Input.TxnAnswer(id, Transaction.Status.INVALID, 0);
+                return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
             }
         }
-        for (Transaction.Guard g : txn.when()) {
+        for (Transaction.Precondition g : txn.when()) {
             Held held = keys.get(g.key());
             if ((held == null ? 0 : held.version) != g.version() && !unguarded(g.key())) {
-                return new Input.TxnAnswer(id, Transaction.Status.CONFLICT, revision);
+                return new Input.TransactionCompleted(id, Transaction.Status.CONFLICT, revision);
             }
         }
-        int bytes = StateWire.txn(txn).length;
+        int bytes = StoreProtocol.txn(txn).length;
         machineChanges += txn.apply().stream()
-                .filter(w -> w.key().startsWith(Keys.MACHINES))
+                .filter(w -> w.key().startsWith(StoreKeys.MACHINES))
                 .count();
         changes += txn.apply().stream()
-                .filter(w -> !w.key().startsWith(Keys.MACHINES))
+                .filter(w -> !w.key().startsWith(StoreKeys.MACHINES))
                 .count();
         longestTxn = Math.max(longestTxn, bytes);
         if (!txn.apply().isEmpty()) {
             revision++;
         }
         for (Transaction.Write w : txn.apply()) {
-            int length = w.value() == null ? 0 : ValueCodec.bytes(w.value()).length;
+            int length = w.value() == null ? 0 : StoredValueCodec.bytes(w.value()).length;
             longestValue = Math.max(longestValue, length);
             if (w.value() == null) {
                 if (keys.remove(w.key()) != null) {
-                    log.add(new Input.Change(w.key(), null, revision));
+                    log.add(new Input.KeyChange(w.key(), null, revision));
                 }
             } else {
                 keys.put(w.key(), new Held(w.value(), revision, w.lease()));
-                log.add(new Input.Change(w.key(), w.value(), revision));
+                log.add(new Input.KeyChange(w.key(), w.value(), revision));
             }
         }
         notifyWatches();
-        return new Input.TxnAnswer(id, Transaction.Status.COMMITTED, revision);
+        return new Input.TransactionCompleted(id, Transaction.Status.COMMITTED, revision);
     }
 
     /** The conditions that a test has removed. */
     private boolean unguarded(String key) {
         return switch (world.broken) {
-            case TEAM_GUARD -> key.startsWith(Keys.TEAMS);
-            case SLICE_GUARD -> key.startsWith(Keys.SLICES);
-            case JOB_GUARD -> key.startsWith(Keys.JOBS);
+            case TEAM_GUARD -> key.startsWith(StoreKeys.TEAMS);
+            case SLICE_GUARD -> key.startsWith(StoreKeys.SLICES);
+            case JOB_GUARD -> key.startsWith(StoreKeys.JOBS);
             default -> false;
         };
     }
@@ -288,15 +291,15 @@
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
-                        return new Input.LeaseTouched(lease, false, false);
+                        return new Input.LeaseRenewalCompleted(lease, false, false);
                     }
                     boolean there = leases.containsKey(lease);
                     if (there) {
                         leases.put(lease, world.now() + ttl);
                     }
-                    return new Input.LeaseTouched(lease, there, !there);
+                    return new Input.LeaseRenewalCompleted(lease, there, !there);
                 },
-                new Input.LeaseTouched(lease, false, false),
+                new Input.LeaseRenewalCompleted(lease, false, false),
                 1000);
     }
 
@@ -328,7 +331,7 @@
                 revision++;
                 for (String key : dead) {
                     keys.remove(key);
-                    log.add(new Input.Change(key, null, revision));
+                    log.add(new Input.KeyChange(key, null, revision));
                 }
             }
         }
--- a/src/test/java/dewlane/sim/SimTask.java
+++ b/src/test/java/dewlane/sim/SimTask.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
-import dewlane.core.model.Report.End;
-import dewlane.core.model.Report.Phase;
+import dewlane.core.model.Heartbeat.ExitReason;
+import dewlane.core.model.Heartbeat.Phase;
 
 /** An attempt on the machine. */
 final class SimTask {
@@ -12,7 +12,7 @@
     final long orderedAt;
 
     Phase phase = Phase.FETCHING;
-    End end;
+    ExitReason end;
     long until;
 
     SimTask(String job, int number, int attempt, long orderedAt) {
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
 import dewlane.core.message.Effect;
-import dewlane.core.message.Effect.Condition;
+import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
@@ -162,7 +162,7 @@
                         .ifPresent(known -> node.submit(job(known), a -> told(known, a)));
             default ->
                 accepted.stream()
-                        .filter(known -> world.checker.lastTold(known) == Condition.DONE)
+                        .filter(known -> world.checker.lastTold(known) == JobCondition.DONE)
                         .findAny()
                         .ifPresent(known -> node.abort(known, a -> {
                             expect(a, 200, "cancelling what is done");
@@ -294,7 +294,7 @@
     }
 
     boolean isOver(String id) {
-        Condition c = world.checker.lastTold(id);
-        return c == Condition.DONE || c == Condition.ABORTED;
+        JobCondition c = world.checker.lastTold(id);
+        return c == JobCondition.DONE || c == JobCondition.ABORTED;
     }
 }
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -1,13 +1,13 @@
 package dewlane.sim;
 
 import dewlane.core.message.Effect;
-import dewlane.core.model.ListedMachine;
+import dewlane.core.model.CloudInstance;
+import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.ExitReason;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
 import dewlane.core.model.MachineType;
-import dewlane.core.model.Order;
-import dewlane.core.model.Report;
-import dewlane.core.model.Report.End;
-import dewlane.core.model.Report.Phase;
-import dewlane.core.model.Report.TaskState;
+import dewlane.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -34,7 +34,7 @@
     /** Controllers between which and the machine nothing passes. */
     final Set<String> cutFrom = new HashSet<>();
     /** Reports that are held back on their way, or null if none are. */
-    private List<Report> withheld;
+    private List<Heartbeat> withheld;
     /** The one controller whose answers and commands do not reach it, or null. */
     String deafTo;
     /** Chance that a copy of a report comes late, to any controller. */
@@ -121,14 +121,14 @@
         tasks.clear();
     }
 
-    ListedMachine listed() {
-        return new ListedMachine(
+    CloudInstance listed() {
+        return new CloudInstance(
                 name,
                 name + ":1",
                 type.name(),
                 zone,
                 spot,
-                up ? ListedMachine.State.RUNNING : ListedMachine.State.STARTING,
+                up ? CloudInstance.State.RUNNING : CloudInstance.State.STARTING,
                 (world.now() - rentedAt) / 1000.0);
     }
 
@@ -179,9 +179,9 @@
             if (t.phase == Phase.FETCHING && world.now() >= t.until) {
                 begin(t);
             } else if (t.phase == Phase.RUNNING && world.now() >= t.until) {
-                exit(t, sick ? End.ERROR : End.DONE);
+                exit(t, sick ? ExitReason.ERROR : ExitReason.DONE);
             } else if (t.phase == Phase.SAVING && world.now() >= t.until) {
-                exit(t, End.STOPPED);
+                exit(t, ExitReason.STOPPED);
             }
         }
         if (!inFlight && world.now() >= nextReport) {
@@ -191,7 +191,7 @@
 
     private void begin(SimTask t) {
         if (world.checker.doneTask(t.job, t.number)) {
-            exit(t, End.DONE);
+            exit(t, ExitReason.DONE);
             return;
         }
         t.phase = Phase.RUNNING;
@@ -201,11 +201,11 @@
         changed();
     }
 
-    private void exit(SimTask t, End end) {
+    private void exit(SimTask t, ExitReason end) {
         t.phase = Phase.EXITED;
         t.end = end;
         world.trace("exit " + t.job + "/" + t.number + " #" + t.attempt + " on " + name + " " + end);
-        if (end == End.DONE) {
+        if (end == ExitReason.DONE) {
             world.checker.finished(t.job, t.number);
             world.users.ended(t.job);
         }
@@ -216,12 +216,12 @@
         nextReport = Math.min(nextReport, world.now() + 500);
     }
 
-    Report report() {
-        List<TaskState> states = new ArrayList<>();
+    Heartbeat report() {
+        List<TaskStatus> states = new ArrayList<>();
         for (SimTask t : tasks.values()) {
-            states.add(new TaskState(t.job, t.number, t.attempt, t.phase, t.end, false));
+            states.add(new TaskStatus(t.job, t.number, t.attempt, t.phase, t.end, false));
         }
-        return new Report(name, name + ":1", type.name(), zone, spot, session, ++sequence, seal, Double.NaN, states);
+        return new Heartbeat(name, name + ":1", type.name(), zone, spot, session, ++sequence, seal, Double.NaN, states);
     }
 
     private void sendReport() {
@@ -231,7 +231,7 @@
             reportTo = nodes.get(world.random.nextInt(nodes.size())).name;
         }
         SimNode node = world.nodes.get(reportTo);
-        Report sent = report();
+        Heartbeat sent = report();
         long sentAt = world.now();
         long of = session;
         inFlight = true;
@@ -257,7 +257,7 @@
     }
 
     /** A report goes its way to a controller, if it gets there, and sometimes a copy comes late. */
-    private void pass(Report sent, SimNode node, List<SimNode> nodes, Consumer<SimNode.ReportAnswer> answer) {
+    private void pass(Heartbeat sent, SimNode node, List<SimNode> nodes, Consumer<SimNode.ReportAnswer> answer) {
         if (withheld != null) {
             withheld.add(sent);
             return;
@@ -285,14 +285,14 @@
 
     /** What was held back arrives, in order, at the given controller; returns how many reports that were. */
     int releaseReports(SimNode at) {
-        List<Report> late = withheld;
+        List<Heartbeat> late = withheld;
         withheld = null;
         late.forEach(r -> copyLate(r, at, 1));
         return late.size();
     }
 
     /** A copy of a report that comes late; its answer reaches nobody. */
-    void copyLate(Report copy, SimNode to, long afterMs) {
+    void copyLate(Heartbeat copy, SimNode to, long afterMs) {
         world.after(afterMs, () -> {
             if (to.alive) {
                 to.report(copy, answer -> {});
@@ -331,7 +331,7 @@
         }
     }
 
-    void command(Effect.Command e, long sentAt) {
+    void command(Effect.SendCommands e, long sentAt) {
         boolean fits = e.token() >= seal || world.broken == World.Broken.WORKER_TOKEN;
         if (gone || !fits || e.session() != session) {
             return;
@@ -340,7 +340,7 @@
         e.orders().forEach(o -> execute(o, sentAt));
     }
 
-    private void execute(Order o, long sentAt) {
+    private void execute(WorkerCommand o, long sentAt) {
         String key = o.job() + "/" + o.task() + "#" + o.attempt();
         SimTask t = tasks.get(key);
         switch (o.kind()) {
@@ -356,7 +356,7 @@
                         t.phase = Phase.SAVING;
                         t.until = world.now() + (long) (save * 1000);
                     } else if (t.phase != Phase.SAVING || o.graceS() == 0) {
-                        exit(t, End.STOPPED);
+                        exit(t, ExitReason.STOPPED);
                     }
                 }
             }
@@ -371,7 +371,7 @@
         changed();
     }
 
-    private void launch(Order o, String key, long sentAt) {
+    private void launch(WorkerCommand o, String key, long sentAt) {
         if (forgotten.contains(key)) {
             world.checker.broken("launched_again", key + " on " + name + ", which was told to forget it");
         }
@@ -385,7 +385,7 @@
         tasks.put(key, t);
         if (busy || used + world.users.job(o.job()).cpus() > type.cpus() + 1e-9) {
             t.phase = Phase.EXITED;
-            t.end = busy ? End.BUSY : End.NO_ROOM;
+            t.end = busy ? ExitReason.BUSY : ExitReason.NO_ROOM;
         } else {
             t.until = world.now() + world.between(0, 1500);
         }
--- a/src/test/java/dewlane/sim/Troubles.java
+++ b/src/test/java/dewlane/sim/Troubles.java
@@ -1,6 +1,6 @@
 package dewlane.sim;
 
-import dewlane.core.schema.Keys;
+import dewlane.core.schema.StoreKeys;
 import java.util.List;
 
 /** Failures of every kind, for the random runs. */
@@ -236,8 +236,8 @@
 
     /** The controller that leads the fleet, or another if there is none. */
     static SimNode leader(World world, SimNode other) {
-        String name =
-                dewlane.core.schema.Partitions.leader((dewlane.core.schema.Value.ClusterMap) world.state.get(Keys.MAP));
+        String name = dewlane.core.schema.Partitioner.leader(
+                (dewlane.core.schema.StoredValue.PartitionMap) world.state.get(StoreKeys.MAP));
         return name == null ? other : world.nodes.get(name);
     }
 
--- a/src/test/java/dewlane/sim/UpgradeTest.java
+++ b/src/test/java/dewlane/sim/UpgradeTest.java
@@ -9,13 +9,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.config.Settings;
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import dewlane.core.message.Effect;
 import dewlane.core.model.Job;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value;
-import dewlane.wire.ValueCodec;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.wire.StoredValueCodec;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
@@ -26,10 +26,10 @@
 
 /** One version replaces another while both serve, and the state service's limits shrink under what is stored. */
 class UpgradeTest {
-    private static final StateLimits.Limits NOW = new StateLimits.Limits(150, 60, 16_384, 16);
+    private static final StoreLimits.Limits NOW = new StoreLimits.Limits(150, 60, 16_384, 16);
 
     /** Three controllers of the version before, with machines that have settled. */
-    private static World world(long seed, StateLimits.Limits next, int machines) {
+    private static World world(long seed, StoreLimits.Limits next, int machines) {
         Settings settings = new Settings(
                 "none",
                 List.of("n0", "n1", "n2"),
@@ -39,7 +39,7 @@
                 3,
                 30,
                 60,
-                new StateLimits(NOW, next),
+                new StoreLimits(NOW, next),
                 10,
                 3,
                 new Settings.Tuning(3000, 12, 300, 4, 256));
@@ -69,8 +69,8 @@
     }
 
     private static int largestSlice(World world) {
-        return world.state.all(Keys.SLICES).values().stream()
-                .mapToInt(v -> ValueCodec.bytes(v).length)
+        return world.state.all(StoreKeys.SLICES).values().stream()
+                .mapToInt(v -> StoredValueCodec.bytes(v).length)
                 .max()
                 .orElse(0);
     }
@@ -79,7 +79,7 @@
     @ParameterizedTest
     @CsvSource({"1, 2048, 5", "2, 2048, 5", "3, 1024, 5", "4, 1024, 3", "5, 1024, 2", "6, 1200, 16"})
     void whatWasStoredUnderLargerLimitsIsBroughtWithinTheSmallerOnes(long seed, int valueBytes, int txnOps) {
-        World world = world(seed, new StateLimits.Limits(150, 40, valueBytes, txnOps), 420);
+        World world = world(seed, new StoreLimits.Limits(150, 40, valueBytes, txnOps), 420);
         world.users.submit(job(1, Priority.HIGH, 300, 4, 150));
         world.users.submit(job(2, Priority.HIGH, 900, 1, 3));
         world.run(25_000);
@@ -97,7 +97,7 @@
     /** The shrinking may come while a controller that is down has not shown yet which version it is. */
     @Test
     void aControllerThatStaysDownDoesNotKeepLargeValuesFromBeingCut() {
-        World world = world(7, new StateLimits.Limits(150, 40, 1024, 3), 150);
+        World world = world(7, new StoreLimits.Limits(150, 40, 1024, 3), 150);
         world.users.submit(job(1, Priority.HIGH, 150, 4, 150));
         world.run(25_000);
         assertTrue(largestSlice(world) > 1024);
@@ -125,8 +125,8 @@
         world.run(25_000);
         assertEquals(503, answer.get().status());
         assertTrue(answer.get().retryAfterS() > 0);
-        assertNull(world.state.get(Keys.job(id(2))));
-        assertNotNull(world.state.get(Keys.job(id(3))));
+        assertNull(world.state.get(StoreKeys.job(id(2))));
+        assertNotNull(world.state.get(StoreKeys.job(id(3))));
         upgradeAll(world, 4000);
         world.users.submit(waiting);
         calm(world, 60_000);
@@ -170,7 +170,9 @@
     }
 
     private static List<String> members(World world) {
-        return Scenarios.map(world).members().stream().map(Value.Member::name).toList();
+        return Scenarios.map(world).members().stream()
+                .map(StoredValue.Member::name)
+                .toList();
     }
 
     /** A value that cannot be read stops nobody; what depends on it is held. */
@@ -179,18 +181,20 @@
         World world = Scenarios.world(9, 9);
         Job held = job(1, Priority.HIGH, 2, 1, 5);
         world.users.know(held);
-        world.state.put(Keys.job(id(1)), new Value.Unreadable("a priority from tomorrow"));
+        world.state.put(StoreKeys.job(id(1)), new StoredValue.Unreadable("a priority from tomorrow"));
         world.users.submit(job(2, Priority.HIGH, 2, 1, 5).withAwaits(List.of(id(1))));
         world.users.submit(job(3, Priority.HIGH, 2, 1, 5));
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         world.after(3000, () -> world.nodes.get("n1").poll(id(1), answer::set));
         world.run(30_000);
         assertEquals(503, answer.get().status());
-        assertNotNull(world.state.get(Keys.fin(id(3))));
+        assertNotNull(world.state.get(StoreKeys.fin(id(3))));
         assertEquals(2, world.checker.starts);
-        world.state.put(Keys.job(id(1)), new Value.JobRecord(held, List.of(new Value.Deal("n0", 0, 2)), 0));
+        world.state.put(
+                StoreKeys.job(id(1)),
+                new StoredValue.JobRecord(held, List.of(new StoredValue.SliceAssignment("n0", 0, 2)), 0));
         world.users.submit(held);
         calm(world, 120_000);
-        assertEquals(Map.of(), world.state.all(Keys.JOBS));
+        assertEquals(Map.of(), world.state.all(StoreKeys.JOBS));
     }
 }
--- a/src/test/java/dewlane/sim/World.java
+++ b/src/test/java/dewlane/sim/World.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
 import dewlane.core.config.Settings;
-import dewlane.core.config.StateLimits;
+import dewlane.core.config.StoreLimits;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -56,14 +56,14 @@
      * Three controllers and small spot machines in the east that have settled, without troubles, and no idle machine
      * goes back.
      */
-    static World quiet(long seed, Map<String, Settings.Team> teams, int txnOps, int machines) {
+    static World quiet(long seed, Map<String, Settings.TeamQuota> teams, int txnOps, int machines) {
         return quiet(seed, teams, txnOps, machines, 3, 30, 60);
     }
 
     /** The same with workers' times of the deployment's own. */
     static World quiet(
             long seed,
-            Map<String, Settings.Team> teams,
+            Map<String, Settings.TeamQuota> teams,
             int txnOps,
             int machines,
             double reportS,
@@ -79,7 +79,7 @@
                 reportS,
                 leaseS,
                 cancelS,
-                StateLimits.constant(150, 60, 16_384, txnOps),
+                StoreLimits.constant(150, 60, 16_384, txnOps),
                 10,
                 3,
                 new Settings.Tuning(3000, 12, 300, 4, 256));
@@ -136,12 +136,12 @@
 
     /** What stands in a job's way, for a failure's message. */
     String describe(String job) {
-        StringBuilder text = new StringBuilder(String.valueOf(state.get(dewlane.core.schema.Keys.job(job))));
-        state.all(dewlane.core.schema.Keys.SLICES)
+        StringBuilder text = new StringBuilder(String.valueOf(state.get(dewlane.core.schema.StoreKeys.job(job))));
+        state.all(dewlane.core.schema.StoreKeys.SLICES)
                 .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        state.all(dewlane.core.schema.Keys.MACHINES)
+        state.all(dewlane.core.schema.StoreKeys.MACHINES)
                 .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        text.append('\n').append(state.get(dewlane.core.schema.Keys.MAP));
+        text.append('\n').append(state.get(dewlane.core.schema.StoreKeys.MAP));
         cloud.machines.values().forEach(m -> text.append('\n')
                 .append(m.name)
                 .append(' ')
--- a/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dewlane.core.model.ListedMachine;
-import dewlane.core.model.ListedMachine.State;
+import dewlane.core.model.CloudInstance;
+import dewlane.core.model.CloudInstance.State;
 import dewlane.core.model.MachineType;
 import java.io.IOException;
 import java.util.List;
@@ -32,12 +32,12 @@
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/catalog", CloudWire.CATALOG);
-        assertEquals("/machines", CloudWire.MACHINES);
-        assertEquals("/machines/delete", CloudWire.DELETE);
-        assertEquals(100, CloudWire.MAX_DELETE);
-        assertEquals("/machines?limit=500", CloudWire.page((String) null));
-        assertEquals("/machines?limit=500&since=vm-000231", CloudWire.page("vm-000231"));
+        assertEquals("/catalog", CloudProtocol.CATALOG);
+        assertEquals("/machines", CloudProtocol.MACHINES);
+        assertEquals("/machines/delete", CloudProtocol.DELETE);
+        assertEquals(100, CloudProtocol.MAX_DELETE);
+        assertEquals("/machines?limit=500", CloudProtocol.page((String) null));
+        assertEquals("/machines?limit=500&since=vm-000231", CloudProtocol.page("vm-000231"));
     }
 
     @Test
@@ -45,23 +45,23 @@
         List<MachineType> expected = List.of(
                 new MachineType("g8", 96, 8, 768.5, 200, 0.5, 12.25, 4.5, 45, List.of("a", "b")),
                 new MachineType("c2", 2, 0, 8, 20, 0.25, 0.1, 0.03, 30, List.of()));
-        assertEquals(expected, CloudWire.catalog(Golden.bytes(CATALOG)));
+        assertEquals(expected, CloudProtocol.catalog(Golden.bytes(CATALOG)));
     }
 
     @Test
     void pageOfMachinesInEveryStateIsRead() throws IOException {
-        List<ListedMachine> machines = List.of(
-                new ListedMachine("vm-1", "10.1.0.1:9000", "g8", "a", true, State.RUNNING, 61.5),
-                new ListedMachine("vm-2", null, "c2", "b", false, State.STARTING, 0),
-                new ListedMachine("vm-3", "10.1.0.3:9000", "c2", "b", false, State.FAILED, 7),
-                new ListedMachine("vm-4", "10.1.0.4:9000", "c2", "b", false, State.STARTING, 8));
-        assertEquals(new CloudWire.Page(machines, true), CloudWire.page(Golden.bytes(PAGE)));
+        List<CloudInstance> machines = List.of(
+                new CloudInstance("vm-1", "10.1.0.1:9000", "g8", "a", true, State.RUNNING, 61.5),
+                new CloudInstance("vm-2", null, "c2", "b", false, State.STARTING, 0),
+                new CloudInstance("vm-3", "10.1.0.3:9000", "c2", "b", false, State.FAILED, 7),
+                new CloudInstance("vm-4", "10.1.0.4:9000", "c2", "b", false, State.STARTING, 8));
+        assertEquals(new CloudProtocol.Page(machines, true), CloudProtocol.page(Golden.bytes(PAGE)));
     }
 
     @Test
     void lastPageIsRead() throws IOException {
         byte[] body = Golden.bytes("{\"casks\":[],\"more\":false}");
-        assertEquals(new CloudWire.Page(List.of(), false), CloudWire.page(body));
+        assertEquals(new CloudProtocol.Page(List.of(), false), CloudProtocol.page(body));
     }
 
     @ParameterizedTest
@@ -69,13 +69,13 @@
     void rentalIsWritten(boolean spot, int count) {
         String expected = "{\"indent\":\"cask-0-4-17\",\"rack\":\"g8\",\"cellar\":\"a\",\"consignment\":" + spot
                 + ",\"count\":" + count + "}";
-        Golden.assertMessage(expected, CloudWire.rent("cask-0-4-17", "g8", "a", spot, count));
+        Golden.assertMessage(expected, CloudProtocol.rent("cask-0-4-17", "g8", "a", spot, count));
     }
 
     @Test
     void rentedMachinesAreRead() throws IOException {
         byte[] body = Golden.bytes("{\"casks\":[\"vm-000231\",\"vm-000232\"]}");
-        assertEquals(List.of("vm-000231", "vm-000232"), CloudWire.rented(body));
+        assertEquals(List.of("vm-000231", "vm-000232"), CloudProtocol.rented(body));
     }
 
     @ParameterizedTest
@@ -88,12 +88,12 @@
                 "no JSON                     | false"
             })
     void lackOfCapacityIsRead(String body, boolean expected) {
-        assertEquals(expected, CloudWire.noCapacity(Golden.bytes(body)));
+        assertEquals(expected, CloudProtocol.noCapacity(Golden.bytes(body)));
     }
 
     @Test
     void deletionIsWritten() {
-        byte[] message = CloudWire.delete(List.of("vm-000231", "vm-000232"));
+        byte[] message = CloudProtocol.delete(List.of("vm-000231", "vm-000232"));
         Golden.assertMessage("{\"casks\":[\"vm-000231\",\"vm-000232\"]}", message);
     }
 }
--- a/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import dewlane.core.model.PeerStatus;
-import dewlane.core.model.PeerStatus.PeerMachine;
+import dewlane.core.model.PeerStatus.MachineStatus;
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.List;
@@ -27,9 +27,9 @@
             + "c2" + "ccc8" + "cd012c";
 
     private static Stream<Arguments> messages() {
-        List<PeerMachine> machines = List.of(
-                new PeerMachine("vm-000231", "10.1.0.232:9000", "g8", "east", true, 3, 5_000_000_000L),
-                new PeerMachine("vm-2", "h:1", "c2", "a", false, 200, 300));
+        List<MachineStatus> machines = List.of(
+                new MachineStatus("vm-000231", "10.1.0.232:9000", "g8", "east", true, 3, 5_000_000_000L),
+                new MachineStatus("vm-2", "h:1", "c2", "a", false, 200, 300));
         return Stream.of(
                 Arguments.of(EMPTY, new PeerStatus("cask-0", 1, false, List.of(), List.of())),
                 Arguments.of(FULL, new PeerStatus("cask-12", 70_000, true, List.of("wk-000007", "wk-8"), machines)));
@@ -37,18 +37,18 @@
 
     @Test
     void pathIsFixed() {
-        assertEquals("/peer/status", PeerWire.STATUS);
+        assertEquals("/peer/status", PeerProtocol.STATUS);
     }
 
     @ParameterizedTest
     @MethodSource("messages")
     void statusIsWritten(String hex, PeerStatus status) throws IOException {
-        assertEquals(hex, HexFormat.of().formatHex(PeerWire.status(status)));
+        assertEquals(hex, HexFormat.of().formatHex(PeerProtocol.status(status)));
     }
 
     @ParameterizedTest
     @MethodSource("messages")
     void statusIsRead(String hex, PeerStatus status) throws IOException {
-        assertEquals(status, PeerWire.status(HexFormat.of().parseHex(hex)));
+        assertEquals(status, PeerProtocol.status(HexFormat.of().parseHex(hex)));
     }
 }
--- a/src/test/java/dewlane/wire/StateProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
@@ -3,15 +3,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dewlane.core.message.Input.Change;
-import dewlane.core.message.Input.Row;
+import dewlane.core.message.Input.KeyChange;
+import dewlane.core.message.Input.StoreRow;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.UnknownFields;
-import dewlane.core.schema.Value;
 import java.io.IOException;
 import java.util.BitSet;
 import java.util.Collections;
@@ -27,7 +27,7 @@
  * The exact messages of the state service's protocol, with every kind of value in both directions. They must not change
  * when the code that reads and writes them does.
  */
-class StateProtocolGoldenTest {
+class StoreProtocolGoldenTest {
     private static final String JOB =
             """
             {"id":"wk-000412","lot":"train","team":"vision","priority":"STANDARD","tasks":16,"cpus":8.5,"gpus":1.0,\
@@ -57,7 +57,7 @@
         return new UnknownFields(Map.of("newer", value));
     }
 
-    private static Value.JobRecord jobRecord() {
+    private static StoredValue.JobRecord jobRecord() {
         Job job = JobBuilder.job("wk-000412")
                 .lot("train")
                 .team("vision")
@@ -78,11 +78,12 @@
                 .acceptedMs(1_764_668_400_123L)
                 .build()
                 .withAwaits(List.of("wk-7", "wk-000398"));
-        List<Value.Deal> deals = List.of(new Value.Deal("cask-0", 0, 10), new Value.Deal("cask-1", 10, 6));
-        return new Value.JobRecord(job, deals, 1_764_668_500_000L, newer(List.of(1L, "two")));
+        List<StoredValue.SliceAssignment> deals = List.of(
+                new StoredValue.SliceAssignment("cask-0", 0, 10), new StoredValue.SliceAssignment("cask-1", 10, 6));
+        return new StoredValue.JobRecord(job, deals, 1_764_668_500_000L, newer(List.of(1L, "two")));
     }
 
-    private static Value.Slice slice() {
+    private static StoredValue.Slice slice() {
         BitSet done = new BitSet();
         done.set(0, 5);
         done.set(7);
@@ -92,79 +93,82 @@
                 new Attempt(49, 3, "vm-1", 2, 77, 1_764_668_450_000L),
                 new Attempt(46, 3, "vm-2", 1, 76, 1_764_668_450_000L),
                 new Attempt(51, 2, "vm-1", 2, 70, 1_764_668_440_000L));
-        return new Value.Slice("cask-1", 40, 20, 3, done, attempts, newer(Map.of("a", true)));
+        return new StoredValue.Slice("cask-1", 40, 20, 3, done, attempts, newer(Map.of("a", true)));
     }
 
-    private static Value.ClusterMap clusterMap() {
-        return new Value.ClusterMap(
+    private static StoredValue.PartitionMap clusterMap() {
+        return new StoredValue.PartitionMap(
                 5,
-                List.of(new Value.Member("cask-0", 4), new Value.Member("cask-1", 5)),
+                List.of(new StoredValue.Member("cask-0", 4), new StoredValue.Member("cask-1", 5)),
                 Map.of("vm-1", "cask-1"),
-                List.of(new Value.Loan("blue", "cask-0", 1.5, 0), new Value.Loan("blue", "cask-1", -1.5, 0)),
+                List.of(
+                        new StoredValue.QuotaTransfer("blue", "cask-0", 1.5, 0),
+                        new StoredValue.QuotaTransfer("blue", "cask-1", -1.5, 0)),
                 Map.of("cask-0", 2),
                 newer(2.5));
     }
 
-    private static Value.MachineRecord machineRecord() {
+    private static StoredValue.DecommissionRecord machineRecord() {
         UnknownFields unknown = new UnknownFields(Collections.singletonMap("newer", null));
-        return new Value.MachineRecord(Value.MachineFate.RETURN, "idle", List.of("vm-1", "vm-2"), unknown);
+        return new StoredValue.DecommissionRecord(
+                StoredValue.DecommissionState.RETURN, "idle", List.of("vm-1", "vm-2"), unknown);
     }
 
     private static Stream<Arguments> values() {
         return Stream.of(
                 Arguments.of("dewlane/job/wk-000412", JOB, jobRecord()),
-                Arguments.of("dewlane/final/wk-000412", FINAL, new Value.FinalRecord(true, 1_764_668_600_001L)),
+                Arguments.of("dewlane/final/wk-000412", FINAL, new StoredValue.JobResult(true, 1_764_668_600_001L)),
                 Arguments.of("dewlane/slice/wk-000412/2", SLICE, slice()),
                 Arguments.of("dewlane/map", MAP, clusterMap()),
-                Arguments.of("dewlane/node/cask-0", PRESENCE, new Value.Presence(4, 2)),
-                Arguments.of("dewlane/team/vision", TEAM, new Value.TeamRecord(12.5, 2)),
+                Arguments.of("dewlane/node/cask-0", PRESENCE, new StoredValue.Presence(4, 2)),
+                Arguments.of("dewlane/team/vision", TEAM, new StoredValue.TeamUsageRecord(12.5, 2)),
                 Arguments.of("dewlane/machine/+cask-0-3-1", MACHINES, machineRecord()));
     }
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/txn", StateWire.TXN);
-        assertEquals("/grants", StateWire.GRANTS);
-        assertEquals("/store/dewlane/map", StateWire.get("dewlane/map"));
+        assertEquals("/txn", StoreProtocol.TXN);
+        assertEquals("/grants", StoreProtocol.GRANTS);
+        assertEquals("/store/dewlane/map", StoreProtocol.get("dewlane/map"));
         assertEquals(
                 "/store?prefix=dewlane/&since=dewlane/final0&limit=200",
-                StateWire.list("dewlane/", "dewlane/final0", 200));
-        assertEquals("/watch?prefix=dewlane/&since=88&blockMs=5000", StateWire.watch("dewlane/", 88, 5000));
-        assertEquals("/grants/17/touch", StateWire.touch(17));
+                StoreProtocol.list("dewlane/", "dewlane/final0", 200));
+        assertEquals("/watch?prefix=dewlane/&since=88&blockMs=5000", StoreProtocol.watch("dewlane/", 88, 5000));
+        assertEquals("/grants/17/touch", StoreProtocol.touch(17));
     }
 
     @Test
     void leaseIsAskedForAndGranted() throws IOException {
-        Golden.assertMessage("{\"ttlMs\":10000}", StateWire.grant(10_000));
-        assertEquals(17, StateWire.granted(Golden.bytes("{\"tenancy\":17}")));
+        Golden.assertMessage("{\"ttlMs\":10000}", StoreProtocol.grant(10_000));
+        assertEquals(17, StoreProtocol.granted(Golden.bytes("{\"tenancy\":17}")));
     }
 
     @Test
     void revisionIsRead() throws IOException {
-        assertEquals(5_000_000_001L, StateWire.revision(Golden.bytes("{\"ledger\":5000000001}")));
+        assertEquals(5_000_000_001L, StoreProtocol.revision(Golden.bytes("{\"ledger\":5000000001}")));
     }
 
     @ParameterizedTest
     @MethodSource("values")
-    void everyValueIsReadFromItsKey(String key, String json, Value value) throws IOException {
+    void everyValueIsReadFromItsKey(String key, String json, StoredValue value) throws IOException {
         byte[] body = Golden.bytes("{\"value\":" + json + ",\"entry\":41,\"ledger\":50}");
-        assertEquals(new Row(key, value, 41), StateWire.row(key, body));
+        assertEquals(new StoreRow(key, value, 41), StoreProtocol.row(key, body));
     }
 
     @ParameterizedTest
     @MethodSource("values")
-    void everyValueIsWritten(String key, String json, Value value) {
+    void everyValueIsWritten(String key, String json, StoredValue value) {
         Transaction transaction = new Transaction.Builder().set(key, value).build();
         String expected = "{\"when\":[],\"apply\":[{\"set\":\"" + key + "\",\"value\":" + json + "}]}";
-        Golden.assertMessage(expected, StateWire.txn(transaction));
+        Golden.assertMessage(expected, StoreProtocol.txn(transaction));
     }
 
     @Test
     void unreadableValueIsNeverWritten() {
         Transaction transaction = new Transaction.Builder()
-                .set("dewlane/map", new Value.Unreadable("x"))
+                .set("dewlane/map", new StoredValue.Unreadable("x"))
                 .build();
-        assertThrows(IllegalArgumentException.class, () -> StateWire.txn(transaction));
+        assertThrows(IllegalArgumentException.class, () -> StoreProtocol.txn(transaction));
     }
 
     @Test
@@ -172,8 +176,8 @@
         Transaction transaction = new Transaction.Builder()
                 .when("dewlane/map", 7)
                 .when("dewlane/team/vision", 0)
-                .set("dewlane/team/vision", new Value.TeamRecord(12.5, 2))
-                .setLeased("dewlane/node/cask-0", new Value.Presence(4, 2), 17)
+                .set("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2))
+                .setLeased("dewlane/node/cask-0", new StoredValue.Presence(4, 2), 17)
                 .delete("dewlane/job/wk-1")
                 .build();
         String expected =
@@ -182,7 +186,7 @@
                 {"set":"dewlane/team/vision","value":{"cpus":12.5,"gpus":2.0}},\
                 {"set":"dewlane/node/cask-0","value":{"incarnation":4,"format":2},"tenancy":17},\
                 {"delete":"dewlane/job/wk-1"}]}""";
-        Golden.assertMessage(expected, StateWire.txn(transaction));
+        Golden.assertMessage(expected, StoreProtocol.txn(transaction));
     }
 
     @Test
@@ -190,26 +194,26 @@
         String body = "{\"rows\":[{\"key\":\"dewlane/map\",\"value\":" + MAP + ",\"entry\":8},"
                 + "{\"key\":\"dewlane/team/vision\",\"value\":" + TEAM + ",\"entry\":9}],"
                 + "\"more\":true,\"ledger\":50}";
-        List<Row> rows = List.of(
-                new Row("dewlane/map", clusterMap(), 8),
-                new Row("dewlane/team/vision", new Value.TeamRecord(12.5, 2), 9));
-        StateWire.Page expected = new StateWire.Page(rows, "dewlane/team/vision", true, 50);
-        assertEquals(expected, StateWire.page(Golden.bytes(body)));
+        List<StoreRow> rows = List.of(
+                new StoreRow("dewlane/map", clusterMap(), 8),
+                new StoreRow("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2), 9));
+        StoreProtocol.Page expected = new StoreProtocol.Page(rows, "dewlane/team/vision", true, 50);
+        assertEquals(expected, StoreProtocol.page(Golden.bytes(body)));
     }
 
     @Test
     void emptyPageIsRead() throws IOException {
         byte[] body = Golden.bytes("{\"rows\":[],\"more\":false,\"ledger\":50}");
-        assertEquals(new StateWire.Page(List.of(), null, false, 50), StateWire.page(body));
+        assertEquals(new StoreProtocol.Page(List.of(), null, false, 50), StoreProtocol.page(body));
     }
 
     @Test
     void changesAreRead() throws IOException {
         String body = "{\"log\":[{\"set\":\"dewlane/team/vision\",\"value\":" + TEAM + ",\"entry\":48},"
                 + "{\"delete\":\"dewlane/job/wk-1\",\"entry\":49}],\"ledger\":50}";
-        List<Change> changes = List.of(
-                new Change("dewlane/team/vision", new Value.TeamRecord(12.5, 2), 48),
-                new Change("dewlane/job/wk-1", null, 49));
-        assertEquals(new StateWire.Events(changes, 50), StateWire.events(Golden.bytes(body)));
+        List<KeyChange> changes = List.of(
+                new KeyChange("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2), 48),
+                new KeyChange("dewlane/job/wk-1", null, 49));
+        assertEquals(new StoreProtocol.Events(changes, 50), StoreProtocol.events(Golden.bytes(body)));
     }
 }
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -10,12 +10,12 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.StoredFormat;
-import dewlane.core.schema.Value;
-import dewlane.core.schema.Value.Deal;
-import dewlane.core.schema.Value.Loan;
-import dewlane.core.schema.Value.Member;
+import dewlane.core.schema.SchemaVersion;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.Member;
+import dewlane.core.schema.StoredValue.QuotaTransfer;
+import dewlane.core.schema.StoredValue.SliceAssignment;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -63,12 +63,12 @@
                 .build();
     }
 
-    private static Value.Slice slice() {
+    private static StoredValue.Slice slice() {
         BitSet done = new BitSet();
         done.set(0, 5);
         done.set(7);
         done.set(9, 12);
-        return new Value.Slice(
+        return new StoredValue.Slice(
                 "cask-1",
                 40,
                 20,
@@ -82,55 +82,67 @@
     }
 
     private static Stream<Arguments> values() {
-        List<Deal> deals = List.of(new Deal("cask-0", 0, 10), new Deal("cask-1", 10, 6));
-        List<Loan> loans = List.of(new Loan("blue", "cask-0", 1.5, 0), new Loan("blue", "cask-1", -1.5, 0));
+        List<SliceAssignment> deals =
+                List.of(new SliceAssignment("cask-0", 0, 10), new SliceAssignment("cask-1", 10, 6));
+        List<QuotaTransfer> loans =
+                List.of(new QuotaTransfer("blue", "cask-0", 1.5, 0), new QuotaTransfer("blue", "cask-1", -1.5, 0));
         List<Member> members = List.of(new Member("cask-0", 4), new Member("cask-1", 5));
         return Stream.of(
-                Arguments.of("job.json", Keys.job("wk-000412"), new Value.JobRecord(job(), deals, 0)),
+                Arguments.of("job.json", StoreKeys.job("wk-000412"), new StoredValue.JobRecord(job(), deals, 0)),
                 Arguments.of(
                         "job-cancelled.json",
-                        Keys.job("wk-000412"),
-                        new Value.JobRecord(job(), List.of(new Deal("cask-0", 0, 16)), 1764668500000L)),
-                Arguments.of("final-done.json", Keys.fin("wk-000412"), new Value.FinalRecord(false, 1764668600001L)),
-                Arguments.of("final-cancelled.json", Keys.fin("wk-1"), new Value.FinalRecord(true, 1764668600002L)),
-                Arguments.of("slice.json", Keys.slice("wk-000412", 1), slice()),
+                        StoreKeys.job("wk-000412"),
+                        new StoredValue.JobRecord(
+                                job(), List.of(new SliceAssignment("cask-0", 0, 16)), 1764668500000L)),
+                Arguments.of(
+                        "final-done.json",
+                        StoreKeys.fin("wk-000412"),
+                        new StoredValue.JobResult(false, 1764668600001L)),
+                Arguments.of(
+                        "final-cancelled.json", StoreKeys.fin("wk-1"), new StoredValue.JobResult(true, 1764668600002L)),
+                Arguments.of("slice.json", StoreKeys.slice("wk-000412", 1), slice()),
                 Arguments.of(
                         "slice-new.json",
-                        Keys.slice("wk-000412", 0),
-                        new Value.Slice("cask-1", 0, 20, 0, new BitSet(), List.of())),
+                        StoreKeys.slice("wk-000412", 0),
+                        new StoredValue.Slice("cask-1", 0, 20, 0, new BitSet(), List.of())),
                 Arguments.of(
-                        "map.json", Keys.MAP, new Value.ClusterMap(5, members, Map.of("vm-000231", "cask-1"), loans)),
+                        "map.json",
+                        StoreKeys.MAP,
+                        new StoredValue.PartitionMap(5, members, Map.of("vm-000231", "cask-1"), loans)),
                 Arguments.of(
                         "map-first.json",
-                        Keys.MAP,
-                        new Value.ClusterMap(1, List.of(new Member("cask-0", 1)), Map.of())),
-                Arguments.of("presence.json", Keys.presence("cask-0"), new Value.Presence(4, StoredFormat.FIRST)),
-                Arguments.of("team.json", Keys.team("blue"), new Value.TeamRecord(12.5, 2)),
+                        StoreKeys.MAP,
+                        new StoredValue.PartitionMap(1, List.of(new Member("cask-0", 1)), Map.of())),
+                Arguments.of(
+                        "presence.json",
+                        StoreKeys.presence("cask-0"),
+                        new StoredValue.Presence(4, SchemaVersion.FIRST)),
+                Arguments.of("team.json", StoreKeys.team("blue"), new StoredValue.TeamUsageRecord(12.5, 2)),
                 Arguments.of(
                         "machine.json",
-                        Keys.machine("vm-000231"),
-                        new Value.MachineRecord(Value.MachineFate.GONE, "deleted", List.of())),
+                        StoreKeys.machine("vm-000231"),
+                        new StoredValue.DecommissionRecord(StoredValue.DecommissionState.GONE, "deleted", List.of())),
                 Arguments.of(
                         "machines.json",
-                        Keys.machines("cask-0", 3, 1),
-                        new Value.MachineRecord(
-                                Value.MachineFate.DELETE, "silent", List.of("vm-000001", "vm-000002"))));
+                        StoreKeys.machines("cask-0", 3, 1),
+                        new StoredValue.DecommissionRecord(
+                                StoredValue.DecommissionState.DELETE, "silent", List.of("vm-000001", "vm-000002"))));
     }
 
     @ParameterizedTest
     @MethodSource("values")
-    void whatTheVersionBeforeStoredIsReadAsItWasMeant(String file, String key, Value value) throws IOException {
-        assertEquals(value, ValueCodec.decode(key, Json.object(recorded(file))));
+    void whatTheVersionBeforeStoredIsReadAsItWasMeant(String file, String key, StoredValue value) throws IOException {
+        assertEquals(value, StoredValueCodec.decode(key, Json.object(recorded(file))));
     }
 
     /** What says nothing new is written to the letter as the version before writes it, but for a process's own form. */
     @ParameterizedTest
     @MethodSource("values")
-    void whatSaysNothingNewIsWrittenAsTheVersionBeforeWritesIt(String file, String key, Value value)
+    void whatSaysNothingNewIsWrittenAsTheVersionBeforeWritesIt(String file, String key, StoredValue value)
             throws IOException {
-        String written = new String(ValueCodec.bytes(value), StandardCharsets.UTF_8);
+        String written = new String(StoredValueCodec.bytes(value), StandardCharsets.UTF_8);
         String expected = new String(recorded(file), StandardCharsets.UTF_8);
-        if (value instanceof Value.Presence) {
+        if (value instanceof StoredValue.Presence) {
             expected = expected.replace("}", ",\"format\":1}");
         }
         assertEquals(expected, written);
@@ -143,9 +155,9 @@
                 9,
                 true,
                 List.of("wk-000007"),
-                List.of(new PeerStatus.PeerMachine("vm-000001", "10.1.0.1:9000", "g8", "east", true, 3, 9)));
-        assertEquals(status, PeerWire.status(recorded("peer-status.msgpack")));
-        assertArrayEquals(recorded("peer-status.msgpack"), PeerWire.status(status));
+                List.of(new PeerStatus.MachineStatus("vm-000001", "10.1.0.1:9000", "g8", "east", true, 3, 9)));
+        assertEquals(status, PeerProtocol.status(recorded("peer-status.msgpack")));
+        assertArrayEquals(recorded("peer-status.msgpack"), PeerProtocol.status(status));
     }
 
     @ParameterizedTest
@@ -158,21 +170,22 @@
     void fieldsOfANewerVersionSurviveARewrite(String file, String key) throws IOException {
         Map<String, Object> in = Json.object(recorded(file));
         in.put("newer", Map.of("list", List.of(1L, "two", true, 2.5)));
-        Value value = ValueCodec.decode(key, in);
-        Map<String, Object> again = Json.object(ValueCodec.bytes(value));
+        StoredValue value = StoredValueCodec.decode(key, in);
+        Map<String, Object> again = Json.object(StoredValueCodec.bytes(value));
         assertEquals(in, again);
     }
 
     @Test
     void jobsThatAwaitNoneHaveNoFieldForIt() {
-        Value.JobRecord plain = new Value.JobRecord(job(), List.of(), 0);
-        assertTrue(!new String(ValueCodec.bytes(plain), StandardCharsets.UTF_8).contains("awaits"));
-        Value.JobRecord waiting = new Value.JobRecord(job().withAwaits(List.of("wk-000398", "wk-7")), List.of(), 0);
-        Value read = ValueCodec.decode(Keys.job("wk-000412"), parsed(ValueCodec.bytes(waiting)));
+        StoredValue.JobRecord plain = new StoredValue.JobRecord(job(), List.of(), 0);
+        assertTrue(!new String(StoredValueCodec.bytes(plain), StandardCharsets.UTF_8).contains("awaits"));
+        StoredValue.JobRecord waiting =
+                new StoredValue.JobRecord(job().withAwaits(List.of("wk-000398", "wk-7")), List.of(), 0);
+        StoredValue read = StoredValueCodec.decode(StoreKeys.job("wk-000412"), parsed(StoredValueCodec.bytes(waiting)));
         assertEquals(
                 waiting.job().awaits().size(),
-                ((Value.JobRecord) read).job().awaits().size());
-        assertTrue(((Value.JobRecord) read).job().awaits().containsAll(List.of("wk-000398", "wk-7")));
+                ((StoredValue.JobRecord) read).job().awaits().size());
+        assertTrue(((StoredValue.JobRecord) read).job().awaits().containsAll(List.of("wk-000398", "wk-7")));
     }
 
     private static Map<String, Object> parsed(byte[] json) {
@@ -198,21 +211,22 @@
                 "dewlane/machine/vm-1 | {\"fate\":\"SOLD\"}"
             })
     void aValueThatMakesNoSenseIsCalledUnreadable(String key, String json) throws IOException {
-        Value value = ValueCodec.decode(key, Json.object(json.getBytes(StandardCharsets.UTF_8)));
-        assertInstanceOf(Value.Unreadable.class, value);
+        StoredValue value = StoredValueCodec.decode(key, Json.object(json.getBytes(StandardCharsets.UTF_8)));
+        assertInstanceOf(StoredValue.Unreadable.class, value);
     }
 
     @Test
     void keysOfANewerVersionAreLeftAlone() throws IOException {
         String final1 = new String(recorded("final-done.json"), StandardCharsets.UTF_8);
-        StateWire.Events events = StateWire.events(("{\"ledger\":9,\"log\":[{\"set\":\"dewlane/newer/1\",\"value\":{},"
-                        + "\"entry\":8},{\"delete\":\"dewlane/newer/2\",\"entry\":8},"
-                        + "{\"set\":\"dewlane/final/wk-1\",\"value\":" + final1 + ",\"entry\":9}]}")
-                .getBytes(StandardCharsets.UTF_8));
+        StoreProtocol.Events events =
+                StoreProtocol.events(("{\"ledger\":9,\"log\":[{\"set\":\"dewlane/newer/1\",\"value\":{},"
+                                + "\"entry\":8},{\"delete\":\"dewlane/newer/2\",\"entry\":8},"
+                                + "{\"set\":\"dewlane/final/wk-1\",\"value\":" + final1 + ",\"entry\":9}]}")
+                        .getBytes(StandardCharsets.UTF_8));
         assertEquals(
-                List.of(Keys.fin("wk-1")),
-                events.changes().stream().map(Input.Change::key).toList());
-        StateWire.Page page = StateWire.page(
+                List.of(StoreKeys.fin("wk-1")),
+                events.changes().stream().map(Input.KeyChange::key).toList());
+        StoreProtocol.Page page = StoreProtocol.page(
                 ("{\"rows\":[{\"key\":\"dewlane/newer/1\",\"value\":{},\"entry\":8}]," + "\"more\":true,\"ledger\":9}")
                         .getBytes(StandardCharsets.UTF_8));
         assertEquals(List.of(), page.rows());
@@ -224,13 +238,13 @@
         List<String> ids = IntStream.range(0, 300)
                 .mapToObj(i -> String.format("wk-%06d", (i * 7919L) % 1_000_000))
                 .toList();
-        String text = JobIdList.write(ids);
+        String text = JobIdListCodec.write(ids);
         assertTrue(text.length() < 1000, text.length() + " characters");
-        assertEquals(ids.stream().sorted().toList(), JobIdList.read(text));
+        assertEquals(ids.stream().sorted().toList(), JobIdListCodec.read(text));
         List<String> odd = List.of("wk-0", "wk-00", "wk-31", "wk-32", "wk-999999999999999999999999999999");
         assertEquals(
                 odd.stream().sorted().toList(),
-                JobIdList.read(JobIdList.write(odd)).stream().sorted().toList());
-        assertEquals(List.of(), JobIdList.read(null));
+                JobIdListCodec.read(JobIdListCodec.write(odd)).stream().sorted().toList());
+        assertEquals(List.of(), JobIdListCodec.read(null));
     }
 }
--- a/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
@@ -5,9 +5,9 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.Value;
-import dewlane.core.schema.Value.MachineFate;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.DecommissionState;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,9 +16,9 @@
 
 /** The words that stand for constants in stored values. They stay the same whatever the constants are called. */
 class StoredWordsGoldenTest {
-    private static Value.JobRecord jobRecord(Priority priority) {
+    private static StoredValue.JobRecord jobRecord(Priority priority) {
         Job job = JobBuilder.job("wk-1").priority(priority).build();
-        return new Value.JobRecord(job, List.of(), 0);
+        return new StoredValue.JobRecord(job, List.of(), 0);
     }
 
     private static String jobJson(String priority) {
@@ -33,23 +33,23 @@
         return "{\"fate\":\"" + fate + "\",\"reason\":\"silent\"}";
     }
 
-    private static Value decode(String key, String json) throws IOException {
-        return ValueCodec.decode(key, Json.object(Golden.bytes(json)));
+    private static StoredValue decode(String key, String json) throws IOException {
+        return StoredValueCodec.decode(key, Json.object(Golden.bytes(json)));
     }
 
     @ParameterizedTest
     @CsvSource({"IDLE, IDLE", "STANDARD, STANDARD", "HIGH, HIGH", "CRITICAL, CRITICAL"})
     void priorityHasItsWord(String word, Priority priority) throws IOException {
-        Golden.assertMessage(jobJson(word), ValueCodec.bytes(jobRecord(priority)));
-        assertEquals(jobRecord(priority), decode(Keys.job("wk-1"), jobJson(word)));
+        Golden.assertMessage(jobJson(word), StoredValueCodec.bytes(jobRecord(priority)));
+        assertEquals(jobRecord(priority), decode(StoreKeys.job("wk-1"), jobJson(word)));
     }
 
     @ParameterizedTest
     @CsvSource({"RETURN, RETURN", "DELETE, DELETE", "GONE, GONE"})
-    void fateOfAMachineHasItsWord(String word, MachineFate fate) throws IOException {
-        Value.MachineRecord machine = new Value.MachineRecord(fate, "silent", List.of());
-        Golden.assertMessage(machineJson(word), ValueCodec.bytes(machine));
-        assertEquals(machine, decode(Keys.machine("vm-1"), machineJson(word)));
+    void fateOfAMachineHasItsWord(String word, DecommissionState fate) throws IOException {
+        StoredValue.DecommissionRecord machine = new StoredValue.DecommissionRecord(fate, "silent", List.of());
+        Golden.assertMessage(machineJson(word), StoredValueCodec.bytes(machine));
+        assertEquals(machine, decode(StoreKeys.machine("vm-1"), machineJson(word)));
     }
 
     @ParameterizedTest
@@ -60,21 +60,21 @@
 
     @ParameterizedTest
     @EnumSource
-    void everyFateIsReadAsItIsWritten(MachineFate fate) {
+    void everyFateIsReadAsItIsWritten(DecommissionState fate) {
         assertEquals(fate, StoredWords.machineFate(StoredWords.word(fate)));
     }
 
     @ParameterizedTest
     @CsvSource({"URGENT", "high", "''"})
     void valueWithAnUnknownPriorityIsUnreadable(String word) throws IOException {
-        Value expected = new Value.Unreadable("unknown priority " + word);
-        assertEquals(expected, decode(Keys.job("wk-1"), jobJson(word)));
+        StoredValue expected = new StoredValue.Unreadable("unknown priority " + word);
+        assertEquals(expected, decode(StoreKeys.job("wk-1"), jobJson(word)));
     }
 
     @ParameterizedTest
     @CsvSource({"SOLD", "gone", "''"})
     void valueWithAnUnknownFateIsUnreadable(String word) throws IOException {
-        Value expected = new Value.Unreadable("unknown fate of a machine " + word);
-        assertEquals(expected, decode(Keys.machine("vm-1"), machineJson(word)));
+        StoredValue expected = new StoredValue.Unreadable("unknown fate of a machine " + word);
+        assertEquals(expected, decode(StoreKeys.machine("vm-1"), machineJson(word)));
     }
 }
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.message.Effect.Condition;
-import dewlane.core.message.Effect.JobState;
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.message.Effect.JobStatus;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
@@ -28,8 +28,8 @@
             "ramGb":2,"blend":"i","pullGb":3,"samePlace":false,"scatter":true,"consignment":false,"maturingS":4,\
             "rackingS":0,"corkingS":0}""";
 
-    private static UserWire.Submission read(String body) {
-        return UserWire.submission(Golden.bytes(body));
+    private static UserProtocol.Submission read(String body) {
+        return UserProtocol.submission(Golden.bytes(body));
     }
 
     private static Job jobWithEveryField() {
@@ -81,18 +81,18 @@
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/v2/runs", UserWire.RUNS);
-        assertEquals("abort", UserWire.ABORT);
+        assertEquals("/v2/runs", UserProtocol.RUNS);
+        assertEquals("abort", UserProtocol.ABORT);
     }
 
     @Test
     void submissionWithEveryFieldIsRead() {
-        assertEquals(new UserWire.Submission("wk-000412", jobWithEveryField(), null), read(EVERY_FIELD));
+        assertEquals(new UserProtocol.Submission("wk-000412", jobWithEveryField(), null), read(EVERY_FIELD));
     }
 
     @Test
     void submissionWithOnlyTheRequiredFieldsIsRead() {
-        assertEquals(new UserWire.Submission("wk-1", minimalJob(), null), read(MINIMAL));
+        assertEquals(new UserProtocol.Submission("wk-1", minimalJob(), null), read(MINIMAL));
     }
 
     @ParameterizedTest
@@ -112,7 +112,7 @@
                 "{\"uid\":\"run-1\"} | uid must be a string such as wk-000412"
             })
     void bodyWithoutAnIdIsRefusedWithTheReason(String body, String reason) {
-        assertEquals(new UserWire.Submission(null, null, reason), read(body));
+        assertEquals(new UserProtocol.Submission(null, null, reason), read(body));
     }
 
     @ParameterizedTest
@@ -147,21 +147,21 @@
             })
     void badFieldIsRefusedWithTheReason(String good, String bad, String reason) {
         assertTrue(EVERY_FIELD.contains(good));
-        UserWire.Submission expected = new UserWire.Submission("wk-000412", null, reason);
+        UserProtocol.Submission expected = new UserProtocol.Submission("wk-000412", null, reason);
         assertEquals(expected, read(EVERY_FIELD.replace(good, bad)));
     }
 
     @ParameterizedTest
     @CsvSource({"PENDING, pending", "RUNNING, running", "DONE, done", "ABORTED, aborted"})
-    void stateOfAJobIsWritten(Condition condition, String word) {
-        JobState state = new JobState("wk-000412", condition, 3, 13);
+    void stateOfAJobIsWritten(JobCondition condition, String word) {
+        JobStatus state = new JobStatus("wk-000412", condition, 3, 13);
         String expected = "{\"uid\":\"wk-000412\",\"condition\":\"" + word + "\",\"done\":3,\"running\":13}";
-        Golden.assertMessage(expected, UserWire.state(state));
+        Golden.assertMessage(expected, UserProtocol.state(state));
     }
 
     @Test
     void errorIsWritten() {
         Golden.assertMessage(
-                "{\"error\":\"no \\\"such\\\" house: Põhja\"}", UserWire.error("no \"such\" house: Põhja"));
+                "{\"error\":\"no \\\"such\\\" house: Põhja\"}", UserProtocol.error("no \"such\" house: Põhja"));
     }
 }
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import dewlane.core.model.Attempt;
+import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.PeerStatus;
-import dewlane.core.model.Report;
-import dewlane.core.schema.Keys;
-import dewlane.core.schema.StoredFormat;
+import dewlane.core.schema.SchemaVersion;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.UnknownFields;
-import dewlane.core.schema.Value;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.BitSet;
@@ -33,8 +33,8 @@
             "samePlace":true,"scatter":false,"consignment":true,"maturingS":240.0,"rackingS":30.0,"corkingS":4.0,
             "shipByS":900.0}""";
 
-    private static UserWire.Submission submission(String text) {
-        return UserWire.submission(text.getBytes(StandardCharsets.UTF_8));
+    private static UserProtocol.Submission submission(String text) {
+        return UserProtocol.submission(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
@@ -97,7 +97,7 @@
                 "\"cellar\":null | \"cellar\":null,\"awaits\":[null]"
             })
     void aBadFieldIsToldAndTheIdKept(String good, String bad) {
-        UserWire.Submission s = submission(GOOD.replace(good, bad == null ? "" : bad));
+        UserProtocol.Submission s = submission(GOOD.replace(good, bad == null ? "" : bad));
         assertNull(s.job());
         assertNotNull(s.reason());
         assertEquals("wk-000412", s.uid());
@@ -127,7 +127,7 @@
 
     @Test
     void aReportIsRead() throws IOException {
-        Report report = WorkerWire.report(
+        Heartbeat report = WorkerProtocol.report(
                 """
                 {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":1,
                 "tally":88,"seal":41,"recallS":null,"bottles":[{"bottle":"wk-000412/3","try":2,"condition":"running"},
@@ -136,11 +136,12 @@
         assertEquals(41, report.token());
         assertEquals(
                 List.of(
-                        new Report.TaskState("wk-000412", 3, 2, Report.Phase.RUNNING, null, false),
-                        new Report.TaskState("wk-000398", 0, 1, Report.Phase.EXITED, Report.End.DONE, false)),
+                        new Heartbeat.TaskStatus("wk-000412", 3, 2, Heartbeat.Phase.RUNNING, null, false),
+                        new Heartbeat.TaskStatus(
+                                "wk-000398", 0, 1, Heartbeat.Phase.EXITED, Heartbeat.ExitReason.DONE, false)),
                 report.tasks());
         assertThrows(
-                IOException.class, () -> WorkerWire.report("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
+                IOException.class, () -> WorkerProtocol.report("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
@@ -150,13 +151,18 @@
         done.set(7);
         done.set(9, 12);
         Job job = submission(GOOD).job().withAccepted(1234);
-        for (Map.Entry<String, Value> e : Map.of(
-                        Keys.job("wk-1"),
-                        new Value.JobRecord(job, List.of(new Value.Deal("n0", 0, 10), new Value.Deal("n1", 10, 6)), 99),
-                        Keys.fin("wk-1"),
-                        new Value.FinalRecord(true, 7),
-                        Keys.slice("wk-1", 2),
-                        new Value.Slice(
+        for (Map.Entry<String, StoredValue> e : Map.of(
+                        StoreKeys.job("wk-1"),
+                        new StoredValue.JobRecord(
+                                job,
+                                List.of(
+                                        new StoredValue.SliceAssignment("n0", 0, 10),
+                                        new StoredValue.SliceAssignment("n1", 10, 6)),
+                                99),
+                        StoreKeys.fin("wk-1"),
+                        new StoredValue.JobResult(true, 7),
+                        StoreKeys.slice("wk-1", 2),
+                        new StoredValue.Slice(
                                 "n0",
                                 40,
                                 20,
@@ -165,23 +171,26 @@
                                 List.of(
                                         new Attempt(45, 3, "vm-1", 2, 77L << 20, 5_000_000_000L),
                                         new Attempt(46, 3, "vm-2", 1, (76L << 20) + 5, 5_000_000_000L))),
-                        Keys.MAP,
-                        new Value.ClusterMap(
+                        StoreKeys.MAP,
+                        new StoredValue.PartitionMap(
                                 5,
-                                List.of(new Value.Member("a", 4), new Value.Member("b", 5)),
+                                List.of(new StoredValue.Member("a", 4), new StoredValue.Member("b", 5)),
                                 Map.of("vm-1", "b"),
-                                List.of(new Value.Loan("blue", "a", 1.5, 0), new Value.Loan("blue", "b", -1.5, 0)),
-                                Map.of("a", StoredFormat.PIPELINES, "gone", StoredFormat.PIPELINES),
+                                List.of(
+                                        new StoredValue.QuotaTransfer("blue", "a", 1.5, 0),
+                                        new StoredValue.QuotaTransfer("blue", "b", -1.5, 0)),
+                                Map.of("a", SchemaVersion.PIPELINES, "gone", SchemaVersion.PIPELINES),
                                 UnknownFields.NONE),
-                        Keys.presence("a"),
-                        (Value) new Value.Presence(4),
-                        Keys.machine("vm-1"),
-                        new Value.MachineRecord(Value.MachineFate.GONE, "deleted", List.of()),
-                        Keys.machines("a", 3, 1),
-                        new Value.MachineRecord(Value.MachineFate.DELETE, "silent", List.of("vm-1", "vm-2")))
+                        StoreKeys.presence("a"),
+                        (StoredValue) new StoredValue.Presence(4),
+                        StoreKeys.machine("vm-1"),
+                        new StoredValue.DecommissionRecord(StoredValue.DecommissionState.GONE, "deleted", List.of()),
+                        StoreKeys.machines("a", 3, 1),
+                        new StoredValue.DecommissionRecord(
+                                StoredValue.DecommissionState.DELETE, "silent", List.of("vm-1", "vm-2")))
                 .entrySet()) {
-            byte[] json = ValueCodec.bytes(e.getValue());
-            assertEquals(e.getValue(), ValueCodec.decode(e.getKey(), Json.object(json)));
+            byte[] json = StoredValueCodec.bytes(e.getValue());
+            assertEquals(e.getValue(), StoredValueCodec.decode(e.getKey(), Json.object(json)));
         }
     }
 
@@ -189,9 +198,9 @@
     void aHundredThousandDoneTasksFitInAValue() {
         BitSet done = new BitSet();
         done.set(0, 100_000);
-        assertEquals("0-99999", TaskRanges.write(done));
-        assertEquals(done, TaskRanges.read("0-99999"));
-        assertEquals(new BitSet(), TaskRanges.read(""));
+        assertEquals("0-99999", TaskRangeCodec.write(done));
+        assertEquals(done, TaskRangeCodec.read("0-99999"));
+        assertEquals(new BitSet(), TaskRangeCodec.read(""));
     }
 
     @Test
@@ -201,7 +210,7 @@
                 9,
                 true,
                 List.of("wk-000007"),
-                List.of(new PeerStatus.PeerMachine("vm-1", "h:1", "box", "east", true, 3, 9)));
-        assertEquals(status, PeerWire.status(PeerWire.status(status)));
+                List.of(new PeerStatus.MachineStatus("vm-1", "h:1", "box", "east", true, 3, 9)));
+        assertEquals(status, PeerProtocol.status(PeerProtocol.status(status)));
     }
 }
--- a/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import dewlane.core.model.Order;
-import dewlane.core.model.Report;
-import dewlane.core.model.Report.End;
-import dewlane.core.model.Report.Phase;
-import dewlane.core.model.Report.TaskState;
+import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.ExitReason;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
+import dewlane.core.model.WorkerCommand;
 import java.io.IOException;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -36,11 +36,11 @@
             {"cask":"vm-1","address":"h:1","rack":"g4","cellar":"b","consignment":false,"pour":1,"tally":1,"seal":0,\
             "recallS":null,"bottles":[]}""";
 
-    private static final List<Order> ORDERS = List.of(
-            new Order(Order.Kind.LAUNCH, "wk-000412", 4, 2, 0),
-            new Order(Order.Kind.STOP, "wk-000377", 1, 1, 10),
-            new Order(Order.Kind.STOP, "wk-000377", 2, 1, 0.5),
-            new Order(Order.Kind.FORGET, "wk-000398", 0, 1, 0));
+    private static final List<WorkerCommand> ORDERS = List.of(
+            new WorkerCommand(WorkerCommand.Action.LAUNCH, "wk-000412", 4, 2, 0),
+            new WorkerCommand(WorkerCommand.Action.STOP, "wk-000377", 1, 1, 10),
+            new WorkerCommand(WorkerCommand.Action.STOP, "wk-000377", 2, 1, 0.5),
+            new WorkerCommand(WorkerCommand.Action.FORGET, "wk-000398", 0, 1, 0));
 
     private static final String ORDERS_TEXT =
             """
@@ -49,38 +49,38 @@
             {"order":"stop","bottle":"wk-000377/2","try":1,"restS":0.5},\
             {"order":"forget","bottle":"wk-000398/0","try":1}]""";
 
-    private static TaskState task(int number, Phase phase, End end, boolean saved) {
-        return new TaskState("wk-1", number, number + 1, phase, end, saved);
+    private static TaskStatus task(int number, Phase phase, ExitReason end, boolean saved) {
+        return new TaskStatus("wk-1", number, number + 1, phase, end, saved);
     }
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/v1/report", WorkerWire.REPORT);
-        assertEquals("/do", WorkerWire.COMMAND);
+        assertEquals("/v1/report", WorkerProtocol.REPORT);
+        assertEquals("/do", WorkerProtocol.COMMAND);
     }
 
     @Test
     void reportWithEveryTaskStateIsRead() throws IOException {
-        List<TaskState> tasks = List.of(
+        List<TaskStatus> tasks = List.of(
                 task(0, Phase.FETCHING, null, false),
                 task(1, Phase.RUNNING, null, false),
                 task(2, Phase.SAVING, null, false),
-                task(3, Phase.EXITED, End.DONE, false),
-                task(4, Phase.EXITED, End.STOPPED, true),
-                task(5, Phase.EXITED, End.ERROR, false),
-                task(6, Phase.EXITED, End.NO_ROOM, false),
-                task(7, Phase.EXITED, End.BUSY, false),
-                task(8, Phase.EXITED, End.UNKNOWN, false),
-                task(9, Phase.EXITED, End.ERROR, false));
-        Report expected =
-                new Report("vm-000231", "10.1.0.232:9000", "g8", "a", true, 2, 88, 5_000_000_041L, 29.5, tasks);
-        assertEquals(expected, WorkerWire.report(Golden.bytes(REPORT)));
+                task(3, Phase.EXITED, ExitReason.DONE, false),
+                task(4, Phase.EXITED, ExitReason.STOPPED, true),
+                task(5, Phase.EXITED, ExitReason.ERROR, false),
+                task(6, Phase.EXITED, ExitReason.NO_ROOM, false),
+                task(7, Phase.EXITED, ExitReason.BUSY, false),
+                task(8, Phase.EXITED, ExitReason.UNKNOWN, false),
+                task(9, Phase.EXITED, ExitReason.ERROR, false));
+        Heartbeat expected =
+                new Heartbeat("vm-000231", "10.1.0.232:9000", "g8", "a", true, 2, 88, 5_000_000_041L, 29.5, tasks);
+        assertEquals(expected, WorkerProtocol.report(Golden.bytes(REPORT)));
     }
 
     @Test
     void reportWithoutTasksAndNoticeIsRead() throws IOException {
-        Report expected = new Report("vm-1", "h:1", "g4", "b", false, 1, 1, 0, Double.NaN, List.of());
-        assertEquals(expected, WorkerWire.report(Golden.bytes(WITHOUT_TASKS)));
+        Heartbeat expected = new Heartbeat("vm-1", "h:1", "g4", "b", false, 1, 1, 0, Double.NaN, List.of());
+        assertEquals(expected, WorkerProtocol.report(Golden.bytes(WITHOUT_TASKS)));
     }
 
     @ParameterizedTest
@@ -97,28 +97,29 @@
             })
     void malformedReportIsRefused(String good, String bad, String reason) {
         byte[] body = Golden.bytes(REPORT.replace(good, bad));
-        IOException refusal = assertThrows(IOException.class, () -> WorkerWire.report(body));
+        IOException refusal = assertThrows(IOException.class, () -> WorkerProtocol.report(body));
         assertEquals(reason, refusal.getMessage());
     }
 
     @Test
     void answerWithEveryKindOfOrderIsWritten() {
-        Golden.assertMessage("{\"seal\":5000000041," + ORDERS_TEXT + "}", WorkerWire.answer(5_000_000_041L, ORDERS));
+        Golden.assertMessage(
+                "{\"seal\":5000000041," + ORDERS_TEXT + "}", WorkerProtocol.answer(5_000_000_041L, ORDERS));
     }
 
     @Test
     void answerWithoutOrdersIsWritten() {
-        Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerWire.answer(41, List.of()));
+        Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerProtocol.answer(41, List.of()));
     }
 
     @Test
     void directCommandIsWritten() {
-        Golden.assertMessage("{\"seal\":41,\"pour\":3," + ORDERS_TEXT + "}", WorkerWire.command(3, 41, ORDERS));
+        Golden.assertMessage("{\"seal\":41,\"pour\":3," + ORDERS_TEXT + "}", WorkerProtocol.command(3, 41, ORDERS));
     }
 
     @Test
     void redirectNamesTheControllerIfThereIsOne() {
-        Golden.assertMessage("{\"steward\":\"cask-2\"}", WorkerWire.redirect("cask-2"));
-        Golden.assertMessage("{}", WorkerWire.redirect(null));
+        Golden.assertMessage("{\"steward\":\"cask-2\"}", WorkerProtocol.redirect("cask-2"));
+        Golden.assertMessage("{}", WorkerProtocol.redirect(null));
     }
 }
