--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/DeployFile.java
@@ -15,7 +15,7 @@
 public record DeployFile(Settings settings, Endpoints endpoints) {
     private static final String VALUE_KB = "value_kb";
     private static final String TXN_OPS = "txn_ops";
-    private static final int LEAST_OPS = StoreLimits.LEAST_TXN_OPS;
+    private static final int LEAST_OPS = StoreLimits.MIN_TRANSACTION_WRITES;
 
     /**
      * Reads and checks both files.
@@ -93,23 +93,23 @@
         return new StoreLimits(
                 present,
                 new StoreLimits.Limits(
-                        next.has("rps") ? next.positive("rps") : present.rps(),
-                        next.has("write_rps") ? next.positive("write_rps") : present.writeRps(),
-                        next.has(VALUE_KB) ? valueBytes(next) : present.valueBytes(),
-                        next.has(TXN_OPS) ? next.count(TXN_OPS, LEAST_OPS) : present.txnOps()));
+                        next.has("rps") ? next.positive("rps") : present.requestsPerS(),
+                        next.has("write_rps") ? next.positive("write_rps") : present.writesPerS(),
+                        next.has(VALUE_KB) ? valueBytes(next) : present.maxValueBytes(),
+                        next.has(TXN_OPS) ? next.count(TXN_OPS, LEAST_OPS) : present.maxTransactionWrites()));
     }
 
     private static int valueBytes(TomlTable limits) throws SettingsException {
-        return (int) (1024 * limits.number(VALUE_KB, StoreLimits.LEAST_VALUE_BYTES / 1024.0));
+        return (int) (1024 * limits.number(VALUE_KB, StoreLimits.MIN_VALUE_BYTES / 1024.0));
     }
 
     private static Tuning tuning(TomlTable in) throws SettingsException {
         Tuning d = Tuning.defaults();
         return new Tuning(
-                (long) (1000 * in.number("member_ttl_s", 1, d.memberTtlMs() / 1000.0)),
-                in.number("silent_s", 5, d.silentS()),
-                in.number("idle_s", 1, d.idleS()),
-                in.number("boot_patience", 1, d.bootPatience()),
-                d.sharedCpus());
+                (long) (1000 * in.number("member_ttl_s", 1, d.memberLeaseTtlMs() / 1000.0)),
+                in.number("silent_s", 5, d.machineTimeoutS()),
+                in.number("idle_s", 1, d.scaleInIdleS()),
+                in.number("boot_patience", 1, d.bootTimeoutFactor()),
+                d.partitionedQuotaCpus());
     }
 }
--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -92,7 +92,7 @@
                 new Input.MachineTypesListed(List.of(new MachineType(TYPE, 4, 0, 8, 10, 1, 1, 1, 30, List.of("zone")))),
                 new Input.Tick(),
                 new Input.TransactionCompleted(1, Transaction.Status.COMMITTED, 2),
-                new Input.WatchEvents(List.of(new Input.KeyChange(StoreKeys.MAP, map, 2)), 2),
+                new Input.WatchEvents(List.of(new Input.KeyChange(StoreKeys.PARTITION_MAP, map, 2)), 2),
                 new Input.Tick(),
                 new Input.SubmitJob(1, job.id(), job, null),
                 new Input.TransactionCompleted(2, Transaction.Status.COMMITTED, 3),
@@ -114,7 +114,7 @@
             now += 200;
             for (Effect effect : controller.handle(now, now, input)) {
                 if (effect instanceof Effect.CommitTransaction e) {
-                    StoreProtocol.txn(e.txn());
+                    StoreProtocol.txn(e.transaction());
                 }
             }
         }
--- a/src/main/java/dewlane/core/admission/JobRequestHandler.java
+++ b/src/main/java/dewlane/core/admission/JobRequestHandler.java
@@ -52,61 +52,61 @@
         this.size = size;
     }
 
-    public void poll(Input.GetJobStatus in) {
-        lookUp(in.id(), in.job(), () -> replies.refused(in.id(), 404, "no such job"));
+    public void onGetStatus(Input.GetJobStatus request) {
+        lookUp(request.id(), request.job(), () -> replies.rejected(request.id(), 404, "no such job"));
     }
 
-    public void abort(Input.CancelJob in) {
-        JobResult fin = replica.fin(in.job());
+    public void onCancel(Input.CancelJob request) {
+        JobResult fin = replica.result(request.job());
         if (fin != null) {
-            replies.finalState(in.id(), in.job(), fin);
+            replies.finalState(request.id(), request.job(), fin);
             return;
         }
-        if (replica.recorded(in.job()) != null) {
+        if (replica.activeJob(request.job()) != null) {
             // The write is conditional on what the replica shows, so it may be behind.
-            abortKnown(in);
+            abortKnown(request);
         } else {
-            barrier.await(() -> abortKnown(in), () -> replies.unavailable(in.id()));
+            barrier.await(() -> abortKnown(request), () -> replies.unavailable(request.id()));
         }
     }
 
-    private void abortKnown(Input.CancelJob in) {
-        JobResult fin = replica.fin(in.job());
-        JobEntry entry = replica.recorded(in.job());
+    private void abortKnown(Input.CancelJob request) {
+        JobResult fin = replica.result(request.job());
+        JobEntry entry = replica.activeJob(request.job());
         if (fin != null) {
-            replies.finalState(in.id(), in.job(), fin);
-        } else if (replica.isHeld(in.job())) {
-            replies.later(in.id(), "the job's state cannot be read, try again");
+            replies.finalState(request.id(), request.job(), fin);
+        } else if (replica.isUnreadable(request.job())) {
+            replies.retryLater(request.id(), "the job's state cannot be read, try again");
         } else if (entry == null) {
-            lookUpFinal(in.id(), in.job(), () -> replies.refused(in.id(), 404, "no such job"));
-        } else if (dependencies.cancelled(entry)) {
-            replies.aborted(in.id(), in.job());
+            lookUpFinal(request.id(), request.job(), () -> replies.rejected(request.id(), 404, "no such job"));
+        } else if (dependencies.isCancelled(entry)) {
+            replies.cancelled(request.id(), request.job());
         } else {
-            cancel(in, entry.record(), entry.version());
+            cancel(request, entry.record(), entry.revision());
         }
     }
 
-    private void cancel(Input.CancelJob in, JobRecord record, long version) {
+    private void cancel(Input.CancelJob request, JobRecord record, long version) {
         String job = record.job().id();
-        JobResult fin = new JobResult(true, context.wall());
-        JobRecord marked =
-                record.cancelled(context.wall(), size, context.settings().valueBytes());
-        Transaction txn = new Transaction.Builder()
-                .when(StoreKeys.job(job), version)
-                .set(StoreKeys.job(job), marked)
-                .set(StoreKeys.fin(job), fin)
+        JobResult fin = new JobResult(true, context.wallClockMs());
+        JobRecord marked = record.asCancelled(
+                context.wallClockMs(), size, context.settings().maxValueBytes());
+        Transaction transaction = new Transaction.Builder()
+                .require(StoreKeys.job(job), version)
+                .put(StoreKeys.job(job), marked)
+                .put(StoreKeys.jobResult(job), fin)
                 .build();
-        transactions.submit(TransactionQueue.Urgency.SAFETY, txn, (status, revision) -> {
+        transactions.submit(TransactionQueue.Urgency.SAFETY, transaction, (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
                 context.info("job " + job + " cancelled");
-                cancellations.confirmed(job);
-                replica.rememberFinal(job, fin);
-                replies.aborted(in.id(), job);
+                cancellations.onConfirmed(job);
+                replica.recordResult(job, fin);
+                replies.cancelled(request.id(), job);
             } else if (status == Transaction.Status.CONFLICT) {
                 // Done, or cancelled by another request or an earlier copy of this one: see which.
-                barrier.await(() -> abortKnown(in), () -> replies.unavailable(in.id()));
+                barrier.await(() -> abortKnown(request), () -> replies.unavailable(request.id()));
             } else {
-                replies.unavailable(in.id());
+                replies.unavailable(request.id());
             }
         });
     }
@@ -121,7 +121,7 @@
      * service says nothing.
      */
     void lookUp(long id, String job, Runnable unknown, Runnable silent) {
-        JobResult fin = replica.fin(job);
+        JobResult fin = replica.result(job);
         if (fin != null) {
             replies.finalState(id, job, fin);
             return;
@@ -130,28 +130,28 @@
     }
 
     private void answerKnown(long id, String job, Runnable unknown) {
-        JobResult fin = replica.fin(job);
-        JobEntry entry = replica.recorded(job);
+        JobResult fin = replica.result(job);
+        JobEntry entry = replica.activeJob(job);
         if (fin != null) {
             replies.finalState(id, job, fin);
-        } else if (replica.isHeld(job)) {
-            replies.later(id, "the job's state cannot be read, try again");
+        } else if (replica.isUnreadable(job)) {
+            replies.retryLater(id, "the job's state cannot be read, try again");
         } else if (entry == null) {
             // A job's record is gone only once its final state is there.
             lookUpFinal(id, job, unknown);
-        } else if (dependencies.cancelled(entry)) {
-            replies.aborted(id, job);
-        } else if (!dependencies.resolved(job)) {
+        } else if (dependencies.isCancelled(entry)) {
+            replies.cancelled(id, job);
+        } else if (!dependencies.isResolved(job)) {
             // One that it needs may have been cancelled long ago.
-            replies.later(id, "looking up what the job awaits, try again");
+            replies.retryLater(id, "looking up what the job awaits, try again");
         } else {
             replies.state(id, active(entry));
         }
     }
 
     private static JobStatus active(JobEntry job) {
-        int live = job.live();
-        return new JobStatus(job.id, live > 0 ? JobCondition.RUNNING : JobCondition.PENDING, job.done(), live);
+        int live = job.liveAttemptCount();
+        return new JobStatus(job.id, live > 0 ? JobCondition.RUNNING : JobCondition.PENDING, job.doneCount(), live);
     }
 
     private void lookUpFinal(long id, String job, Runnable unknown) {
@@ -167,12 +167,12 @@
             }
 
             @Override
-            public void noAnswer() {
+            public void unavailable() {
                 replies.unavailable(id);
             }
         });
         if (!asked) {
-            replies.later(id, "too many questions, try again");
+            replies.retryLater(id, "too many questions, try again");
         }
     }
 }
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -74,62 +74,66 @@
         this.size = size;
     }
 
-    public void submit(Input.SubmitJob in) {
-        if (in.uid() == null) {
-            replies.refused(in.id(), 400, in.reason());
+    public void onSubmit(Input.SubmitJob request) {
+        if (request.jobId() == null) {
+            replies.rejected(request.id(), 400, request.rejection());
             return;
         }
-        if (replica.job(in.uid()) != null || replica.fin(in.uid()) != null) {
+        if (replica.job(request.jobId()) != null || replica.result(request.jobId()) != null) {
             // A job that is known stays known, whatever the body of a retry says.
-            users.lookUp(in.id(), in.uid(), () -> take(in));
+            users.lookUp(request.id(), request.jobId(), () -> take(request));
             return;
         }
-        if (in.job() == null) {
+        if (request.job() == null) {
             // No accepted job was malformed, but only the state service knows of all that are over. Where it does not
             // answer, a body that could never be accepted is told so all the same.
-            users.lookUp(in.id(), in.uid(), () -> take(in), () -> replies.refused(in.id(), 400, in.reason()));
+            users.lookUp(
+                    request.id(),
+                    request.jobId(),
+                    () -> take(request),
+                    () -> replies.rejected(request.id(), 400, request.rejection()));
             return;
         }
-        String unfit = unfit(in.job());
+        String unfit = unfit(request.job());
         if (unfit != null) {
-            reject(in, unfit);
-        } else if (machines.types().isEmpty() || !membership.joined()) {
-            replies.later(in.id(), "not ready, try again");
+            reject(request, unfit);
+        } else if (machines.types().isEmpty() || !membership.isMember()) {
+            replies.retryLater(request.id(), "not ready, try again");
         } else {
-            take(in);
+            take(request);
         }
     }
 
     /** Refuses a job that can never run, unless it was accepted earlier. */
-    private void reject(Input.SubmitJob in, String reason) {
-        users.lookUp(in.id(), in.uid(), () -> replies.refused(in.id(), 422, reason));
+    private void reject(Input.SubmitJob request, String reason) {
+        users.lookUp(request.id(), request.jobId(), () -> replies.rejected(request.id(), 422, reason));
     }
 
-    private void take(Input.SubmitJob in) {
-        if (in.job() == null) {
-            replies.refused(in.id(), 400, in.reason());
-        } else if (!membership.joined()) {
-            replies.later(in.id(), "not ready, try again");
-        } else if (in.job().awaits().isEmpty()) {
-            accept(in, Map.of());
-        } else if (!membership.allUpgraded()) {
-            replies.later(
-                    in.id(), "not every controller has shown yet that it is upgraded, try again", UPGRADE_RETRY_S);
-        } else if (in.job().awaits().contains(in.uid())) {
-            reject(in, "the job awaits itself");
-        } else if (unknown(in.job(), Map.of()).isEmpty()) {
-            accept(in, Map.of());
+    private void take(Input.SubmitJob request) {
+        if (request.job() == null) {
+            replies.rejected(request.id(), 400, request.rejection());
+        } else if (!membership.isMember()) {
+            replies.retryLater(request.id(), "not ready, try again");
+        } else if (request.job().dependencies().isEmpty()) {
+            accept(request, Map.of());
+        } else if (!membership.allControllersUpgraded()) {
+            replies.retryLater(
+                    request.id(), "not every controller has shown yet that it is upgraded, try again", UPGRADE_RETRY_S);
+        } else if (request.job().dependencies().contains(request.jobId())) {
+            reject(request, "the job awaits itself");
+        } else if (unknown(request.job(), Map.of()).isEmpty()) {
+            accept(request, Map.of());
         } else {
             // Another controller may have accepted what is awaited a moment ago.
-            barrier.await(() -> lookUpAwaited(in, new HashMap<>()), () -> replies.unavailable(in.id()));
+            barrier.await(() -> lookUpAwaited(request, new HashMap<>()), () -> replies.unavailable(request.id()));
         }
     }
 
     /** Awaited jobs of which neither the replica nor a read says that they were accepted. */
     private List<String> unknown(Job job, Map<String, JobResult> read) {
         List<String> unknown = new ArrayList<>();
-        for (String id : job.awaits()) {
-            if (replica.recorded(id) == null && result(id, read) == null) {
+        for (String id : job.dependencies()) {
+            if (replica.activeJob(id) == null && result(id, read) == null) {
                 unknown.add(id);
             }
         }
@@ -138,81 +142,81 @@
 
     /** The final state of an awaited job, if it is known. */
     private JobResult result(String id, Map<String, JobResult> read) {
-        JobResult known = replica.fin(id);
+        JobResult known = replica.result(id);
         return known == null ? read.get(id) : known;
     }
 
     /** The replica holds all that was accepted and is not over; the others have a final state, or never were. */
-    private void lookUpAwaited(Input.SubmitJob in, Map<String, JobResult> read) {
-        List<String> unknown = unknown(in.job(), read);
+    private void lookUpAwaited(Input.SubmitJob request, Map<String, JobResult> read) {
+        List<String> unknown = unknown(request.job(), read);
         if (unknown.isEmpty()) {
-            accept(in, read);
+            accept(request, read);
             return;
         }
         String next = unknown.get(0);
-        if (replica.isHeld(next)) {
-            replies.later(in.id(), "the state of " + next + " cannot be read, try again");
+        if (replica.isUnreadable(next)) {
+            replies.retryLater(request.id(), "the state of " + next + " cannot be read, try again");
             return;
         }
         boolean asked = finals.read(next, new JobResultReader.Listener() {
             @Override
             public void found(JobResult result) {
                 read.put(next, result);
-                lookUpAwaited(in, read);
+                lookUpAwaited(request, read);
             }
 
             @Override
             public void absent() {
-                reject(in, "awaits " + next + ", which was never accepted");
+                reject(request, "awaits " + next + ", which was never accepted");
             }
 
             @Override
-            public void noAnswer() {
-                replies.unavailable(in.id());
+            public void unavailable() {
+                replies.unavailable(request.id());
             }
         });
         if (!asked) {
             // What was read so far is remembered, so the next try has less to look up.
-            replies.later(in.id(), "too many questions, try again");
+            replies.retryLater(request.id(), "too many questions, try again");
         }
     }
 
-    private void accept(Input.SubmitJob in, Map<String, JobResult> read) {
-        Job job = in.job().withAccepted(context.wall()).withAwaits(notDone(in.job(), read));
+    private void accept(Input.SubmitJob request, Map<String, JobResult> read) {
+        Job job = request.job().withAcceptedAt(context.wallClockMs()).withDependencies(notDone(request.job(), read));
         if (cancelledFromTheStart(job, read)) {
-            acceptCancelled(in, job);
+            acceptCancelled(request, job);
             return;
         }
-        JobRecord record = new JobRecord(job, distributor.deal(job), 0);
-        int most = context.settings().valueBytes();
+        JobRecord record = new JobRecord(job, distributor.assign(job), 0);
+        int most = context.settings().maxValueBytes();
         if (size.bytes(record) > most) {
-            record = new JobRecord(job, distributor.dealWhole(job), 0);
+            record = new JobRecord(job, distributor.assignWhole(job), 0);
         }
         if (size.bytes(record) > most) {
-            rejectTooLarge(in, most);
+            rejectTooLarge(request, most);
             return;
         }
-        if (!transactions.admitsUser()) {
-            replies.later(in.id(), "too many submissions, try again", OVERLOAD_RETRY_S);
+        if (!transactions.tryAdmitSubmission()) {
+            replies.retryLater(request.id(), "too many submissions, try again", OVERLOAD_RETRY_S);
             return;
         }
-        Transaction.Builder txn = newJob(job.id()).set(StoreKeys.job(job.id()), record);
-        write(in, txn, () -> replies.accepted(in.id(), job.id(), JobCondition.PENDING));
+        Transaction.Builder transaction = newJob(job.id()).put(StoreKeys.job(job.id()), record);
+        write(request, transaction, () -> replies.accepted(request.id(), job.id(), JobCondition.PENDING));
     }
 
     /** A job whose record fits no value is malformed for this service: its lists or names are too long. */
-    private void rejectTooLarge(Input.SubmitJob in, int most) {
-        String reason = "the job, with " + in.job().awaits().size()
+    private void rejectTooLarge(Input.SubmitJob request, int most) {
+        String reason = "the job, with " + request.job().dependencies().size()
                 + " awaited jobs, does not fit into a stored value of " + most + " bytes";
-        users.lookUp(in.id(), in.uid(), () -> replies.refused(in.id(), 400, reason));
+        users.lookUp(request.id(), request.jobId(), () -> replies.rejected(request.id(), 400, reason));
     }
 
     /** What is known to be done need not be awaited, and not be looked up again after a restart. */
     private List<String> notDone(Job job, Map<String, JobResult> read) {
         List<String> left = new ArrayList<>();
-        for (String id : job.awaits()) {
+        for (String id : job.dependencies()) {
             JobResult result = result(id, read);
-            if (result == null || result.aborted()) {
+            if (result == null || result.cancelled()) {
                 left.add(id);
             }
         }
@@ -220,10 +224,10 @@
     }
 
     private boolean cancelledFromTheStart(Job job, Map<String, JobResult> read) {
-        for (String id : job.awaits()) {
-            JobEntry entry = replica.recorded(id);
+        for (String id : job.dependencies()) {
+            JobEntry entry = replica.activeJob(id);
             JobResult result = result(id, read);
-            if (result != null && result.aborted() || entry != null && dependencies.cancelled(entry)) {
+            if (result != null && result.cancelled() || entry != null && dependencies.isCancelled(entry)) {
                 return true;
             }
         }
@@ -231,32 +235,32 @@
     }
 
     /** A job that names a cancelled one is accepted all the same. It is over, so its final state is all there is. */
-    private void acceptCancelled(Input.SubmitJob in, Job job) {
-        if (!transactions.admitsUser()) {
-            replies.later(in.id(), "too many submissions, try again", OVERLOAD_RETRY_S);
+    private void acceptCancelled(Input.SubmitJob request, Job job) {
+        if (!transactions.tryAdmitSubmission()) {
+            replies.retryLater(request.id(), "too many submissions, try again", OVERLOAD_RETRY_S);
             return;
         }
-        JobResult result = new JobResult(true, context.wall());
-        Transaction.Builder txn = newJob(job.id()).set(StoreKeys.fin(job.id()), result);
-        write(in, txn, () -> {
+        JobResult result = new JobResult(true, context.wallClockMs());
+        Transaction.Builder transaction = newJob(job.id()).put(StoreKeys.jobResult(job.id()), result);
+        write(request, transaction, () -> {
             context.info("job " + job.id() + " is cancelled from the start, through one that it awaits");
-            replica.rememberFinal(job.id(), result);
-            replies.accepted(in.id(), job.id(), JobCondition.ABORTED);
+            replica.recordResult(job.id(), result);
+            replies.accepted(request.id(), job.id(), JobCondition.CANCELLED);
         });
     }
 
     private static Transaction.Builder newJob(String id) {
-        return new Transaction.Builder().when(StoreKeys.job(id), 0).when(StoreKeys.fin(id), 0);
+        return new Transaction.Builder().require(StoreKeys.job(id), 0).require(StoreKeys.jobResult(id), 0);
     }
 
-    private void write(Input.SubmitJob in, Transaction.Builder txn, Runnable accepted) {
-        transactions.submit(TransactionQueue.Urgency.USER, txn.build(), (status, revision) -> {
+    private void write(Input.SubmitJob request, Transaction.Builder transaction, Runnable accepted) {
+        transactions.submit(TransactionQueue.Urgency.USER, transaction.build(), (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
                 accepted.run();
             } else if (status == Transaction.Status.CONFLICT) {
-                users.lookUp(in.id(), in.uid(), () -> replies.later(in.id(), "try again"));
+                users.lookUp(request.id(), request.jobId(), () -> replies.retryLater(request.id(), "try again"));
             } else {
-                replies.unavailable(in.id());
+                replies.unavailable(request.id());
             }
         });
     }
@@ -267,13 +271,13 @@
         if (team == null) {
             return "unknown team " + job.team();
         }
-        if ((team.cpusMax() > 0 && job.cpus() > team.cpusMax() + 1e-9)
-                || (team.gpusMax() > 0 && job.gpus() > team.gpusMax() + 1e-9)) {
+        if ((team.maxCpus() > 0 && job.cpus() > team.maxCpus() + 1e-9)
+                || (team.maxGpus() > 0 && job.gpus() > team.maxGpus() + 1e-9)) {
             return "a task needs more than the limit of " + job.team();
         }
-        for (MachineType t : machines.types()) {
-            boolean zoned = job.zone() == null || t.zones().contains(job.zone());
-            if (job.allowsType(t.name()) && zoned && t.fits(job) > 0) {
+        for (MachineType type : machines.types()) {
+            boolean zoned = job.zone() == null || type.zones().contains(job.zone());
+            if (job.allowsType(type.name()) && zoned && type.capacityFor(job) > 0) {
                 return null;
             }
         }
--- a/src/main/java/dewlane/core/admission/UserResponses.java
+++ b/src/main/java/dewlane/core/admission/UserResponses.java
@@ -29,31 +29,31 @@
 
     /** The job's state once it is over. */
     void finalState(long id, String job, JobResult result) {
-        state(id, new JobStatus(job, result.aborted() ? JobCondition.ABORTED : JobCondition.DONE, 0, 0));
+        state(id, new JobStatus(job, result.cancelled() ? JobCondition.CANCELLED : JobCondition.DONE, 0, 0));
     }
 
     /** The job is cancelled. */
-    void aborted(long id, String job) {
-        state(id, new JobStatus(job, JobCondition.ABORTED, 0, 0));
+    void cancelled(long id, String job) {
+        state(id, new JobStatus(job, JobCondition.CANCELLED, 0, 0));
     }
 
     /** The request cannot be served, whenever it is repeated. */
-    void refused(long id, int status, String reason) {
+    void rejected(long id, int status, String reason) {
         context.emit(new Effect.AnswerUser(id, status, null, reason, RETRY_S));
     }
 
     /** The request may be repeated soon. */
-    void later(long id, String reason) {
-        later(id, reason, RETRY_S);
+    void retryLater(long id, String reason) {
+        retryLater(id, reason, RETRY_S);
     }
 
     /** The request may be repeated after the given time. */
-    void later(long id, String reason, int retryAfterS) {
+    void retryLater(long id, String reason, int retryAfterS) {
         context.emit(new Effect.AnswerUser(id, 503, null, reason, retryAfterS));
     }
 
     /** The state service does not answer. */
     void unavailable(long id) {
-        later(id, "state service out of reach, try again");
+        retryLater(id, "state service out of reach, try again");
     }
 }
--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -80,9 +80,9 @@
 
     /** Keeps the catalog and the list current, and rents. */
     public void tick() {
-        long now = context.now();
+        long now = context.nowMs();
         readCatalog();
-        if (!membership.leads()) {
+        if (!membership.isLeader()) {
             ledSince = 0;
             planned = false;
             inventory.clear();
@@ -97,14 +97,14 @@
             listAskedAt = now;
             context.emit(new Effect.ListInstances());
         }
-        if (!membership.reachesState() || machines.types().isEmpty()) {
+        if (!membership.reachesStore() || machines.types().isEmpty()) {
             return;
         }
-        asked.values().removeIf(r -> now - r.at() > ANSWER_MS);
+        asked.values().removeIf(r -> now - r.requestedAtMs() > ANSWER_MS);
         inventory.tick();
         if (knowsFleet()) {
             planned = true;
-            rent();
+            scaleOut();
         }
     }
 
@@ -112,85 +112,86 @@
     private long listPauseMs() {
         double pages = Math.ceil(inventory.listedMachines() / (double) MACHINES_A_PAGE);
         return (long) Math.max(
-                LIST_MS, 1000 * pages / (LIST_SHARE * context.settings().cloudRps()));
+                LIST_MS, 1000 * pages / (LIST_SHARE * context.settings().cloudRequestsPerS()));
     }
 
     private void readCatalog() {
         long every = machines.types().isEmpty() ? FIRST_CATALOG_MS : CATALOG_MS;
-        if (catalogAt == Long.MIN_VALUE || context.now() - catalogAt > every) {
-            catalogAt = context.now();
+        if (catalogAt == Long.MIN_VALUE || context.nowMs() - catalogAt > every) {
+            catalogAt = context.nowMs();
             context.emit(new Effect.ListMachineTypes());
         }
     }
 
     /** A new leader first waits for a list, which shows what its predecessor rented; the first one has none. */
     private boolean knowsFleet() {
-        long led = context.now() - ledSince;
-        return led > 1000 * context.settings().listLagS() && inventory.hasList()
+        long led = context.nowMs() - ledSince;
+        return led > 1000 * context.settings().cloudListLagS() && inventory.hasList()
                 || led > FIRST_LIST_MS
-                || replica.map().epoch() <= replica.map().members().size();
+                || replica.partitionMap().epoch()
+                        <= replica.partitionMap().members().size();
     }
 
-    public void listed(Input.InstancesListed in) {
-        inventory.listed(in.machines());
+    public void onInstancesListed(Input.InstancesListed in) {
+        inventory.onListed(in.machines());
     }
 
-    public void deleted(Input.InstancesDeleted in) {
-        inventory.deleted(in);
-        if (membership.leads()) {
-            inventory.carryOut();
+    public void onInstancesDeleted(Input.InstancesDeleted in) {
+        inventory.onDeleted(in);
+        if (membership.isLeader()) {
+            inventory.processDecommissions();
         }
     }
 
-    public void rented(Input.InstancesCreated in) {
-        InstanceRequest rental = asked.remove(in.request());
+    public void onInstancesCreated(Input.InstancesCreated in) {
+        InstanceRequest rental = asked.remove(in.requestId());
         if (rental == null) {
             return;
         }
-        InstancePool place = rental.place();
+        InstancePool place = rental.pool();
         switch (in.status()) {
-            case RENTED -> {
-                inventory.rented(in.machines(), rental);
+            case CREATED -> {
+                inventory.onCreated(in.machines(), rental);
                 context.info("rented " + in.machines() + " " + place);
                 if (in.machines().size() < rental.count()) {
-                    scarceUntil.put(place, context.now() + SCARCE_MS);
+                    scarceUntil.put(place, context.nowMs() + SCARCE_MS);
                 }
             }
             case NO_CAPACITY -> {
-                scarceUntil.put(place, context.now() + SCARCE_MS);
+                scarceUntil.put(place, context.nowMs() + SCARCE_MS);
                 context.debug("no capacity for " + place);
             }
             // The request may be carried out late: the machines then show up in reports and lists.
-            case INVALID, UNKNOWN -> scarceUntil.put(place, context.now() + UNCLEAR_MS);
+            case INVALID, UNKNOWN -> scarceUntil.put(place, context.nowMs() + UNCLEAR_MS);
         }
-        if (planned && membership.leads()) {
-            rent();
+        if (planned && membership.isLeader()) {
+            scaleOut();
         }
     }
 
-    private void rent() {
+    private void scaleOut() {
         if (asked.size() >= MOST_ASKED) {
             return;
         }
         Map<InstancePool, Double> wanted = new LinkedHashMap<>();
-        demand.unmet(inventory.booting(), asked.values()).forEach((job, slots) -> {
+        demand.unmetDemand(inventory.booting(), asked.values()).forEach((job, slots) -> {
             InstancePool place = cheapest(job);
             if (place != null) {
-                wanted.merge(place, slots / machines.type(place.type()).fits(job.job()), Double::sum);
+                wanted.merge(place, slots / machines.type(place.type()).capacityFor(job.job()), Double::sum);
             }
         });
         wanted.forEach((place, amount) -> {
             int count = (int) Math.min(MOST_RENTED, Math.ceil(amount - ROUNDED_OFF));
             if (count > 0 && asked.size() < MOST_ASKED) {
-                ask(place, count);
+                createInstances(place, count);
             }
         });
     }
 
-    private void ask(InstancePool place, int count) {
+    private void createInstances(InstancePool place, int count) {
         String request = "dewlane-" + Long.toHexString(context.random().nextLong())
                 + Long.toHexString(context.random().nextLong());
-        asked.put(request, new InstanceRequest(place, count, context.now()));
+        asked.put(request, new InstanceRequest(place, count, context.nowMs()));
         context.emit(new Effect.CreateInstances(request, place.type(), place.zone(), place.spot(), count));
     }
 
@@ -203,7 +204,7 @@
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     InstancePool place = new InstancePool(type.name(), zone, spot);
-                    double cost = mayRent(place, type, entry) ? cost(type, spot, job) : Double.POSITIVE_INFINITY;
+                    double cost = isEligible(place, type, entry) ? cost(type, spot, job) : Double.POSITIVE_INFINITY;
                     if (cost < bestCost) {
                         best = place;
                         bestCost = cost;
@@ -214,24 +215,24 @@
         return best;
     }
 
-    private boolean mayRent(InstancePool place, MachineType type, JobEntry entry) {
+    private boolean isEligible(InstancePool place, MachineType type, JobEntry entry) {
         Job job = entry.job();
-        return type.fits(job) >= 1
+        return type.capacityFor(job) >= 1
                 && job.allows(place.type(), place.zone(), place.spot())
-                && (place.spot() || worthOrdinary(entry))
-                && scarceUntil.getOrDefault(place, 0L) <= context.now();
+                && (place.spot() || mayUseOnDemand(entry))
+                && scarceUntil.getOrDefault(place, 0L) <= context.nowMs();
     }
 
     private double cost(MachineType type, boolean spot, Job job) {
-        double each = type.price(spot) / type.fits(job);
-        double rivalry = 1 + RIVAL * machines.rivalry().rivals(job.shape(), type);
-        double lostS = type.bootS() + job.imageGb() / type.fetchGbPerS();
+        double each = type.price(spot) / type.capacityFor(job);
+        double rivalry = 1 + RIVAL * machines.typeContention().contention(job.requirements(), type);
+        double lostS = type.bootS() + job.imageGb() / type.imageFetchGbPerS();
         return each * rivalry * (1 + lostS / LIFE_S);
     }
 
-    private boolean worthOrdinary(JobEntry job) {
+    private boolean mayUseOnDemand(JobEntry job) {
         return job.priority() != Priority.IDLE
-                || !job.job().spot()
-                || context.wall() - job.waitsSinceMs() > IDLE_PRIORITY_WAIT_MS;
+                || !job.job().spotAllowed()
+                || context.wallClockMs() - job.waitingSinceMs() > IDLE_PRIORITY_WAIT_MS;
     }
 }
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -45,7 +45,7 @@
 
         /** Takes up to the given number of tasks and says how many. */
         int take(Job job, int tasks) {
-            int taken = Math.min(tasks, use.room(type, job));
+            int taken = Math.min(tasks, use.capacityFor(type, job));
             if (taken > 0) {
                 use.add(job, taken);
             }
@@ -85,7 +85,7 @@
      * @param booting machines that are rented but not up, by name
      * @param asked rentals that the cloud has not answered yet
      */
-    Map<JobEntry, Double> unmet(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
+    Map<JobEntry, Double> unmetDemand(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
         Map<InstancePool, List<Bin>> bins = bins(booting, asked);
         Map<JobEntry, Double> unmet = new LinkedHashMap<>();
         Map<String, ResourceUsage> teams = new HashMap<>();
@@ -93,12 +93,12 @@
         for (JobEntry job : waitingJobs()) {
             Job spec = job.job();
             ResourceUsage team = teams.computeIfAbsent(
-                    spec.team(), t -> new ResourceUsage(machines.teamUsage().of(t)));
-            int allowed = Math.min(job.waiting(), quota.room(spec, team));
+                    spec.team(), t -> new ResourceUsage(machines.teamUsage().usageOf(t)));
+            int allowed = Math.min(job.pendingCount(), quota.capacityFor(spec, team));
             team.add(spec, Math.max(0, allowed));
-            int left = full.contains(job.shape()) ? allowed : fill(bins, job, allowed);
+            int left = full.contains(job.requirements()) ? allowed : fill(bins, job, allowed);
             if (left > 0) {
-                full.add(job.shape());
+                full.add(job.requirements());
                 unmet.put(job, slots(job, left, booting));
             }
         }
@@ -108,24 +108,27 @@
     /** Room by place, so that a job looks only at machines that it may use, and each full one is dropped at once. */
     private Map<InstancePool, List<Bin>> bins(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
         Map<InstancePool, List<Bin>> bins = new LinkedHashMap<>();
-        for (Machine m : machines.all()) {
-            MachineType type = machines.type(m);
-            if (type != null && takesTasks(m) && m.use.cpus() < type.cpus()) {
-                add(bins, new InstancePool(type.name(), m.zone, m.spot), new Bin(type, new ResourceUsage(m.use)));
+        for (Machine machine : machines.all()) {
+            MachineType type = machines.type(machine);
+            if (type != null && isSchedulable(machine) && machine.usage.cpus() < type.cpus()) {
+                add(
+                        bins,
+                        new InstancePool(type.name(), machine.zone, machine.spot),
+                        new Bin(type, new ResourceUsage(machine.usage)));
             }
         }
         booting.forEach((name, rental) -> {
-            MachineType type = machines.type(rental.place().type());
+            MachineType type = machines.type(rental.pool().type());
             if (type != null
-                    && !replica.machines().containsKey(name)
-                    && context.now() - rental.at() < COUNTED_BOOTS * 1000 * type.bootS()) {
-                add(bins, rental.place(), new Bin(type, new ResourceUsage()));
+                    && !replica.decommissionsByMachine().containsKey(name)
+                    && context.nowMs() - rental.requestedAtMs() < COUNTED_BOOTS * 1000 * type.bootS()) {
+                add(bins, rental.pool(), new Bin(type, new ResourceUsage()));
             }
         });
         for (InstanceRequest rental : asked) {
-            MachineType type = machines.type(rental.place().type());
+            MachineType type = machines.type(rental.pool().type());
             for (int i = 0; type != null && i < rental.count(); i++) {
-                add(bins, rental.place(), new Bin(type, new ResourceUsage()));
+                add(bins, rental.pool(), new Bin(type, new ResourceUsage()));
             }
         }
         return bins;
@@ -139,17 +142,17 @@
     private List<JobEntry> waitingJobs() {
         List<JobEntry> jobs = new ArrayList<>();
         for (JobEntry job : replica.jobs()) {
-            if (job.job() != null && release.isReady(job.id) && !faulty(job) && job.waiting() > 0) {
+            if (job.job() != null && release.isReady(job.id) && !faulty(job) && job.pendingCount() > 0) {
                 jobs.add(job);
             }
         }
-        jobs.sort(Comparator.comparingInt(j -> machines.rivalry().choices(j.shape())));
+        jobs.sort(Comparator.comparingInt(j -> machines.typeContention().usableTypeCount(j.requirements())));
         return jobs;
     }
 
     private boolean faulty(JobEntry job) {
-        JobProgress work = machines.progress().known(job.id);
-        return work != null && work.faulty();
+        JobProgress work = machines.progress().get(job.id);
+        return work != null && work.isFaulty();
     }
 
     /** Puts tasks into the bins; returns how many find no room. */
@@ -182,36 +185,44 @@
      */
     private double slots(JobEntry job, int tasks, Map<String, InstanceRequest> booting) {
         Job spec = job.job();
-        double slots = tasks * Math.min(1, Math.max(LEAST_SLOT, spec.estimateS() / SLOT_S));
-        return hosted(spec, job.shape(), booting) ? slots : Math.max(slots, mostOnOne(spec));
+        double slots = tasks * Math.min(1, Math.max(LEAST_SLOT, spec.expectedRunS() / SLOT_S));
+        return hosted(spec, job.requirements(), booting) ? slots : Math.max(slots, mostOnOne(spec));
     }
 
     /** True if there is or soon will be a machine on which tasks of the shape can run at all. */
     private boolean hosted(Job spec, Job.Requirements shape, Map<String, InstanceRequest> booting) {
-        for (Machine m : machines.all()) {
-            MachineType type = machines.type(m);
-            if (type != null && type.holds(shape) && spec.allows(m.type, m.zone, m.spot) && takesTasks(m)) {
+        for (Machine machine : machines.all()) {
+            MachineType type = machines.type(machine);
+            if (type != null
+                    && type.fits(shape)
+                    && spec.allows(machine.typeName, machine.zone, machine.spot)
+                    && isSchedulable(machine)) {
                 return true;
             }
         }
         for (InstanceRequest rental : booting.values()) {
-            InstancePool place = rental.place();
+            InstancePool place = rental.pool();
             MachineType type = machines.type(place.type());
-            if (type != null && type.holds(shape) && spec.allows(place.type(), place.zone(), place.spot())) {
+            if (type != null && type.fits(shape) && spec.allows(place.type(), place.zone(), place.spot())) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean takesTasks(Machine m) {
-        if (m.owner == null || replica.machines().containsKey(m.name)) {
+    private boolean isSchedulable(Machine machine) {
+        if (machine.owner == null || replica.decommissionsByMachine().containsKey(machine.name)) {
             return false;
         }
-        return m.owner.equals(context.settings().node()) ? placement.takesTasks(m) : machines.listedByOwner(m);
+        return machine.owner.equals(context.settings().controllerName())
+                ? placement.isSchedulable(machine)
+                : machines.isListedByOwner(machine);
     }
 
     private int mostOnOne(Job job) {
-        return machines.types().stream().mapToInt(t -> t.fits(job)).max().orElse(1);
+        return machines.types().stream()
+                .mapToInt(type -> type.capacityFor(job))
+                .max()
+                .orElse(1);
     }
 }
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -88,78 +88,80 @@
     }
 
     /** Takes a page of the cloud's list, which may be older than the one before. */
-    void listed(List<CloudInstance> page) {
+    void onListed(List<CloudInstance> page) {
         for (CloudInstance listed : page) {
-            if (!machines.isGone(listed.name())) {
+            if (!machines.isTerminated(listed.name())) {
                 take(listed);
             }
         }
-        listedAt.values().removeIf(at -> context.now() - at > LISTED_MS);
+        listedAt.values().removeIf(at -> context.nowMs() - at > LISTED_MS);
     }
 
     private void take(CloudInstance listed) {
         String name = listed.name();
-        listedAt.put(name, context.now());
+        listedAt.put(name, context.nowMs());
         if (listed.state() == CloudInstance.State.FAILED) {
             gone.add(name);
-            record(name, DecommissionState.GONE, "failed");
+            record(name, DecommissionState.TERMINATED, "failed");
         } else if (listed.state() == CloudInstance.State.RUNNING) {
-            machines.learn(name, listed.address(), listed.type(), listed.zone(), listed.spot());
+            machines.discover(name, listed.address(), listed.type(), listed.zone(), listed.spot());
         } else if (!booting.containsKey(name) && !up.contains(name) && !gone.contains(name)) {
             InstancePool place = new InstancePool(listed.type(), listed.zone(), listed.spot());
-            booting.put(name, new InstanceRequest(place, 1, context.now() - (long) (listed.ageS() * 1000)));
+            booting.put(name, new InstanceRequest(place, 1, context.nowMs() - (long) (listed.ageS() * 1000)));
         }
     }
 
     /** Takes machines that the cloud said it rented. */
-    void rented(List<String> names, InstanceRequest rental) {
+    void onCreated(List<String> names, InstanceRequest rental) {
         names.forEach(name -> booting.put(name, rental));
     }
 
     /** Brings machines up, carries out their records, and condemns those that never came up. */
     void tick() {
-        noteUp();
-        carryOut();
-        condemnLate();
+        detectBooted();
+        processDecommissions();
+        decommissionUnbooted();
     }
 
-    private void noteUp() {
-        for (Machine m : machines.all()) {
-            if (m.reachability.everConfirmed() || !m.live.isEmpty() || machines.listedByOwner(m)) {
-                up.add(m.name);
+    private void detectBooted() {
+        for (Machine machine : machines.all()) {
+            if (machine.reachability.everConfirmed()
+                    || !machine.attempts.isEmpty()
+                    || machines.isListedByOwner(machine)) {
+                up.add(machine.name);
             }
         }
-        up.removeIf(machines::isGone);
-        booting.keySet().removeIf(name -> up.contains(name) || machines.isGone(name));
+        up.removeIf(machines::isTerminated);
+        booting.keySet().removeIf(name -> up.contains(name) || machines.isTerminated(name));
     }
 
     /** Acts on the machines' records. */
-    void carryOut() {
+    void processDecommissions() {
         List<String> delete = new ArrayList<>();
-        for (DecommissionIndex.Entry entry : replica.machineRecords()) {
-            switch (entry.record().fate()) {
-                case RETURN -> carryOutReturn(entry, delete);
-                case DELETE -> carryOutDelete(entry, delete);
-                case GONE -> carryOutGone(entry, delete);
+        for (DecommissionIndex.Entry entry : replica.decommissions()) {
+            switch (entry.record().state()) {
+                case SCALE_IN -> processScaleIn(entry, delete);
+                case DELETE -> processDelete(entry, delete);
+                case TERMINATED -> processTerminated(entry, delete);
             }
         }
-        delete.removeIf(name -> context.now() - deletingAt.getOrDefault(name, -1_000_000L) < DELETE_RETRY_MS);
+        delete.removeIf(name -> context.nowMs() - deletingAt.getOrDefault(name, -1_000_000L) < DELETE_RETRY_MS);
         if (!delete.isEmpty()) {
             List<String> some = List.copyOf(delete.subList(0, Math.min(MOST_DELETED, delete.size())));
-            some.forEach(name -> deletingAt.put(name, context.now()));
+            some.forEach(name -> deletingAt.put(name, context.nowMs()));
             context.debug("deleting " + some);
             context.emit(new Effect.DeleteInstances(some));
         }
     }
 
-    private void carryOutReturn(DecommissionIndex.Entry entry, List<String> delete) {
-        if (gone.containsAll(entry.names())) {
-            if (context.now() - goneAt.computeIfAbsent(entry.key(), k -> context.now()) > KEEP_RETURNED_MS) {
+    private void processScaleIn(DecommissionIndex.Entry entry, List<String> delete) {
+        if (gone.containsAll(entry.machines())) {
+            if (context.nowMs() - goneAt.computeIfAbsent(entry.key(), k -> context.nowMs()) > KEEP_RETURNED_MS) {
                 drop(entry);
             }
             return;
         }
-        for (String name : entry.names()) {
+        for (String name : entry.machines()) {
             // Nothing can have been launched there since; if ever something is there, it ends first.
             if (!gone.contains(name) && idle(name)) {
                 delete.add(name);
@@ -167,32 +169,32 @@
         }
     }
 
-    private void carryOutDelete(DecommissionIndex.Entry entry, List<String> delete) {
-        if (gone.containsAll(entry.names())) {
-            replace(entry, DecommissionState.GONE, "deleted");
+    private void processDelete(DecommissionIndex.Entry entry, List<String> delete) {
+        if (gone.containsAll(entry.machines())) {
+            replace(entry, DecommissionState.TERMINATED, "deleted");
         } else {
-            delete.addAll(entry.names());
+            delete.addAll(entry.machines());
         }
     }
 
-    private void carryOutGone(DecommissionIndex.Entry entry, List<String> delete) {
-        long since = goneAt.computeIfAbsent(entry.key(), k -> context.now());
-        if (context.now() - since < KEEP_GONE_MS / 2) {
-            entry.names().stream().filter(listedAt::containsKey).forEach(delete::add);
-        } else if (context.now() - since > KEEP_GONE_MS
-                && entry.names().stream().allMatch(this::idle)) {
+    private void processTerminated(DecommissionIndex.Entry entry, List<String> delete) {
+        long since = goneAt.computeIfAbsent(entry.key(), k -> context.nowMs());
+        if (context.nowMs() - since < KEEP_GONE_MS / 2) {
+            entry.machines().stream().filter(listedAt::containsKey).forEach(delete::add);
+        } else if (context.nowMs() - since > KEEP_GONE_MS
+                && entry.machines().stream().allMatch(this::idle)) {
             drop(entry);
         }
     }
 
     private boolean idle(String name) {
-        Machine m = machines.get(name);
-        return m == null || m.live.isEmpty();
+        Machine machine = machines.get(name);
+        return machine == null || machine.attempts.isEmpty();
     }
 
     /** Notes what a deletion's answer proves. */
-    void deleted(Input.InstancesDeleted in) {
-        if (!in.gone()) {
+    void onDeleted(Input.InstancesDeleted in) {
+        if (!in.terminated()) {
             return;
         }
         for (String name : in.machines()) {
@@ -203,13 +205,13 @@
     }
 
     /** Machines that did not come up in good time are charged for nothing. */
-    private void condemnLate() {
+    private void decommissionUnbooted() {
         booting.forEach((name, rental) -> {
-            MachineType type = machines.type(rental.place().type());
-            double bootPatience = context.settings().tuning().bootPatience();
+            MachineType type = machines.type(rental.pool().type());
+            double bootPatience = context.settings().tuning().bootTimeoutFactor();
             double patienceS = type == null ? UNKNOWN_BOOT_S : type.bootS() * bootPatience;
-            boolean late = context.now() - rental.at() > patienceS * 1000;
-            if (late && !replica.machines().containsKey(name)) {
+            boolean late = context.nowMs() - rental.requestedAtMs() > patienceS * 1000;
+            if (late && !replica.decommissionsByMachine().containsKey(name)) {
                 context.info("machine " + name + " did not come up, to be deleted");
                 record(name, DecommissionState.DELETE, "never came up");
             }
@@ -217,17 +219,17 @@
     }
 
     private void record(String name, DecommissionState fate, String reason) {
-        DecommissionIndex.Entry known = replica.machines().get(name);
+        DecommissionIndex.Entry known = replica.decommissionsByMachine().get(name);
         if (known == null) {
-            write(StoreKeys.machine(name), 0, new DecommissionRecord(fate, reason, List.of()));
-        } else if (known.record().fate() != fate && known.record().names().isEmpty()) {
+            write(StoreKeys.decommission(name), 0, new DecommissionRecord(fate, reason, List.of()));
+        } else if (known.record().state() != fate && known.record().machines().isEmpty()) {
             replace(known, fate, reason);
         }
     }
 
     private void replace(DecommissionIndex.Entry entry, DecommissionState fate, String reason) {
         List<List<String>> parts = DecommissionBatches.split(
-                entry.record().names(), context.settings().valueBytes());
+                entry.record().machines(), context.settings().maxValueBytes());
         if (parts.size() > 1) {
             replaceLarge(entry, fate, reason, parts);
             return;
@@ -235,8 +237,8 @@
         UnknownFields unknown = entry.record().unknown();
         write(
                 entry.key(),
-                entry.version(),
-                new DecommissionRecord(fate, reason, entry.record().names(), unknown));
+                entry.revision(),
+                new DecommissionRecord(fate, reason, entry.record().machines(), unknown));
     }
 
     /** A record that was stored under larger limits becomes several, as many as one transaction holds at a time. */
@@ -245,38 +247,41 @@
         if (!writing.add(entry.key())) {
             return;
         }
-        Transaction.Builder txn = new Transaction.Builder().when(entry.key(), entry.version());
-        int most = Math.min(parts.size(), context.settings().txnOps());
+        Transaction.Builder transaction = new Transaction.Builder().require(entry.key(), entry.revision());
+        int most = Math.min(parts.size(), context.settings().maxTransactionWrites());
         for (int i = 0; i < most; i++) {
             String key = i == 0 ? entry.key() : entry.key() + "-" + i;
             if (i > 0) {
-                txn.when(key, 0);
+                transaction.require(key, 0);
             }
             // The names that find no room now stay condemned one by one, by whoever has their part.
-            txn.set(key, new DecommissionRecord(fate, reason, parts.get(i)));
+            transaction.put(key, new DecommissionRecord(fate, reason, parts.get(i)));
         }
         transactions.submit(
-                TransactionQueue.Urgency.OUTCOME, txn.build(), (status, revision) -> writing.remove(entry.key()));
+                TransactionQueue.Urgency.OUTCOME,
+                transaction.build(),
+                (status, revision) -> writing.remove(entry.key()));
     }
 
     private void write(String key, long version, DecommissionRecord record) {
         if (writing.add(key)) {
-            Transaction txn = new Transaction.Builder()
-                    .when(key, version)
-                    .set(key, record)
+            Transaction transaction = new Transaction.Builder()
+                    .require(key, version)
+                    .put(key, record)
                     .build();
-            transactions.submit(TransactionQueue.Urgency.OUTCOME, txn, (status, revision) -> writing.remove(key));
+            transactions.submit(
+                    TransactionQueue.Urgency.OUTCOME, transaction, (status, revision) -> writing.remove(key));
         }
     }
 
     private void drop(DecommissionIndex.Entry entry) {
         String key = entry.key();
         if (writing.add(key)) {
-            Transaction txn = new Transaction.Builder()
-                    .when(key, entry.version())
+            Transaction transaction = new Transaction.Builder()
+                    .require(key, entry.revision())
                     .delete(key)
                     .build();
-            transactions.submit(TransactionQueue.Urgency.LATER, txn, (status, revision) -> {
+            transactions.submit(TransactionQueue.Urgency.LATER, transaction, (status, revision) -> {
                 writing.remove(key);
                 goneAt.remove(key);
             });
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -26,7 +26,7 @@
  * the machines once it is written; the leader deletes them.
  */
 public final class ScaleIn {
-    private static final int MOST_AT_ONCE = DecommissionBatches.MOST_NAMES;
+    private static final int MOST_AT_ONCE = DecommissionBatches.MAX_MACHINES;
     /** Those that become idle soon after one another share a record. */
     private static final long GATHER_MS = 4000;
     /** While work waits, idle machines are kept for so many times as long: it may be about to reach them. */
@@ -63,56 +63,57 @@
     }
 
     public void tick() {
-        if (!standing.now().mayDecide()
-                || context.now() - returnedAt < GATHER_MS
-                || !transactions.open(TransactionQueue.Urgency.LATER)) {
+        if (!standing.current().mayDecide()
+                || context.nowMs() - returnedAt < GATHER_MS
+                || !transactions.hasCapacity(TransactionQueue.Urgency.LATER)) {
             return;
         }
-        long idleMs =
-                (long) (context.settings().tuning().idleS() * 1000 * (workWaits() ? PATIENCE_WHILE_WORK_WAITS : 1));
+        long idleMs = (long)
+                (context.settings().tuning().scaleInIdleS() * 1000 * (workWaits() ? PATIENCE_WHILE_WORK_WAITS : 1));
         List<Machine> idle = new ArrayList<>();
-        for (Machine m : machines.own()) {
+        for (Machine machine : machines.owned()) {
             // An ordinary machine is dearer, and goes after half the time.
             if (idle.size() < MOST_AT_ONCE
-                    && m.live.isEmpty()
-                    && m.use.none()
-                    && placement.takesTasks(m)
-                    && context.now() - m.idleSince >= (m.spot ? idleMs : idleMs / 2)) {
-                idle.add(m);
+                    && machine.attempts.isEmpty()
+                    && machine.usage.isEmpty()
+                    && placement.isSchedulable(machine)
+                    && context.nowMs() - machine.idleSince >= (machine.spot ? idleMs : idleMs / 2)) {
+                idle.add(machine);
             }
         }
         if (!idle.isEmpty()) {
-            giveBack(idle);
+            decommission(idle);
         }
     }
 
     private boolean workWaits() {
         for (JobEntry job : replica.jobs()) {
-            if (job.job() != null && release.isReady(job.id) && job.waiting() > 0) {
+            if (job.job() != null && release.isReady(job.id) && job.pendingCount() > 0) {
                 return true;
             }
         }
         return false;
     }
 
-    private void giveBack(List<Machine> idle) {
-        returnedAt = context.now();
+    private void decommission(List<Machine> idle) {
+        returnedAt = context.nowMs();
         // What a record has no room for goes back by the next one.
-        List<String> all = idle.stream().map(m -> m.name).toList();
-        List<String> names =
-                DecommissionBatches.split(all, context.settings().valueBytes()).get(0);
+        List<String> all = idle.stream().map(machine -> machine.name).toList();
+        List<String> names = DecommissionBatches.split(all, context.settings().maxValueBytes())
+                .get(0);
         context.info("returning idle machines " + names);
         List<Machine> leaving = idle.subList(0, names.size());
-        leaving.forEach(m -> m.leaving = true);
-        String key = StoreKeys.machines(context.settings().node() + "-idle", membership.incarnation(), ++records);
-        Transaction txn = new Transaction.Builder()
-                .when(key, 0)
-                .when(StoreKeys.MAP, replica.mapVersion())
-                .set(key, new DecommissionRecord(DecommissionState.RETURN, "idle", names))
+        leaving.forEach(machine -> machine.scalingIn = true);
+        String key = StoreKeys.decommissionBatch(
+                context.settings().controllerName() + "-idle", membership.incarnation(), ++records);
+        Transaction transaction = new Transaction.Builder()
+                .require(key, 0)
+                .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
+                .put(key, new DecommissionRecord(DecommissionState.SCALE_IN, "idle", names))
                 .build();
-        transactions.submit(TransactionQueue.Urgency.LATER, txn, (status, revision) -> {
+        transactions.submit(TransactionQueue.Urgency.LATER, transaction, (status, revision) -> {
             if (status != Transaction.Status.COMMITTED) {
-                leaving.forEach(m -> m.leaving = false);
+                leaving.forEach(machine -> machine.scalingIn = false);
             }
         });
     }
--- a/src/main/java/dewlane/core/config/StoreLimits.java
+++ b/src/main/java/dewlane/core/config/StoreLimits.java
@@ -10,12 +10,12 @@
  */
 public record StoreLimits(Limits present, Limits next) {
     /** The least number of changes a transaction must allow: a cancellation writes the job and its final state. */
-    public static final int LEAST_TXN_OPS = 2;
+    public static final int MIN_TRANSACTION_WRITES = 2;
     /** The least size of a value, in bytes, in which a job with names of ordinary length and a slice of it fit. */
-    public static final int LEAST_VALUE_BYTES = 1024;
+    public static final int MIN_VALUE_BYTES = 1024;
 
     /** One set of limits: requests and changes a second, bytes of a value, changes of a transaction. */
-    public record Limits(double rps, double writeRps, int valueBytes, int txnOps) {}
+    public record Limits(double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {}
 
     /** Limits that never change. */
     public static StoreLimits constant(double rps, double writeRps, int valueBytes, int txnOps) {
@@ -24,22 +24,22 @@
     }
 
     /** Requests a second that are allowed now and later. */
-    public double rps() {
-        return Math.min(present.rps(), next.rps());
+    public double requestsPerS() {
+        return Math.min(present.requestsPerS(), next.requestsPerS());
     }
 
     /** The rate of changes once the smaller limit is in force. */
-    public double reducedWriteRps() {
-        return Math.min(present.writeRps(), next.writeRps());
+    public double reducedWritesPerS() {
+        return Math.min(present.writesPerS(), next.writesPerS());
     }
 
     /** The most bytes that a value may have now and later. */
-    public int valueBytes() {
-        return Math.min(present.valueBytes(), next.valueBytes());
+    public int maxValueBytes() {
+        return Math.min(present.maxValueBytes(), next.maxValueBytes());
     }
 
     /** The most changes that a transaction may have now and later. */
-    public int txnOps() {
-        return Math.min(present.txnOps(), next.txnOps());
+    public int maxTransactionWrites() {
+        return Math.min(present.maxTransactionWrites(), next.maxTransactionWrites());
     }
 }
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -142,51 +142,51 @@
 
     /** Handles one message that arrived at the given steady time and time of day. */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
-        context.at(nowMs, wallMs);
-        take(input);
+        context.startMessage(nowMs, wallMs);
+        dispatch(input);
         if (dirty && nowMs - passedAt >= PASS_MS) {
             passedAt = nowMs;
             dirty = false;
-            placement.pass();
-            sessions.command();
+            placement.run();
+            sessions.sendCommands();
         }
         return context.takeEffects();
     }
 
     /** Logs each order to a worker at debug, and what it rests on. */
-    public void logOrders(boolean wanted) {
-        context.logOrders(wanted);
+    public void logCommands(boolean wanted) {
+        context.logCommands(wanted);
     }
 
     /** What this controller has done since its start, for the log. */
-    public String counts() {
-        return counters.text();
+    public String countersSummary() {
+        return counters.summary();
     }
 
     /** How many machines are in this controller's part. */
-    public int machines() {
-        return machines.own().size();
+    public int ownedMachineCount() {
+        return machines.owned().size();
     }
 
     /** How many jobs a pass looked at on average. */
-    public double jobsPerPass() {
-        return counters.passes == 0 ? 0 : (double) counters.jobsLookedAt / counters.passes;
+    public double jobsPerCycle() {
+        return counters.schedulingCycles == 0 ? 0 : (double) counters.jobsConsidered / counters.schedulingCycles;
     }
 
     /** True once this controller can decide about jobs. */
-    public boolean ready() {
-        return state.loaded() && membership.joined() && !machines.types().isEmpty();
+    public boolean isReady() {
+        return state.isLoaded() && membership.isMember() && !machines.types().isEmpty();
     }
 
     /**
      * True if users had better be sent here: not while this controller alone cannot reach the state service. In an
      * outage for all it stays true, since no other would serve better.
      */
-    public boolean healthy() {
-        return ready() && (membership.silence() < 2500 || !peers.anyReachesState());
+    public boolean isHealthy() {
+        return isReady() && (membership.storeSilenceMs() < 2500 || !peers.anyReachesStore());
     }
 
-    private void take(Input input) {
+    private void dispatch(Input input) {
         if (input instanceof Input.Tick) {
             tick();
         } else if (input instanceof Input.PeerStatusReceived in) {
@@ -201,9 +201,9 @@
 
     private boolean takeFromWorkers(Input input) {
         if (input instanceof Input.HeartbeatReceived in) {
-            sessions.report(in.id(), in.report());
+            sessions.onHeartbeat(in.id(), in.heartbeat());
         } else if (input instanceof Input.CommandCompleted in) {
-            sessions.answered(in);
+            sessions.onCommandCompleted(in);
         } else {
             return false;
         }
@@ -212,12 +212,12 @@
     }
 
     private boolean takeFromUsers(Input input) {
-        if (input instanceof Input.SubmitJob in) {
-            submissions.submit(in);
-        } else if (input instanceof Input.GetJobStatus in) {
-            users.poll(in);
-        } else if (input instanceof Input.CancelJob in) {
-            users.abort(in);
+        if (input instanceof Input.SubmitJob request) {
+            submissions.onSubmit(request);
+        } else if (input instanceof Input.GetJobStatus request) {
+            users.onGetStatus(request);
+        } else if (input instanceof Input.CancelJob request) {
+            users.onCancel(request);
         } else {
             return false;
         }
@@ -227,30 +227,30 @@
     /** Takes what the state service answered; whatever shows that it did proves that it can be reached. */
     private boolean takeFromState(Input input) {
         if (input instanceof Input.WatchEvents in) {
-            dirty |= state.changed(in);
+            dirty |= state.onEvents(in);
         } else if (input instanceof Input.TransactionCompleted in) {
             noteContact(in.status() == Transaction.Status.COMMITTED || in.status() == Transaction.Status.CONFLICT);
-            transactions.answered(in);
+            transactions.onCompleted(in);
             dirty = true;
         } else if (input instanceof Input.ValueRead in) {
             noteContact(in.known());
-            finals.answered(in);
+            finals.onValueRead(in);
             dirty = true;
         } else if (input instanceof Input.RevisionRead in) {
             noteContact(in.known());
-            barrier.answered(in);
+            barrier.onRevisionRead(in);
         } else if (input instanceof Input.LeaseGranted in) {
             noteContact(in.lease() != 0);
-            membership.granted(in.lease());
+            membership.onLeaseGranted(in.lease());
         } else if (input instanceof Input.LeaseRenewalCompleted in) {
-            noteContact(in.renewed() || in.ended());
-            membership.touched(in);
+            noteContact(in.renewed() || in.expired());
+            membership.onLeaseRenewal(in);
         } else if (input instanceof Input.StoreListed in) {
-            state.listed(in);
+            state.onListed(in);
         } else if (input instanceof Input.StoreListFailed) {
-            state.listFailed();
+            state.onListFailed();
         } else if (input instanceof Input.WatchFailed in) {
-            state.watchFailed(in);
+            state.onWatchFailed(in);
         } else {
             return false;
         }
@@ -259,35 +259,35 @@
 
     private void noteContact(boolean answered) {
         if (answered) {
-            membership.contact();
+            membership.onStoreContact();
         }
     }
 
     private void takeFromCloud(Input input) {
         if (input instanceof Input.MachineTypesListed in) {
-            machines.catalog(in.types());
+            machines.setTypes(in.types());
             dirty = true;
         } else if (input instanceof Input.InstancesListed in) {
-            autoscaler.listed(in);
+            autoscaler.onInstancesListed(in);
         } else if (input instanceof Input.InstancesCreated in) {
-            autoscaler.rented(in);
+            autoscaler.onInstancesCreated(in);
         } else if (input instanceof Input.InstancesDeleted in) {
-            autoscaler.deleted(in);
+            autoscaler.onInstancesDeleted(in);
         }
     }
 
     private void tick() {
         state.tick();
-        membership.tick(state.caughtUp());
-        transactions.pump();
+        membership.tick(state.isCaughtUp());
+        transactions.sendPending();
         barrier.tick();
-        dependencies.tick(state.caughtUp());
-        dirty |= context.now() - passedAt >= QUIET_PASS_MS;
+        dependencies.tick(state.isCaughtUp());
+        dirty |= context.nowMs() - passedAt >= QUIET_PASS_MS;
         broadcast.tick();
-        if (context.now() - slowAt >= SLOW_MS) {
-            slowAt = context.now();
-            if (replica.map() != null) {
-                transactions.shareAmong(replica.map().members().size());
+        if (context.nowMs() - slowAt >= SLOW_MS) {
+            slowAt = context.nowMs();
+            if (replica.partitionMap() != null) {
+                transactions.shareAmong(replica.partitionMap().members().size());
             }
             standing.tick();
             failureDetector.tick();
@@ -300,13 +300,13 @@
     }
 
     private void heardPeer(PeerStatus status) {
-        peers.take(status);
-        machines.learnFrom(status);
-        membership.peerEpoch(status.epoch());
-        for (String job : status.cancelled()) {
-            JobEntry entry = cancellations.heard(job) ? replica.job(job) : null;
+        peers.update(status);
+        machines.discoverFrom(status);
+        membership.onPeerEpoch(status.epoch());
+        for (String job : status.cancelledJobs()) {
+            JobEntry entry = cancellations.onPeerConfirmed(job) ? replica.job(job) : null;
             if (entry != null) {
-                machines.touchAll(entry);
+                machines.markChangedFor(entry);
                 dirty = true;
             }
         }
@@ -314,16 +314,16 @@
 
     /** Each change of the replica goes to those that keep something which follows from it. */
     private void follow(ReplicaChange delta) {
-        machines.follow(delta);
-        cancellations.follow(delta);
-        dependencies.follow(delta);
+        machines.onReplicaChange(delta);
+        cancellations.onReplicaChange(delta);
+        dependencies.onReplicaChange(delta);
         if (delta instanceof ReplicaChange.SliceChanged d && d.after() != null) {
             counters.attemptsSeen += d.after().attempts().size();
         } else if (delta instanceof ReplicaChange.PartitionMapChanged d) {
             context.info("map " + d.after().epoch() + ": " + d.after().members() + ", led by "
-                    + Partitioner.leader(d.after()));
+                    + Partitioner.leaderOf(d.after()));
         } else if (delta instanceof ReplicaChange.ValueUnreadable d) {
-            unreadableLog.note(d);
+            unreadableLog.report(d);
         }
     }
 }
--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -43,7 +43,7 @@
 
     /** Passes on at once what this controller has confirmed: others' watches may be refused just now. */
     void tick() {
-        if (cancellations.takeNews() && membership.joined()) {
+        if (cancellations.takeUnannounced() && membership.isMember()) {
             context.emit(new Effect.BroadcastStatus(List.of(status(List.of()))));
         }
     }
@@ -52,19 +52,26 @@
     void slowTick() {
         long pause = Math.min(
                 LONGEST_PAUSE_MS, PAUSE_PER_PEER_MS * context.settings().peers().size());
-        if (context.now() - toldAt >= pause) {
-            toldAt = context.now();
+        if (context.nowMs() - toldAt >= pause) {
+            toldAt = context.nowMs();
             tell();
         }
     }
 
     private void tell() {
-        if (!membership.joined()) {
+        if (!membership.isMember()) {
             return;
         }
         List<MachineStatus> usable = new ArrayList<>();
-        for (Machine m : placement.usable()) {
-            usable.add(new MachineStatus(m.name, m.address, m.type, m.zone, m.spot, m.session, m.sequence));
+        for (Machine machine : placement.schedulableMachines()) {
+            usable.add(new MachineStatus(
+                    machine.name,
+                    machine.address,
+                    machine.typeName,
+                    machine.zone,
+                    machine.spot,
+                    machine.incarnation,
+                    machine.sequence));
         }
         List<PeerStatus> pages = new ArrayList<>();
         for (int from = 0; from == 0 || from < usable.size(); from += MACHINES_A_PAGE) {
@@ -75,10 +82,10 @@
 
     private PeerStatus status(List<MachineStatus> page) {
         return new PeerStatus(
-                context.settings().node(),
-                replica.map().epoch(),
-                membership.reachesState(),
-                cancellations.toTell(),
+                context.settings().controllerName(),
+                replica.partitionMap().epoch(),
+                membership.reachesStore(),
+                cancellations.recentlyConfirmed(),
                 page);
     }
 }
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -33,7 +33,7 @@
     private final Set<AttemptId> abandonedLaunches = new HashSet<>();
 
     /** The token of the present owner: the epoch at which it got the machine, then the machine's own fence. */
-    long token() {
+    long fencingToken() {
         return (epoch << FENCE_BITS) | fence;
     }
 
@@ -54,20 +54,20 @@
     }
 
     /** The worker began another session, in which no launch of an earlier one is carried out. */
-    public void sessionBegan() {
+    public void incarnationBegan() {
         commandLaunches.clear();
         answerLaunches.clear();
         abandonedLaunches.clear();
     }
 
     /** True while a direct command is under way. */
-    public boolean busy() {
+    public boolean isCommandInFlight() {
         return commandToken != 0;
     }
 
     /** A direct command goes out. */
     public void commandSent(Set<AttemptId> launches, long now) {
-        commandToken = token();
+        commandToken = fencingToken();
         commandSentAt = now;
         commandLaunches.addAll(launches);
     }
@@ -88,9 +88,9 @@
      *
      * @return true if it had launches
      */
-    public boolean commandGivenUp() {
+    public boolean commandAbandoned() {
         boolean launches = !commandLaunches.isEmpty();
-        if (commandToken == token()) {
+        if (commandToken == fencingToken()) {
             abandonedLaunches.addAll(commandLaunches);
         }
         commandSettled();
@@ -99,7 +99,7 @@
 
     /** A report is answered. */
     public void answerSent(Set<AttemptId> launches) {
-        answerToken = token();
+        answerToken = fencingToken();
         answerLaunches.clear();
         answerLaunches.addAll(launches);
     }
@@ -120,13 +120,13 @@
     }
 
     /** True if a launch of the attempt is under way with the present token, and it will be known what became of it. */
-    public boolean launchUnderWay(AttemptId attempt) {
-        return commandToken == token() && commandLaunches.contains(attempt)
-                || answerToken == token() && answerLaunches.contains(attempt);
+    public boolean isLaunchInFlight(AttemptId attempt) {
+        return commandToken == fencingToken() && commandLaunches.contains(attempt)
+                || answerToken == fencingToken() && answerLaunches.contains(attempt);
     }
 
     /** True if a launch of the attempt may arrive with the present token at any time. */
-    public boolean launchAbandoned(AttemptId attempt) {
+    public boolean isLaunchAbandoned(AttemptId attempt) {
         return abandonedLaunches.contains(attempt);
     }
 }
--- a/src/main/java/dewlane/core/fleet/DecommissionBatches.java
+++ b/src/main/java/dewlane/core/fleet/DecommissionBatches.java
@@ -6,7 +6,7 @@
 /** How many machines a record in the state service names. */
 public final class DecommissionBatches {
     /** As many as the cloud deletes by one request. */
-    public static final int MOST_NAMES = 100;
+    public static final int MAX_MACHINES = 100;
     /** The names of a record's fields, its fate and its reason, with quotes and brackets. */
     private static final int FRAME_BYTES = 128;
     /** Quotes and a comma. */
@@ -21,7 +21,7 @@
         int bytes = FRAME_BYTES;
         for (String name : names) {
             int more = name.length() + FRAME_OF_NAME;
-            if (!record.isEmpty() && (bytes + more > valueBytes || record.size() == MOST_NAMES)) {
+            if (!record.isEmpty() && (bytes + more > valueBytes || record.size() == MAX_MACHINES)) {
                 records.add(List.copyOf(record));
                 record.clear();
                 bytes = FRAME_BYTES;
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -24,33 +24,33 @@
     /** By slice, since when outcomes gather that are still to be made durable. */
     private final Map<Integer, Long> gatheringSince = new HashMap<>();
     /** Launches in the write under way, or in one that the replica does not show yet. */
-    final List<Launch> launching = new ArrayList<>();
+    final List<Launch> launchesInFlight = new ArrayList<>();
 
-    public boolean writing;
+    public boolean writeInFlight;
     /** Nothing is decided before the replica has reached this revision. */
-    public long settled;
+    public long settledRevision;
     /** Machines on which a task of the job failed. */
-    public final Set<String> failedOn = new HashSet<>();
+    public final Set<String> failedMachines = new HashSet<>();
 
-    public int errors;
+    public int failureCount;
     /** Nothing is written before this time: a write was called invalid. */
-    public long pausedUntil;
+    public long pausedUntilMs;
 
-    public long notBefore;
-    public long handedAt;
+    public long retryAtMs;
+    public long handedOverAtMs;
     /** When another part with room was last looked for. */
-    public long lookedAt;
+    public long handoverCheckedAtMs;
 
     /** A launch that is not yet seen in the replica. */
     public record Launch(Machine machine, Attempt attempt, int slice, Job spec) {}
 
     /** A job that fails on several machines is itself at fault. */
-    public boolean faulty() {
-        return failedOn.size() >= 3;
+    public boolean isFaulty() {
+        return failedMachines.size() >= 3;
     }
 
     /** An outcome of the slice is to be made durable. */
-    public void gather(int slice, long now) {
+    public void beginGathering(int slice, long now) {
         gatheringSince.putIfAbsent(slice, now);
     }
 
@@ -60,11 +60,11 @@
     }
 
     /** What comes from now on gathers anew: outcomes in a write stay listed until the replica shows them. */
-    public void gatherAnew(int slice) {
+    public void resetGathering(int slice) {
         gatheringSince.remove(slice);
     }
 
-    public boolean busy(long revision, long now) {
-        return writing || revision < settled || now < pausedUntil;
+    public boolean isBusy(long revision, long now) {
+        return writeInFlight || revision < settledRevision || now < pausedUntilMs;
     }
 }
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -29,73 +29,74 @@
     }
 
     /** What is being done for the job. */
-    public JobProgress of(String job) {
+    public JobProgress getOrCreate(String job) {
         return byJob.computeIfAbsent(job, j -> new JobProgress());
     }
 
     /** What is being done for the job, or null if that was nothing so far. */
-    public JobProgress known(String job) {
+    public JobProgress get(String job) {
         return byJob.get(job);
     }
 
     /** A launch was decided. */
-    public void launching(String job, JobProgress.Launch launch) {
-        of(job).launching.add(launch);
+    public void launchDecided(String job, JobProgress.Launch launch) {
+        getOrCreate(job).launchesInFlight.add(launch);
         settling.add(job);
-        launch.machine().use.add(launch.spec());
-        teamUsage.add(launch.spec(), context.settings().node(), 1);
+        launch.machine().usage.add(launch.spec());
+        teamUsage.add(launch.spec(), context.settings().controllerName(), 1);
     }
 
     /** The replica shows a slice, null if it is gone: launches up to its latest are counted from there. */
-    void shown(String job, int slice, Slice after) {
+    void sliceObserved(String job, int slice, Slice after) {
         JobProgress progress = byJob.get(job);
-        if (progress == null || after == null || progress.launching.isEmpty()) {
+        if (progress == null || after == null || progress.launchesInFlight.isEmpty()) {
             return;
         }
-        progress.launching.removeIf(launch -> {
+        progress.launchesInFlight.removeIf(launch -> {
             boolean seen = launch.slice() == slice
-                    && after.launches() >= launch.attempt().number();
+                    && after.launchCount() >= launch.attempt().number();
             if (seen) {
-                uncount(launch);
+                releaseLaunch(launch);
             }
             return seen;
         });
     }
 
     /** The job has no record any more. */
-    void over(String job) {
+    void jobEnded(String job) {
         if (byJob.containsKey(job)) {
             settling.add(job);
         }
     }
 
-    private void uncount(JobProgress.Launch launch) {
-        launch.machine().use.remove(launch.spec());
-        teamUsage.add(launch.spec(), context.settings().node(), -1);
-        launch.machine().idleIfEmpty(context.now());
+    private void releaseLaunch(JobProgress.Launch launch) {
+        launch.machine().usage.remove(launch.spec());
+        teamUsage.add(launch.spec(), context.settings().controllerName(), -1);
+        launch.machine().markIdleIfEmpty(context.nowMs());
     }
 
     /** Counts the launches that the replica does not show for this controller, after owners were counted anew. */
-    void countLaunchesAnew() {
-        String self = context.settings().node();
-        byJob.values().forEach(progress -> progress.launching.forEach(l -> teamUsage.addToOwner(l.spec(), self, 1)));
+    void recountLaunches() {
+        String self = context.settings().controllerName();
+        byJob.values()
+                .forEach(progress -> progress.launchesInFlight.forEach(l -> teamUsage.addToOwner(l.spec(), self, 1)));
     }
 
     /**
      * Takes back what was counted for launches whose write was refused: once the answer is in and the replica has
      * reached it, whatever it does not show by then was not launched.
      */
-    public void settle() {
+    public void reconcile() {
         for (Iterator<String> i = settling.iterator(); i.hasNext(); ) {
             String id = i.next();
             JobProgress progress = byJob.get(id);
-            if (progress != null && progress.busy(replica.revision(), Long.MAX_VALUE)) {
+            if (progress != null && progress.isBusy(replica.revision(), Long.MAX_VALUE)) {
                 continue;
             }
             i.remove();
             if (progress != null) {
-                progress.launching.forEach(this::uncount);
-                progress.launching.clear();
+                progress.launchesInFlight.forEach(this::releaseLaunch);
+                progress.launchesInFlight.clear();
                 JobEntry job = replica.job(id);
                 if (job == null || job.job() == null) {
                     byJob.remove(id);
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -22,7 +22,7 @@
         // Written out, as this is the key of the busiest maps and a record's own are linked at run time and stay slow.
         @Override
         public boolean equals(Object o) {
-            return o instanceof AttemptId k && task == k.task && number == k.number && job.equals(k.job);
+            return o instanceof AttemptId id && task == id.task && number == id.number && job.equals(id.job);
         }
 
         @Override
@@ -36,17 +36,17 @@
         public final JobEntry job;
         public final SliceEntry slice;
         public final Attempt attempt;
-        public final AttemptId key;
+        public final AttemptId id;
         /** The controller against whose share of the team's limit it counts. */
-        String countedFor;
+        String quotaOwner;
         /** The machine reported its end, so it needs no room there any more. */
-        public boolean over;
+        public boolean ended;
 
         AssignedAttempt(JobEntry job, SliceEntry slice, Attempt attempt) {
             this.job = job;
             this.slice = slice;
             this.attempt = attempt;
-            this.key = new AttemptId(job.id, attempt.task(), attempt.number());
+            this.id = new AttemptId(job.id, attempt.task(), attempt.number());
         }
     }
 
@@ -57,39 +57,39 @@
     public long ownerSince;
 
     public String address;
-    public String type;
+    public String typeName;
     public String zone;
     public boolean spot;
     /** What the catalog says of the type; null until it is looked up. */
-    MachineType kind;
+    MachineType resolvedType;
 
-    public long session;
+    public long incarnation;
     public long sequence;
     /** The highest token that the worker has shown. */
-    public long tokenSeen;
+    public long highestTokenSeen;
     /** Whether it hears this controller. */
     public final Reachability reachability;
     /** What was sent to the worker, and with which token. */
-    public final CommandChannel channel = new CommandChannel();
+    public final CommandChannel commandChannel = new CommandChannel();
     /** The start of a peer that last said it hears the machine, and when. */
-    String listedBy;
+    String listedByIncarnation;
 
     long listedAt;
-    public final MisroutedHeartbeats strayReports = new MisroutedHeartbeats();
+    public final MisroutedHeartbeats misroutedHeartbeats = new MisroutedHeartbeats();
     /** It was to be returned when it was last heard of: if it is silent, it is gone as it should be. */
-    public boolean returned;
+    public boolean scaleInExpected;
     /** It is being returned, though no record shows that yet. */
-    public boolean leaving;
+    public boolean scalingIn;
     /** When the cloud takes the machine away; 0: not announced. */
-    public long takenAt;
+    public long terminationAtMs;
 
-    public Map<AttemptId, Heartbeat.TaskStatus> reported = Map.of();
+    public Map<AttemptId, Heartbeat.TaskStatus> reportedTasks = Map.of();
 
-    public final Object2LongOpenHashMap<AttemptId> commanded = new Object2LongOpenHashMap<>();
+    public final Object2LongOpenHashMap<AttemptId> commandedAt = new Object2LongOpenHashMap<>();
     /** Attempts to be stopped although their job goes on, and the grace they get. */
-    public final Map<AttemptId, Double> stops = new HashMap<>();
+    public final Map<AttemptId, Double> preemptions = new HashMap<>();
 
-    public final Object2LongOpenHashMap<AttemptId> unaccounted = new Object2LongOpenHashMap<>();
+    public final Object2LongOpenHashMap<AttemptId> unaccountedSince = new Object2LongOpenHashMap<>();
 
     /** Jobs of which a task failed here since a task last completed. */
     public final Set<String> failedJobs = new HashSet<>();
@@ -98,11 +98,11 @@
 
     private double imageGb;
 
-    public final Map<AttemptId, AssignedAttempt> live = new LinkedHashMap<>();
+    public final Map<AttemptId, AssignedAttempt> attempts = new LinkedHashMap<>();
     /** What the attempts take that may be on the machine, those in a write under way included. */
-    public final ResourceUsage use = new ResourceUsage();
+    public final ResourceUsage usage = new ResourceUsage();
     /** Room that this pass keeps for jobs that others were stopped for; null: none. */
-    public ResourceUsage kept;
+    public ResourceUsage reserved;
 
     public long idleSince;
 
@@ -117,38 +117,38 @@
      * not change hands: a map that changes elsewhere fences off no launch of this part.
      */
     void acquire(long epoch, long now) {
-        channel.acquire(epoch);
-        reachability.acquired(now, token());
-        takenAt = 0;
-        reported = Map.of();
+        commandChannel.acquire(epoch);
+        reachability.acquired(now, fencingToken());
+        terminationAtMs = 0;
+        reportedTasks = Map.of();
         forgetCommands();
     }
 
     /** Takes what a report or a list says of the machine, which never changes but for a wrong list. */
-    public void isOf(String ofType, String inZone, boolean onSpot) {
-        if (!ofType.equals(type)) {
-            type = ofType;
-            kind = null;
+    public void describe(String ofType, String inZone, boolean onSpot) {
+        if (!ofType.equals(typeName)) {
+            typeName = ofType;
+            resolvedType = null;
         }
         zone = inZone;
         spot = onSpot;
     }
 
     /** How many tasks of the job the machine has room for, less what is kept for others. */
-    public int room(MachineType of, Job job) {
-        return kept == null
-                ? use.room(of, job)
-                : new ResourceUsage(use).add(kept).room(of, job);
+    public int capacityFor(MachineType of, Job job) {
+        return reserved == null
+                ? usage.capacityFor(of, job)
+                : new ResourceUsage(usage).add(reserved).capacityFor(of, job);
     }
 
-    public void keep(Job job) {
-        kept = kept == null ? new ResourceUsage() : kept;
-        kept.add(job);
+    public void reserve(Job job) {
+        reserved = reserved == null ? new ResourceUsage() : reserved;
+        reserved.add(job);
     }
 
     /** The token that commands to the machine carry. */
-    public long token() {
-        return channel.token();
+    public long fencingToken() {
+        return commandChannel.fencingToken();
     }
 
     /**
@@ -157,21 +157,22 @@
      */
     public void suspect(long now) {
         boolean launchUnderWay = false;
-        for (AssignedAttempt l : live.values()) {
-            launchUnderWay |=
-                    l.attempt.token() == token() && l.attempt.session() == session && !reported.containsKey(l.key);
+        for (AssignedAttempt assigned : attempts.values()) {
+            launchUnderWay |= assigned.attempt.fencingToken() == fencingToken()
+                    && assigned.attempt.incarnation() == incarnation
+                    && !reportedTasks.containsKey(assigned.id);
         }
         if (launchUnderWay) {
             reachability.suspected(now, Reachability.NO_TOKEN_ENDS_IT);
         } else {
-            channel.raiseFence();
-            reachability.suspected(now, token());
+            commandChannel.raiseFence();
+            reachability.suspected(now, fencingToken());
         }
     }
 
     /** Nothing may be on it any more: it is idle from now on. */
-    void idleIfEmpty(long now) {
-        if (live.isEmpty() && use.none()) {
+    void markIdleIfEmpty(long now) {
+        if (attempts.isEmpty() && usage.isEmpty()) {
             idleSince = now;
         }
     }
@@ -180,7 +181,7 @@
         return images.containsKey(image);
     }
 
-    public void fetched(String image, double gb, double cacheGb) {
+    public void imageFetched(String image, double gb, double cacheGb) {
         if (!images.containsKey(image)) {
             imageGb += gb;
         }
@@ -192,8 +193,8 @@
 
     /** A new session or owner: nothing remembered of commands holds any more. */
     public void forgetCommands() {
-        commanded.clear();
-        stops.clear();
-        unaccounted.clear();
+        commandedAt.clear();
+        preemptions.clear();
+        unaccountedSince.clear();
     }
 }
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -34,31 +34,31 @@
     private final String self;
     private final Map<String, Machine> byName = new LinkedHashMap<>();
     /** Machines of this controller's part. */
-    private final Set<Machine> own = new LinkedHashSet<>();
+    private final Set<Machine> owned = new LinkedHashSet<>();
     /** Machines of this part for which there may be something to command. */
     private final Set<Machine> changed = new LinkedHashSet<>();
 
-    private final Set<String> gone = new HashSet<>();
+    private final Set<String> terminated = new HashSet<>();
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final TeamUsage teamUsage = new TeamUsage();
     private final JobProgressTable progress;
-    private final MachineTypeContention rivalry = new MachineTypeContention(types);
+    private final MachineTypeContention typeContention = new MachineTypeContention(types);
 
     public MachineRegistry(ControllerContext context, StoreReplica replica, PeerTable peers) {
         this.context = context;
         this.replica = replica;
         this.peers = peers;
-        this.self = context.settings().node();
+        this.self = context.settings().controllerName();
         this.progress = new JobProgressTable(context, replica, teamUsage);
     }
 
-    public void catalog(List<MachineType> read) {
+    public void setTypes(List<MachineType> read) {
         types.clear();
-        rivalry.typesChanged();
-        for (MachineType t : read) {
-            types.put(t.name(), t);
+        typeContention.typesChanged();
+        for (MachineType type : read) {
+            types.put(type.name(), type);
         }
-        byName.values().forEach(m -> m.kind = null);
+        byName.values().forEach(machine -> machine.resolvedType = null);
     }
 
     public Collection<MachineType> types() {
@@ -66,8 +66,8 @@
     }
 
     /** Which jobs could use which types. */
-    public MachineTypeContention rivalry() {
-        return rivalry;
+    public MachineTypeContention typeContention() {
+        return typeContention;
     }
 
     public MachineType type(String name) {
@@ -75,25 +75,25 @@
     }
 
     /** The machine's type, or null while it is not known. */
-    public MachineType type(Machine m) {
-        if (m.kind == null && m.type != null) {
-            m.kind = types.get(m.type);
+    public MachineType type(Machine machine) {
+        if (machine.resolvedType == null && machine.typeName != null) {
+            machine.resolvedType = types.get(machine.typeName);
         }
-        return m.kind;
+        return machine.resolvedType;
     }
 
     public Machine get(String name) {
         return byName.get(name);
     }
 
-    public Machine of(String name) {
-        Machine m = byName.get(name);
-        if (m == null) {
-            m = new Machine(name, context.now());
-            byName.put(name, m);
-            settleOwner(m, true);
+    public Machine getOrCreate(String name) {
+        Machine machine = byName.get(name);
+        if (machine == null) {
+            machine = new Machine(name, context.nowMs());
+            byName.put(name, machine);
+            updateOwner(machine, true);
         }
-        return m;
+        return machine;
     }
 
     public Collection<Machine> all() {
@@ -101,14 +101,14 @@
     }
 
     /** Machines of this controller's part. */
-    public Collection<Machine> own() {
-        return own;
+    public Collection<Machine> owned() {
+        return owned;
     }
 
     /** Something about the machine may call for a command. */
-    public void touch(Machine m) {
-        if (self.equals(m.owner)) {
-            changed.add(m);
+    public void markChanged(Machine machine) {
+        if (self.equals(machine.owner)) {
+            changed.add(machine);
         }
     }
 
@@ -116,8 +116,8 @@
         return changed;
     }
 
-    public boolean isGone(String name) {
-        return gone.contains(name);
+    public boolean isTerminated(String name) {
+        return terminated.contains(name);
     }
 
     /** What this controller is doing for each job. */
@@ -130,52 +130,54 @@
         return teamUsage;
     }
 
-    public void follow(ReplicaChange delta) {
+    public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.SliceChanged d) {
-            slice(d.job(), d.slice(), d.before(), d.after());
+            sliceChanged(d.job(), d.slice(), d.before(), d.after());
         } else if (delta instanceof ReplicaChange.JobChanged d) {
-            job(d);
+            jobChanged(d);
         } else if (delta instanceof ReplicaChange.PartitionMapChanged d) {
-            map(d);
+            partitionMapChanged(d);
         } else if (delta instanceof ReplicaChange.MachineDecommissioned d) {
-            fate(d.name(), d.after().fate());
+            decommissioned(d.name(), d.after().state());
         }
     }
 
-    private void fate(String name, StoredValue.DecommissionState fate) {
-        Machine m = byName.get(name);
-        if (fate == StoredValue.DecommissionState.GONE) {
-            gone.add(name);
-            if (m != null) {
-                dropIfGone(m);
+    private void decommissioned(String name, StoredValue.DecommissionState fate) {
+        Machine machine = byName.get(name);
+        if (fate == StoredValue.DecommissionState.TERMINATED) {
+            terminated.add(name);
+            if (machine != null) {
+                dropIfTerminated(machine);
             }
-        } else if (fate == StoredValue.DecommissionState.RETURN && m != null) {
-            m.returned = true;
+        } else if (fate == StoredValue.DecommissionState.SCALE_IN && machine != null) {
+            machine.scaleInExpected = true;
         }
     }
 
-    private void job(ReplicaChange.JobChanged d) {
+    private void jobChanged(ReplicaChange.JobChanged d) {
         JobEntry job = d.job();
         if (d.before() == null && d.after() != null) {
-            rivalry.came(d.after().job().shape());
-            job.slices().forEach(s -> diff(job, job.job(), s, null, s.value()));
+            typeContention.jobAdded(d.after().job().requirements());
+            job.slices().forEach(slice -> diff(job, job.job(), slice, null, slice.value()));
         } else if (d.before() != null && d.after() == null) {
-            rivalry.went(d.before().job().shape());
-            job.slices().forEach(s -> diff(job, d.before().job(), s, s.value(), null));
-            progress.over(job.id);
-        } else if (d.after() != null && d.after().aborted()) {
-            touchAll(job);
+            typeContention.jobRemoved(d.before().job().requirements());
+            job.slices().forEach(slice -> diff(job, d.before().job(), slice, slice.value(), null));
+            progress.jobEnded(job.id);
+        } else if (d.after() != null && d.after().isCancelled()) {
+            markChangedFor(job);
         }
     }
 
     /** There may be something to command wherever the job has attempts. */
-    public void touchAll(JobEntry job) {
-        job.slices().forEach(s -> s.value().attempts().forEach(a -> touch(of(a.machine()))));
+    public void markChangedFor(JobEntry job) {
+        job.slices()
+                .forEach(slice ->
+                        slice.value().attempts().forEach(attempt -> markChanged(getOrCreate(attempt.machine()))));
     }
 
-    private void slice(JobEntry job, SliceEntry slice, Slice before, Slice after) {
+    private void sliceChanged(JobEntry job, SliceEntry slice, Slice before, Slice after) {
         if (job.job() != null) {
-            progress.shown(job.id, slice.number, after);
+            progress.sliceObserved(job.id, slice.number, after);
             diff(job, job.job(), slice, before, after);
         }
     }
@@ -183,152 +185,155 @@
     private void diff(JobEntry job, Job spec, SliceEntry slice, Slice before, Slice after) {
         Int2ObjectOpenHashMap<Attempt> was = new Int2ObjectOpenHashMap<>();
         if (before != null) {
-            before.attempts().forEach(a -> was.put(a.task(), a));
+            before.attempts().forEach(attempt -> was.put(attempt.task(), attempt));
         }
         if (after != null) {
-            for (Attempt a : after.attempts()) {
-                Attempt old = was.get(a.task());
-                if (old != null && old.number() == a.number()) {
-                    was.remove(a.task());
+            for (Attempt attempt : after.attempts()) {
+                Attempt old = was.get(attempt.task());
+                if (old != null && old.number() == attempt.number()) {
+                    was.remove(attempt.task());
                 } else {
-                    add(job, spec, slice, a);
+                    add(job, spec, slice, attempt);
                 }
             }
         }
-        was.values().forEach(a -> remove(job, spec, a));
+        was.values().forEach(attempt -> remove(job, spec, attempt));
     }
 
-    private void add(JobEntry job, Job spec, SliceEntry slice, Attempt a) {
-        Machine m = of(a.machine());
-        Machine.AssignedAttempt live = new Machine.AssignedAttempt(job, slice, a);
-        m.live.put(live.key, live);
-        m.use.add(spec);
-        live.countedFor = Partitioner.owner(replica.map(), slice.key, slice.value());
-        teamUsage.add(spec, live.countedFor, 1);
-        touch(m);
+    private void add(JobEntry job, Job spec, SliceEntry slice, Attempt attempt) {
+        Machine machine = getOrCreate(attempt.machine());
+        Machine.AssignedAttempt live = new Machine.AssignedAttempt(job, slice, attempt);
+        machine.attempts.put(live.id, live);
+        machine.usage.add(spec);
+        live.quotaOwner = Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value());
+        teamUsage.add(spec, live.quotaOwner, 1);
+        markChanged(machine);
     }
 
-    private void remove(JobEntry job, Job spec, Attempt a) {
-        Machine m = of(a.machine());
-        Machine.AttemptId key = new Machine.AttemptId(job.id, a.task(), a.number());
-        Machine.AssignedAttempt live = m.live.remove(key);
+    private void remove(JobEntry job, Job spec, Attempt attempt) {
+        Machine machine = getOrCreate(attempt.machine());
+        Machine.AttemptId id = new Machine.AttemptId(job.id, attempt.task(), attempt.number());
+        Machine.AssignedAttempt live = machine.attempts.remove(id);
         if (live == null) {
             return;
         }
-        if (!live.over) {
-            m.use.remove(spec);
+        if (!live.ended) {
+            machine.usage.remove(spec);
         }
-        teamUsage.add(spec, live.countedFor, -1);
-        m.stops.remove(key);
-        JobProgress work = progress.known(job.id);
+        teamUsage.add(spec, live.quotaOwner, -1);
+        machine.preemptions.remove(id);
+        JobProgress work = progress.get(job.id);
         if (work != null) {
-            work.outcomes.remove(key);
+            work.outcomes.remove(id);
         }
-        m.idleIfEmpty(context.now());
-        touch(m);
-        dropIfGone(m);
+        machine.markIdleIfEmpty(context.nowMs());
+        markChanged(machine);
+        dropIfTerminated(machine);
     }
 
     /** A task's end was reported: its room is free, though its team's limit still counts it until that is durable. */
-    public void over(Machine m, Machine.AssignedAttempt live) {
-        if (!live.over) {
-            live.over = true;
-            m.use.remove(live.job.job());
+    public void attemptEnded(Machine machine, Machine.AssignedAttempt live) {
+        if (!live.ended) {
+            live.ended = true;
+            machine.usage.remove(live.job.job());
         }
     }
 
-    private void dropIfGone(Machine m) {
-        if (m.live.isEmpty() && gone.contains(m.name)) {
-            byName.remove(m.name);
-            own.remove(m);
-            changed.remove(m);
+    private void dropIfTerminated(Machine machine) {
+        if (machine.attempts.isEmpty() && terminated.contains(machine.name)) {
+            byName.remove(machine.name);
+            owned.remove(machine);
+            changed.remove(machine);
         }
     }
 
-    private void map(ReplicaChange.PartitionMapChanged d) {
+    private void partitionMapChanged(ReplicaChange.PartitionMapChanged d) {
         long was = d.before() == null ? 0 : d.before().incarnation(self);
         boolean kept = d.complete() && was != 0 && was == d.after().incarnation(self);
-        byName.values().forEach(m -> settleOwner(m, !kept));
+        byName.values().forEach(machine -> updateOwner(machine, !kept));
         recount();
     }
 
     /** Under another map slices have other owners. */
     private void recount() {
-        teamUsage.forgetOwners();
-        for (Machine m : byName.values()) {
-            for (Machine.AssignedAttempt l : m.live.values()) {
-                l.countedFor = Partitioner.owner(replica.map(), l.slice.key, l.slice.value());
-                teamUsage.addToOwner(l.job.job(), l.countedFor, 1);
+        teamUsage.clearOwners();
+        for (Machine machine : byName.values()) {
+            for (Machine.AssignedAttempt assigned : machine.attempts.values()) {
+                assigned.quotaOwner =
+                        Partitioner.ownerOf(replica.partitionMap(), assigned.slice.key, assigned.slice.value());
+                teamUsage.addToOwner(assigned.job.job(), assigned.quotaOwner, 1);
             }
         }
-        progress.countLaunchesAnew();
+        progress.recountLaunches();
     }
 
     /** The machine's owner under the present map; one that this controller did not have all along begins anew. */
-    private void settleOwner(Machine m, boolean anew) {
-        PartitionMap map = replica.map();
-        String before = m.owner;
-        m.owner = Partitioner.owner(map, m.name);
-        if (anew || m.owner == null || !m.owner.equals(before)) {
-            m.ownerSince = context.now();
+    private void updateOwner(Machine machine, boolean anew) {
+        PartitionMap map = replica.partitionMap();
+        String before = machine.owner;
+        machine.owner = Partitioner.ownerOf(map, machine.name);
+        if (anew || machine.owner == null || !machine.owner.equals(before)) {
+            machine.ownerSince = context.nowMs();
         }
-        if (!self.equals(m.owner)) {
-            own.remove(m);
-            changed.remove(m);
-            m.reachability.handedOn();
+        if (!self.equals(machine.owner)) {
+            owned.remove(machine);
+            changed.remove(machine);
+            machine.reachability.handedOn();
         } else if (anew || !self.equals(before)) {
-            m.acquire(map.epoch(), context.now());
-            own.add(m);
-            changed.add(m);
+            machine.acquire(map.epoch(), context.nowMs());
+            owned.add(machine);
+            changed.add(machine);
         }
     }
 
     /** Learns a machine from a list or a peer; a report says more. */
-    public Machine learn(String name, String address, String type, String zone, boolean spot) {
-        if (gone.contains(name)) {
+    public Machine discover(String name, String address, String type, String zone, boolean spot) {
+        if (terminated.contains(name)) {
             return null;
         }
-        Machine m = of(name);
-        if (!m.reachability.everConfirmed() || m.type == null) {
-            m.isOf(type, zone, spot);
+        Machine machine = getOrCreate(name);
+        if (!machine.reachability.everConfirmed() || machine.typeName == null) {
+            machine.describe(type, zone, spot);
         }
-        if (m.address == null) {
-            m.address = address;
-            touch(m);
+        if (machine.address == null) {
+            machine.address = address;
+            markChanged(machine);
         }
-        return m;
+        return machine;
     }
 
     /** Learns the machines that a peer told of. */
-    public void learnFrom(PeerStatus status) {
-        String start = peers.start(status.node());
+    public void discoverFrom(PeerStatus status) {
+        String start = peers.incarnationId(status.controller());
         for (PeerStatus.MachineStatus p : status.machines()) {
-            Machine m = learn(p.name(), p.address(), p.type(), p.zone(), p.spot());
-            if (m != null) {
-                m.listedBy = start;
-                m.listedAt = context.now();
-                if (m.session <= p.session() && !self.equals(m.owner)) {
-                    m.sequence = m.session == p.session() ? Math.max(m.sequence, p.sequence()) : p.sequence();
-                    m.session = p.session();
+            Machine machine = discover(p.name(), p.address(), p.type(), p.zone(), p.spot());
+            if (machine != null) {
+                machine.listedByIncarnation = start;
+                machine.listedAt = context.nowMs();
+                if (machine.incarnation <= p.incarnation() && !self.equals(machine.owner)) {
+                    machine.sequence = machine.incarnation == p.incarnation()
+                            ? Math.max(machine.sequence, p.sequence())
+                            : p.sequence();
+                    machine.incarnation = p.incarnation();
                 }
             }
         }
     }
 
     /** True if the machine's owner, another controller, said within the last few seconds that it takes tasks. */
-    public boolean listedByOwner(Machine m) {
-        return m.listedBy != null
-                && m.owner != null
-                && context.now() - m.listedAt <= 5000
-                && m.listedBy.equals(peers.start(m.owner));
+    public boolean isListedByOwner(Machine machine) {
+        return machine.listedByIncarnation != null
+                && machine.owner != null
+                && context.nowMs() - machine.listedAt <= 5000
+                && machine.listedByIncarnation.equals(peers.incarnationId(machine.owner));
     }
 
     /** A machine is at fault once tasks of two jobs failed on it that do not fail everywhere. */
-    public boolean faulty(Machine m) {
+    public boolean isFaulty(Machine machine) {
         int blamed = 0;
-        for (String job : m.failedJobs) {
-            JobProgress work = progress.known(job);
-            blamed += work == null || !work.faulty() ? 1 : 0;
+        for (String job : machine.failedJobs) {
+            JobProgress work = progress.get(job);
+            blamed += work == null || !work.isFaulty() ? 1 : 0;
         }
         return blamed >= 2;
     }
--- a/src/main/java/dewlane/core/fleet/MachineTypeContention.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeContention.java
@@ -27,14 +27,14 @@
     }
 
     /** There is one more job of the shape. */
-    void came(Job.Requirements shape) {
+    void jobAdded(Job.Requirements shape) {
         if (shapes.addTo(shape, 1) == 0) {
             rivals.clear();
         }
     }
 
     /** There is one job of the shape less. */
-    void went(Job.Requirements shape) {
+    void jobRemoved(Job.Requirements shape) {
         if (shapes.addTo(shape, -1) == 1) {
             shapes.removeInt(shape);
             rivals.clear();
@@ -42,10 +42,10 @@
     }
 
     /** How many types the tasks of a shape fit on and may use. */
-    public int choices(Job.Requirements shape) {
+    public int usableTypeCount(Job.Requirements shape) {
         int n = 0;
-        for (MachineType t : types.values()) {
-            n += shape.allowsType(t.name()) && t.holds(shape) ? 1 : 0;
+        for (MachineType type : types.values()) {
+            n += shape.allowsType(type.name()) && type.fits(shape) ? 1 : 0;
         }
         return n;
     }
@@ -54,17 +54,17 @@
      * 1 if an active job with fewer types to choose from could use the type, so that a job of the shape had better go
      * elsewhere; 0 if not.
      */
-    public int rivals(Job.Requirements shape, MachineType type) {
+    public int contention(Job.Requirements shape, MachineType type) {
         return rivals.computeIfAbsent(new Rivalry(shape, type.name()), r -> countRivals(shape, type));
     }
 
     private int countRivals(Job.Requirements shape, MachineType type) {
-        int choices = choices(shape);
+        int choices = usableTypeCount(shape);
         for (Job.Requirements other : shapes.keySet()) {
             if ((other.cpus() != shape.cpus() || other.memoryGb() != shape.memoryGb())
-                    && type.holds(other)
+                    && type.fits(other)
                     && other.allowsType(type.name())
-                    && choices(other) < choices) {
+                    && usableTypeCount(other) < choices) {
                 return 1;
             }
         }
--- a/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
+++ b/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
@@ -9,18 +9,18 @@
     private long sequence;
 
     /** None count: the worker may just be looking for its new owner. */
-    public void forget() {
+    public void reset() {
         firstAt = 0;
     }
 
     /** For how long the worker has been coming here; negative if this is the first report that counts. */
-    public long take(Heartbeat report, long now, long togetherMs) {
+    public long record(Heartbeat heartbeat, long now, long togetherMs) {
         if (firstAt == 0 || now - firstAt > togetherMs) {
             firstAt = now;
-            session = report.session();
-            sequence = report.sequence();
+            session = heartbeat.incarnation();
+            sequence = heartbeat.sequence();
             return -1;
         }
-        return report.newerThan(session, sequence) ? now - firstAt : -1;
+        return heartbeat.isNewerThan(session, sequence) ? now - firstAt : -1;
     }
 }
--- a/src/main/java/dewlane/core/fleet/TeamUsage.java
+++ b/src/main/java/dewlane/core/fleet/TeamUsage.java
@@ -12,30 +12,30 @@
     private final Map<String, Map<String, ResourceUsage>> byOwner = new HashMap<>();
 
     /** What a team uses. */
-    public ResourceUsage of(String team) {
+    public ResourceUsage usageOf(String team) {
         return byTeam.computeIfAbsent(team, t -> new ResourceUsage());
     }
 
     /** What of a team's use counts against a controller: that of the slices it owns. */
-    public ResourceUsage of(String team, String owner) {
+    public ResourceUsage usageOf(String team, String owner) {
         return byOwner.computeIfAbsent(owner, o -> new HashMap<>()).computeIfAbsent(team, t -> new ResourceUsage());
     }
 
     /** Counts so many tasks of a job more, for its team and for the owner; fewer if negative. */
     void add(Job job, String owner, int tasks) {
-        of(job.team()).add(job, tasks);
+        usageOf(job.team()).add(job, tasks);
         addToOwner(job, owner, tasks);
     }
 
     /** Counts so many tasks more for the owner alone, if there is one. */
     void addToOwner(Job job, String owner, int tasks) {
         if (owner != null) {
-            of(job.team(), owner).add(job, tasks);
+            usageOf(job.team(), owner).add(job, tasks);
         }
     }
 
     /** Under another map slices have other owners, so all of their use is counted anew. */
-    void forgetOwners() {
+    void clearOwners() {
         byOwner.clear();
     }
 }
--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -48,40 +48,43 @@
     public CancellationTracker(ControllerContext context) {
         this.context = context;
         Settings s = context.settings();
-        long most = (long) ((s.cancelS() - s.leaseS()) * 1000 - s.cancelS() * 1000 * DRIFT) - MARGIN_MS;
+        long most = (long) ((s.cancellationDeadlineS() - s.workerLeaseS()) * 1000
+                        - s.cancellationDeadlineS() * 1000 * DRIFT)
+                - MARGIN_MS;
         renewMs = Math.max(LEAST_RENEW_MS, most);
-        keepMs = (long) (2000 * s.cancelS());
+        keepMs = (long) (2000 * s.cancellationDeadlineS());
         if (most < LEAST_RENEW_MS) {
-            context.info("cancel_s " + s.cancelS() + " is too short beside lease_s " + s.leaseS()
+            context.info("cancel_s " + s.cancellationDeadlineS() + " is too short beside lease_s " + s.workerLeaseS()
                     + ": while the state service is out of reach, a cancelled task may run for up to "
-                    + (LEAST_RENEW_MS + MARGIN_MS + (long) (1000 * s.leaseS())) + " ms; reports are answered for only "
+                    + (LEAST_RENEW_MS + MARGIN_MS + (long) (1000 * s.workerLeaseS()))
+                    + " ms; reports are answered for only "
                     + LEAST_RENEW_MS + " ms on an old view");
         }
     }
 
     /** The replica holds all that was cancelled up to the given moment. */
-    public void viewed(long asOf) {
+    public void viewRefreshed(long asOf) {
         viewAt = Math.max(viewAt, asOf);
     }
 
     /** How old this controller's knowledge of cancellations may be. */
-    long stalenessMs() {
-        return context.now() - viewAt;
+    long viewAgeMs() {
+        return context.nowMs() - viewAt;
     }
 
     /** True if a worker's lease may be renewed on the present view. */
-    public boolean mayRenewLeases() {
-        return stalenessMs() <= renewMs;
+    public boolean allowsLeaseRenewal() {
+        return viewAgeMs() <= renewMs;
     }
 
     /** True if the view is young enough to start tasks on it. */
-    public boolean mayLaunch() {
-        return stalenessMs() <= LAUNCH_MS;
+    public boolean allowsLaunch() {
+        return viewAgeMs() <= LAUNCH_MS;
     }
 
     /** True if the job is over or cancelled, so that nothing of it may run. */
-    public boolean ended(JobEntry job) {
-        return job.job() == null || job.aborted() || knownSince.containsKey(job.id);
+    public boolean mustNotRun(JobEntry job) {
+        return job.job() == null || job.isCancelled() || knownSince.containsKey(job.id);
     }
 
     /**
@@ -89,41 +92,41 @@
      */
     public long cancelledForMs(JobEntry job) {
         Long since = knownSince.get(job.id);
-        long known = since == null ? 0 : context.now() - since;
-        return job.aborted() ? Math.max(known, context.wall() - job.abortedMs()) : known;
+        long known = since == null ? 0 : context.nowMs() - since;
+        return job.isCancelled() ? Math.max(known, context.wallClockMs() - job.cancelledAtMs()) : known;
     }
 
-    public void follow(ReplicaChange delta) {
+    public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.JobChanged d && d.after() == null) {
             knownSince.remove(d.job().id);
-        } else if (delta instanceof ReplicaChange.JobChanged d && d.after().aborted()) {
-            knownSince.putIfAbsent(d.job().id, context.now());
+        } else if (delta instanceof ReplicaChange.JobChanged d && d.after().isCancelled()) {
+            knownSince.putIfAbsent(d.job().id, context.nowMs());
         }
     }
 
     /** This controller's write that cancels the job is durable. */
-    public void confirmed(String job) {
-        knownSince.putIfAbsent(job, context.now());
-        confirmedAt.put(job, context.now());
+    public void onConfirmed(String job) {
+        knownSince.putIfAbsent(job, context.nowMs());
+        confirmedAt.put(job, context.nowMs());
         news = true;
     }
 
     /** A peer confirmed it; returns true if that is news. */
-    public boolean heard(String job) {
-        return knownSince.putIfAbsent(job, context.now()) == null;
+    public boolean onPeerConfirmed(String job) {
+        return knownSince.putIfAbsent(job, context.nowMs()) == null;
     }
 
     /** True once after each confirmation. */
-    public boolean takeNews() {
+    public boolean takeUnannounced() {
         boolean taken = news;
         news = false;
         return taken;
     }
 
     /** What peers are told: all that was confirmed here and may still matter. */
-    public List<String> toTell() {
-        confirmedAt.values().removeIf(at -> context.now() - at > keepMs);
-        knownSince.values().removeIf(at -> context.now() - at > 4 * keepMs);
+    public List<String> recentlyConfirmed() {
+        confirmedAt.values().removeIf(at -> context.nowMs() - at > keepMs);
+        knownSince.values().removeIf(at -> context.nowMs() - at > 4 * keepMs);
         List<String> told = new ArrayList<>(confirmedAt.keySet());
         return told.size() > MOST_TOLD ? told.subList(told.size() - MOST_TOLD, told.size()) : told;
     }
--- a/src/main/java/dewlane/core/job/DependencyGraph.java
+++ b/src/main/java/dewlane/core/job/DependencyGraph.java
@@ -23,10 +23,10 @@
 
     private static final class Item {
         /** All items that it waits for, and those of them whose result is still to come. */
-        final Set<String> allSources = new LinkedHashSet<>();
+        final Set<String> allDependencies = new LinkedHashSet<>();
 
-        final Set<String> sources = new LinkedHashSet<>();
-        final Set<String> destinations = new LinkedHashSet<>();
+        final Set<String> unsatisfied = new LinkedHashSet<>();
+        final Set<String> dependents = new LinkedHashSet<>();
         Result result;
         boolean known;
     }
@@ -49,12 +49,12 @@
         boolean sourceFailed = false;
         for (String source : sources) {
             Item from = items.computeIfAbsent(source, k -> new Item());
-            item.allSources.add(source);
-            from.destinations.add(id);
+            item.allDependencies.add(source);
+            from.dependents.add(id);
             if (from.result == Result.FAILED) {
                 sourceFailed = true;
             } else if (from.result == null) {
-                item.sources.add(source);
+                item.unsatisfied.add(source);
             }
         }
         if (item.result == Result.FAILED) {
@@ -63,7 +63,7 @@
             List<String> dependants = new ArrayList<>(List.of(id));
             dependants.addAll(finish(id, Result.FAILED));
             return dependants;
-        } else if (item.result == null && item.sources.isEmpty()) {
+        } else if (item.result == null && item.unsatisfied.isEmpty()) {
             ready.add(id);
         }
         return List.of();
@@ -92,17 +92,17 @@
                 if (item.known) {
                     failed.add(at);
                 }
-                queue.addAll(item.destinations);
+                queue.addAll(item.dependents);
             } else {
-                item.destinations.forEach(to -> strike(at, to));
+                item.dependents.forEach(to -> satisfy(at, to));
             }
         }
         return dependants;
     }
 
-    private void strike(String source, String destination) {
+    private void satisfy(String source, String destination) {
         Item item = items.get(destination);
-        if (item.sources.remove(source) && item.sources.isEmpty() && item.known && item.result == null) {
+        if (item.unsatisfied.remove(source) && item.unsatisfied.isEmpty() && item.known && item.result == null) {
             ready.add(destination);
         }
     }
@@ -115,19 +115,19 @@
         if (item == null) {
             return;
         }
-        for (String source : item.allSources) {
+        for (String source : item.allDependencies) {
             Item from = items.get(source);
-            from.destinations.remove(id);
+            from.dependents.remove(id);
             dropIfUnused(source, from);
         }
-        item.allSources.clear();
-        item.sources.clear();
+        item.allDependencies.clear();
+        item.unsatisfied.clear();
         item.known = false;
         dropIfUnused(id, item);
     }
 
     private void dropIfUnused(String id, Item item) {
-        if (!item.known && item.destinations.isEmpty()) {
+        if (!item.known && item.dependents.isEmpty()) {
             items.remove(id);
         }
     }
@@ -153,21 +153,21 @@
     }
 
     /** Items that the item still waits for. */
-    public Collection<String> sources(String id) {
+    public Collection<String> dependencies(String id) {
         Item item = items.get(id);
-        return item == null ? List.of() : item.sources;
+        return item == null ? List.of() : item.unsatisfied;
     }
 
     /** All items that the item waits for or has waited for. */
-    public Collection<String> allSources(String id) {
+    public Collection<String> allDependencies(String id) {
         Item item = items.get(id);
-        return item == null ? List.of() : item.allSources;
+        return item == null ? List.of() : item.allDependencies;
     }
 
     /** Items that wait for the item, or did. */
-    public Collection<String> destinations(String id) {
+    public Collection<String> dependents(String id) {
         Item item = items.get(id);
-        return item == null ? List.of() : item.destinations;
+        return item == null ? List.of() : item.dependents;
     }
 
     /** True if the item was added and not forgotten. */
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -59,7 +59,7 @@
         this.reader = reader;
     }
 
-    public void follow(ReplicaChange delta) {
+    public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.JobChanged d) {
             jobChanged(d);
         } else if (delta instanceof ReplicaChange.JobEnded d) {
@@ -70,47 +70,47 @@
     private void jobChanged(ReplicaChange.JobChanged d) {
         JobEntry job = d.job();
         if (d.after() == null) {
-            gone(job.id);
+            recordRemoved(job.id);
             return;
         }
         if (d.before() == null) {
             added(job);
         }
-        if (d.after().aborted()) {
+        if (d.after().isCancelled()) {
             fail(job.id);
         }
     }
 
     private void added(JobEntry job) {
         unresolved.remove(job.id);
-        List<String> awaits = job.job().awaits();
+        List<String> awaits = job.job().dependencies();
         List<String> failed = release.add(job.id, awaits);
-        for (String id : release.destinations(job.id)) {
-            JobEntry dependant = replica.recorded(id);
+        for (String id : release.dependents(job.id)) {
+            JobEntry dependant = replica.activeJob(id);
             if (dependant != null) {
-                expect(job, dependant);
+                inheritUrgency(job, dependant);
             }
         }
         for (String awaited : awaits) {
-            JobEntry source = replica.recorded(awaited);
+            JobEntry source = replica.activeJob(awaited);
             if (source != null) {
-                expect(source, job);
+                inheritUrgency(source, job);
             } else {
-                learn(awaited);
+                resolve(awaited);
             }
         }
         logFailed(failed, job.id);
         if (!awaits.isEmpty() && !release.isReady(job.id) && !release.hasFailed(job.id)) {
-            Collection<String> waitsFor = release.sources(job.id);
-            say(
+            Collection<String> waitsFor = release.dependencies(job.id);
+            logAsOwner(
                     job.id,
                     "job " + job.id + " waits for " + waitsFor.size() + " jobs: "
                             + waitsFor.stream().limit(MOST_NAMED).toList());
         }
     }
 
-    private void learn(String awaited) {
-        JobResult result = replica.fin(awaited);
+    private void resolve(String awaited) {
+        JobResult result = replica.result(awaited);
         if (result != null) {
             ended(awaited, result);
         } else {
@@ -119,21 +119,21 @@
     }
 
     /** The vanishing of a record proves nothing by itself: the state may just be read anew. */
-    private void gone(String id) {
-        JobResult result = replica.fin(id);
+    private void recordRemoved(String id) {
+        JobResult result = replica.result(id);
         if (result != null) {
             ended(id, result);
-        } else if (!release.destinations(id).isEmpty() && !release.hasFailed(id)) {
+        } else if (!release.dependents(id).isEmpty() && !release.hasFailed(id)) {
             unresolved.add(id);
         }
-        List<String> sources = List.copyOf(release.allSources(id));
+        List<String> sources = List.copyOf(release.allDependencies(id));
         release.forget(id);
-        sources.forEach(this::expectAnew);
+        sources.forEach(this::recomputeUrgency);
         sources.forEach(this::dropIfUnneeded);
     }
 
     private void dropIfUnneeded(String id) {
-        if (release.destinations(id).isEmpty()) {
+        if (release.dependents(id).isEmpty()) {
             unresolved.remove(id);
             urgent.remove(id);
         }
@@ -142,26 +142,27 @@
     private void ended(String id, JobResult result) {
         unresolved.remove(id);
         urgent.remove(id);
-        if (!release.isKnown(id) && release.destinations(id).isEmpty()) {
+        if (!release.isKnown(id) && release.dependents(id).isEmpty()) {
             return;
         }
-        if (result.aborted()) {
+        if (result.cancelled()) {
             fail(id);
             return;
         }
-        for (String dependant : release.destinations(id)) {
-            JobEntry entry = replica.recorded(dependant);
+        for (String dependant : release.dependents(id)) {
+            JobEntry entry = replica.activeJob(dependant);
             if (entry != null) {
-                entry.released(result.atMs());
+                entry.dependencyEnded(result.endedAtMs());
             }
         }
-        List<String> waiting = release.destinations(id).stream()
+        List<String> waiting = release.dependents(id).stream()
                 .filter(dependant -> !release.isReady(dependant))
                 .toList();
         release.finish(id, Result.DONE);
         for (String dependant : waiting) {
             if (release.isReady(dependant)) {
-                say(dependant, "job " + dependant + " may start: " + id + " is done, the last one that it awaited");
+                logAsOwner(
+                        dependant, "job " + dependant + " may start: " + id + " is done, the last one that it awaited");
             }
         }
     }
@@ -169,23 +170,25 @@
     private void fail(String id) {
         List<String> failed = release.finish(id, Result.FAILED);
         logFailed(failed, id);
-        expectAnewOf(id);
-        failed.forEach(this::expectAnewOf);
+        recomputeUrgencyOfDependencies(id);
+        failed.forEach(this::recomputeUrgencyOfDependencies);
     }
 
     private void logFailed(List<String> failed, String through) {
-        failed.forEach(job -> say(job, "job " + job + " is cancelled through " + through));
+        failed.forEach(job -> logAsOwner(job, "job " + job + " is cancelled through " + through));
     }
 
     /** All controllers see the same, so the one that also ends the job says it. */
-    private void say(String job, String text) {
-        if (context.settings().node().equals(Partitioner.owner(replica.map(), StoreKeys.job(job)))) {
+    private void logAsOwner(String job, String text) {
+        if (context.settings()
+                .controllerName()
+                .equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job)))) {
             context.info(text);
         }
     }
 
     /** A job that needs the source has come, or is expected to end earlier. */
-    private void expect(JobEntry source, JobEntry dependant) {
+    private void inheritUrgency(JobEntry source, JobEntry dependant) {
         if (release.hasFailed(dependant.id)) {
             return;
         }
@@ -194,11 +197,11 @@
         if (priority == source.priority() && deadline == source.deadlineMs()) {
             return;
         }
-        source.expect(priority, deadline);
-        for (String id : release.sources(source.id)) {
-            JobEntry before = replica.recorded(id);
+        source.inheritUrgency(priority, deadline);
+        for (String id : release.dependencies(source.id)) {
+            JobEntry before = replica.activeJob(id);
             if (before != null) {
-                expect(before, source);
+                inheritUrgency(before, source);
             }
         }
     }
@@ -211,44 +214,44 @@
     private static long latestEnd(JobEntry job) {
         return job.deadlineMs() == JobEntry.NO_DEADLINE
                 ? JobEntry.NO_DEADLINE
-                : job.deadlineMs() - (long) (1000 * (job.job().estimateS() + STEP_S));
+                : job.deadlineMs() - (long) (1000 * (job.job().expectedRunS() + STEP_S));
     }
 
-    private void expectAnewOf(String failedJob) {
-        release.allSources(failedJob).forEach(this::expectAnew);
+    private void recomputeUrgencyOfDependencies(String failedJob) {
+        release.allDependencies(failedJob).forEach(this::recomputeUrgency);
     }
 
     /** One of the jobs that need the job has gone. */
-    private void expectAnew(String id) {
-        JobEntry job = replica.recorded(id);
+    private void recomputeUrgency(String id) {
+        JobEntry job = replica.activeJob(id);
         if (job == null) {
             return;
         }
         Priority priority = job.job().priority();
         long deadline = job.ownDeadlineMs();
-        for (String destination : release.destinations(id)) {
-            JobEntry dependant = replica.recorded(destination);
+        for (String destination : release.dependents(id)) {
+            JobEntry dependant = replica.activeJob(destination);
             if (dependant != null && !release.hasFailed(destination)) {
                 priority = highest(priority, dependant.priority());
                 deadline = Math.min(deadline, latestEnd(dependant));
             }
         }
         if (priority != job.priority() || deadline != job.deadlineMs()) {
-            job.expect(priority, deadline);
-            release.sources(id).forEach(this::expectAnew);
+            job.inheritUrgency(priority, deadline);
+            release.dependencies(id).forEach(this::recomputeUrgency);
         }
     }
 
     /** Looks up what became of awaited jobs, once the replica holds all that is known to be durable. */
     public void tick(boolean caughtUp) {
-        if (!caughtUp || unresolved.isEmpty() || context.now() < pausedUntil) {
+        if (!caughtUp || unresolved.isEmpty() || context.nowMs() < pausedUntil) {
             return;
         }
         urgent.retainAll(unresolved);
         Iterator<String> next = (urgent.isEmpty() ? unresolved : urgent).iterator();
         while (next.hasNext() && reading.size() < MOST_READS) {
             String id = next.next();
-            if (replica.recorded(id) != null || replica.isHeld(id)) {
+            if (replica.activeJob(id) != null || replica.isUnreadable(id)) {
                 continue;
             }
             if (!reading.contains(id) && !reader.read(id, new LookUp(id))) {
@@ -274,16 +277,16 @@
         @Override
         public void absent() {
             reading.remove(id);
-            pausedUntil = context.now() + READ_PAUSE_MS;
-            if (unresolved.contains(id) && replica.recorded(id) == null) {
+            pausedUntil = context.nowMs() + READ_PAUSE_MS;
+            if (unresolved.contains(id) && replica.activeJob(id) == null) {
                 context.info("job " + id + " is awaited, but neither its record nor its end is there");
             }
         }
 
         @Override
-        public void noAnswer() {
+        public void unavailable() {
             reading.remove(id);
-            pausedUntil = context.now() + READ_PAUSE_MS;
+            pausedUntil = context.nowMs() + READ_PAUSE_MS;
         }
     }
 
@@ -291,37 +294,37 @@
      * True if it is known of all jobs that the job needs, directly or through others, whether they are cancelled. Else
      * they are looked up first.
      */
-    public boolean resolved(String job) {
+    public boolean isResolved(String job) {
         if (unresolved.isEmpty()) {
             return true;
         }
         boolean resolved = true;
         Set<String> seen = new HashSet<>();
-        Deque<String> queue = new ArrayDeque<>(release.sources(job));
+        Deque<String> queue = new ArrayDeque<>(release.dependencies(job));
         while (!queue.isEmpty()) {
             String id = queue.poll();
             if (!seen.add(id)) {
                 continue;
             }
-            if (unresolved.contains(id) && replica.recorded(id) == null) {
+            if (unresolved.contains(id) && replica.activeJob(id) == null) {
                 urgent.add(id);
                 resolved = false;
             }
-            queue.addAll(release.sources(id));
+            queue.addAll(release.dependencies(id));
         }
         return resolved;
     }
 
     /** True if the job is cancelled, by its own user or through a job that it needs. */
-    public boolean cancelled(JobEntry job) {
-        return job.aborted() || release.hasFailed(job.id);
+    public boolean isCancelled(JobEntry job) {
+        return job.isCancelled() || release.hasFailed(job.id);
     }
 
     /** True if a job that awaits this one is there and its cancellation is not durable yet. */
-    public boolean hasUnmarkedDependants(String job) {
-        for (String id : release.destinations(job)) {
-            JobEntry dependant = replica.recorded(id);
-            if (dependant != null && !dependant.aborted()) {
+    public boolean hasUncancelledDependents(String job) {
+        for (String id : release.dependents(job)) {
+            JobEntry dependant = replica.activeJob(id);
+            if (dependant != null && !dependant.isCancelled()) {
                 return true;
             }
         }
--- a/src/main/java/dewlane/core/job/SliceSizeBound.java
+++ b/src/main/java/dewlane/core/job/SliceSizeBound.java
@@ -40,7 +40,7 @@
                 + slice.owner().length()
                 + digits(slice.first())
                 + digits(slice.count())
-                + digits(slice.launches() + 1L)
+                + digits(slice.launchCount() + 1L)
                 + doneBytes(slice.done());
         if (!slice.unknown().equals(UnknownFields.NONE)) {
             bytes += 2 * slice.unknown().byName().toString().length();
@@ -49,7 +49,7 @@
     }
 
     /** The bound for a slice as it is. */
-    static int bound(Slice slice) {
+    static int ofSlice(Slice slice) {
         return new SliceSizeBound(slice).bytes;
     }
 
@@ -62,7 +62,7 @@
     /** Counts one more attempt. */
     public void add(Attempt attempt) {
         bytes += cost(attempt);
-        firstTokens.putIfAbsent(attempt.number(), attempt.token());
+        firstTokens.putIfAbsent(attempt.number(), attempt.fencingToken());
         places.add(place(attempt));
     }
 
@@ -75,20 +75,23 @@
         int cost = taskBytes;
         Long first = firstTokens.get(attempt.number());
         if (first == null) {
-            cost += LAUNCH_FRAME + digits(attempt.number()) + digits(attempt.launchedMs()) + digits(attempt.token());
-            first = attempt.token();
+            cost += LAUNCH_FRAME
+                    + digits(attempt.number())
+                    + digits(attempt.launchedAtMs())
+                    + digits(attempt.fencingToken());
+            first = attempt.fencingToken();
         }
         if (!places.contains(place(attempt))) {
             cost += PLACE_FRAME
                     + attempt.machine().length()
-                    + digits(attempt.session())
-                    + digits(Math.abs(attempt.token() - first));
+                    + digits(attempt.incarnation())
+                    + digits(Math.abs(attempt.fencingToken() - first));
         }
         return cost;
     }
 
-    private static Place place(Attempt a) {
-        return new Place(a.number(), a.machine(), a.session(), a.token());
+    private static Place place(Attempt attempt) {
+        return new Place(attempt.number(), attempt.machine(), attempt.incarnation(), attempt.fencingToken());
     }
 
     private static int doneBytes(BitSet done) {
--- a/src/main/java/dewlane/core/job/SliceSplitter.java
+++ b/src/main/java/dewlane/core/job/SliceSplitter.java
@@ -10,7 +10,7 @@
 
     /** The slice in as few runs as are within the limit each; the slice itself if it is. */
     public static List<Slice> split(Slice slice, int limitBytes) {
-        if (SliceSizeBound.bound(slice) <= limitBytes) {
+        if (SliceSizeBound.ofSlice(slice) <= limitBytes) {
             return List.of(slice);
         }
         List<Slice> runs = new ArrayList<>();
@@ -27,12 +27,12 @@
         int fitsNot = slice.count() - from + 1;
         while (fitsNot - fits > 1) {
             int middle = (fits + fitsNot) / 2;
-            if (SliceSizeBound.bound(slice.part(from, middle)) <= limitBytes) {
+            if (SliceSizeBound.ofSlice(slice.subrange(from, middle)) <= limitBytes) {
                 fits = middle;
             } else {
                 fitsNot = middle;
             }
         }
-        return slice.part(from, fits);
+        return slice.subrange(from, fits);
     }
 }
--- a/src/main/java/dewlane/core/membership/AuthorityMonitor.java
+++ b/src/main/java/dewlane/core/membership/AuthorityMonitor.java
@@ -8,7 +8,7 @@
     private final ControllerContext context;
     private final Membership membership;
     private final CancellationTracker cancellations;
-    private Authority.Restriction logged = Authority.Restriction.NOT_JOINED;
+    private Authority.Restriction logged = Authority.Restriction.NOT_A_MEMBER;
 
     public AuthorityMonitor(ControllerContext context, Membership membership, CancellationTracker cancellations) {
         this.context = context;
@@ -16,21 +16,21 @@
         this.cancellations = cancellations;
     }
 
-    public Authority now() {
+    public Authority current() {
         return new Authority(
-                membership.joined(),
-                membership.superseded(),
-                membership.isolated(),
-                membership.reachesState(),
-                cancellations.mayRenewLeases(),
-                cancellations.mayLaunch());
+                membership.isMember(),
+                membership.isSuperseded(),
+                membership.isIsolated(),
+                membership.reachesStore(),
+                cancellations.allowsLeaseRenewal(),
+                cancellations.allowsLaunch());
     }
 
     public void tick() {
-        Authority.Restriction limit = now().limit();
+        Authority.Restriction limit = current().restriction();
         if (limit != logged) {
             logged = limit;
-            context.info("this controller " + limit.meaning());
+            context.info("this controller " + limit.description());
         }
     }
 }
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -70,26 +70,26 @@
         this.replica = replica;
         this.peers = peers;
         this.transactions = transactions;
-        this.self = context.settings().node();
+        this.self = context.settings().controllerName();
     }
 
-    public void contact() {
-        contactAt = context.now();
+    public void onStoreContact() {
+        contactAt = context.nowMs();
     }
 
     /** True if the state service has answered lately. */
-    public boolean reachesState() {
-        return silence() <= REACHED_MS;
+    public boolean reachesStore() {
+        return storeSilenceMs() <= REACHED_MS;
     }
 
     /** Milliseconds since the state service last answered. */
-    public long silence() {
-        return context.now() - contactAt;
+    public long storeSilenceMs() {
+        return context.nowMs() - contactAt;
     }
 
     /** True while the map holds this start of this controller. */
-    public boolean joined() {
-        PartitionMap map = replica.map();
+    public boolean isMember() {
+        PartitionMap map = replica.partitionMap();
         return map != null && joinedAs != 0 && map.incarnation(self) == joinedAs;
     }
 
@@ -98,9 +98,9 @@
      * have ended. The others have taken its part over then, and its workers had better go to them; in an outage for all
      * the others are heard, and the workers are kept.
      */
-    boolean isolated() {
-        long ms = context.settings().tuning().memberTtlMs() + ISOLATED_MS;
-        return silence() > ms && peers.noneHeard(ms);
+    boolean isIsolated() {
+        long ms = context.settings().tuning().memberLeaseTtlMs() + ISOLATED_MS;
+        return storeSilenceMs() > ms && peers.noneHeardWithin(ms);
     }
 
     /** The epoch at which this controller last joined. */
@@ -109,15 +109,15 @@
     }
 
     /** True if a peer has shown a newer map for longer than the watch should take, so that this one is out of date. */
-    boolean superseded() {
-        return newerSince != 0 && context.now() - newerSince > 1000;
+    boolean isSuperseded() {
+        return newerSince != 0 && context.nowMs() - newerSince > 1000;
     }
 
-    public void peerEpoch(long epoch) {
-        if (replica.map() == null || epoch <= replica.map().epoch()) {
+    public void onPeerEpoch(long epoch) {
+        if (replica.partitionMap() == null || epoch <= replica.partitionMap().epoch()) {
             newerSince = 0;
         } else if (newerSince == 0) {
-            newerSince = context.now();
+            newerSince = context.nowMs();
         }
     }
 
@@ -126,32 +126,34 @@
      * down counts as older until it has: it may come back as it was. What those that are not there have shown is in the
      * map, from which an older version drops it as it joins.
      */
-    public boolean allUpgraded() {
-        return replica.map() != null && context.settings().peers().stream().allMatch(this::isUpgraded);
+    public boolean allControllersUpgraded() {
+        return replica.partitionMap() != null
+                && context.settings().peers().stream().allMatch(this::isUpgraded);
     }
 
     private boolean isUpgraded(String node) {
         Presence presence = replica.presences().get(node);
-        int format =
-                presence != null ? presence.format() : replica.map().formats().getOrDefault(node, SchemaVersion.FIRST);
+        int format = presence != null
+                ? presence.schemaVersion()
+                : replica.partitionMap().schemaVersions().getOrDefault(node, SchemaVersion.FIRST);
         return format >= SchemaVersion.CURRENT;
     }
 
-    public boolean leads() {
-        return joined() && self.equals(Partitioner.leader(replica.map()));
+    public boolean isLeader() {
+        return isMember() && self.equals(Partitioner.leaderOf(replica.partitionMap()));
     }
 
-    public void granted(long granted) {
+    public void onLeaseGranted(long granted) {
         leaseAsked = false;
         if (granted != 0) {
             lease = granted;
-            touchedAt = context.now();
+            touchedAt = context.nowMs();
         }
     }
 
-    public void touched(Input.LeaseRenewalCompleted touched) {
+    public void onLeaseRenewal(Input.LeaseRenewalCompleted touched) {
         touching = false;
-        if (touched.lease() == lease && touched.ended()) {
+        if (touched.lease() == lease && touched.expired()) {
             context.info("lease ended, joining again");
             lease = 0;
             joinedAs = 0;
@@ -159,89 +161,91 @@
     }
 
     public void tick(boolean loaded) {
-        long now = context.now();
+        long now = context.nowMs();
         if (lease == 0) {
             if (!leaseAsked || now - askedAt > 3000) {
                 leaseAsked = true;
                 askedAt = now;
-                context.emit(new Effect.GrantLease(context.settings().tuning().memberTtlMs()));
+                context.emit(new Effect.GrantLease(context.settings().tuning().memberLeaseTtlMs()));
             }
-        } else if (now - touchedAt >= context.settings().tuning().memberTtlMs() / 4
+        } else if (now - touchedAt >= context.settings().tuning().memberLeaseTtlMs() / 4
                 && (!touching || now - touchedAt > 1500)) {
             touching = true;
             touchedAt = now;
             context.emit(new Effect.RenewLease(lease));
         }
         if (loaded && lease != 0 && !writing && replica.revision() >= writtenAt) {
-            if (!joined()) {
+            if (!isMember()) {
                 join();
             } else {
                 evictMissing();
                 if (!writing) {
-                    takeOver();
+                    writeClaims();
                 }
                 if (!writing && !lending.isEmpty()) {
-                    writeLoans();
+                    writeQuotaTransfers();
                 }
             }
         }
     }
 
     private void join() {
-        PartitionMap map = replica.map();
+        PartitionMap map = replica.partitionMap();
         long epoch = map == null ? 1 : map.epoch() + 1;
         List<Member> members = map == null
                 ? new ArrayList<>()
                 : map.members().stream()
-                        .filter(m -> !m.name().equals(self))
+                        .filter(member -> !member.name().equals(self))
                         .collect(Collectors.toCollection(ArrayList::new));
         members.add(new Member(self, epoch));
         write(
                 new Transaction.Builder()
-                        .when(StoreKeys.MAP, replica.mapVersion())
-                        .set(StoreKeys.MAP, maps.next(epoch, members, Map.of()))
-                        .setLeased(StoreKeys.presence(self), new Presence(epoch), lease)
+                        .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
+                        .put(StoreKeys.PARTITION_MAP, maps.next(epoch, members, Map.of()))
+                        .putWithLease(StoreKeys.presence(self), new Presence(epoch), lease)
                         .build(),
                 epoch);
     }
 
     private void evictMissing() {
-        PartitionMap map = replica.map();
+        PartitionMap map = replica.partitionMap();
         int rank = 0;
-        for (Member m : map.members()) {
-            if (m.name().equals(self)) {
+        for (Member member : map.members()) {
+            if (member.name().equals(self)) {
                 break;
             }
-            rank += replica.presences().containsKey(m.name()) ? 1 : 0;
+            rank += replica.presences().containsKey(member.name()) ? 1 : 0;
         }
-        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.MAP, replica.mapVersion());
+        Transaction.Builder transaction =
+                new Transaction.Builder().require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision());
         List<Member> left = new ArrayList<>();
-        for (Member m : map.members()) {
-            boolean here = m.name().equals(self) || replica.presences().containsKey(m.name());
+        for (Member member : map.members()) {
+            boolean here = member.name().equals(self) || replica.presences().containsKey(member.name());
             if (here) {
-                missingSince.remove(m.name());
-                left.add(m);
+                missingSince.remove(member.name());
+                left.add(member);
                 continue;
             }
-            long since = missingSince.computeIfAbsent(m.name(), k -> context.now());
-            if (context.now() - since >= 300L * rank) {
-                txn.when(StoreKeys.presence(m.name()), 0);
-                context.info("controller " + m.name() + " let its lease end, leaving it out of the map");
+            long since = missingSince.computeIfAbsent(member.name(), k -> context.nowMs());
+            if (context.nowMs() - since >= 300L * rank) {
+                transaction.require(StoreKeys.presence(member.name()), 0);
+                context.info("controller " + member.name() + " let its lease end, leaving it out of the map");
             } else {
-                left.add(m);
+                left.add(member);
             }
         }
         if (left.size() < map.members().size()) {
             missingSince.clear();
             write(
-                    txn.set(StoreKeys.MAP, maps.next(map.epoch() + 1, left, Map.of()))
+                    transaction
+                            .put(StoreKeys.PARTITION_MAP, maps.next(map.epoch() + 1, left, Map.of()))
                             .build(),
                     joinedAs);
         }
     }
 
     /** Takes a machine over that cannot reach its owner; the map says so as soon as it can be written. */
-    public void claim(String machine) {
+    public void claimMachine(String machine) {
         claims.add(machine);
     }
 
@@ -249,46 +253,47 @@
      * Lends another controller some of this one's share of a team's limit; the map says so as soon as it can be
      * written.
      */
-    public void lend(String team, String to, double cpus, double gpus) {
+    public void transferQuota(String team, String to, double cpus, double gpus) {
         lending.add(new QuotaTransfer(team, to, cpus, gpus));
         lending.add(new QuotaTransfer(team, self, -cpus, -gpus));
     }
 
-    private void writeLoans() {
+    private void writeQuotaTransfers() {
         // One that has left in the meantime would take its loan with it.
-        boolean there = lending.stream().allMatch(l -> replica.map().has(l.node()));
-        PartitionMap lent = maps.lent(there ? lending : List.of());
+        boolean there =
+                lending.stream().allMatch(transfer -> replica.partitionMap().hasMember(transfer.controller()));
+        PartitionMap lent = maps.withQuotaTransfers(there ? lending : List.of());
         lending.clear();
         write(
                 new Transaction.Builder()
-                        .when(StoreKeys.MAP, replica.mapVersion())
-                        .set(StoreKeys.MAP, lent)
+                        .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
+                        .put(StoreKeys.PARTITION_MAP, lent)
                         .build(),
                 joinedAs);
     }
 
-    private void takeOver() {
-        PartitionMap map = replica.map();
-        claims.removeIf(m ->
-                self.equals(Partitioner.owner(map, m)) || replica.machines().containsKey(m));
-        if (!claims.isEmpty() && context.now() - claimedAt > CLAIM_MS) {
-            claimedAt = context.now();
+    private void writeClaims() {
+        PartitionMap map = replica.partitionMap();
+        claims.removeIf(m -> self.equals(Partitioner.ownerOf(map, m))
+                || replica.decommissionsByMachine().containsKey(m));
+        if (!claims.isEmpty() && context.nowMs() - claimedAt > CLAIM_MS) {
+            claimedAt = context.nowMs();
             context.info("taking over machines that cannot reach their controller: " + claims);
             Map<String, String> claimed = new HashMap<>();
-            claims.stream().limit(PartitionMapBuilder.MOST_MOVED).forEach(m -> claimed.put(m, self));
+            claims.stream().limit(PartitionMapBuilder.MAX_REASSIGNED_MACHINES).forEach(m -> claimed.put(m, self));
             claims.removeAll(claimed.keySet());
             write(
                     new Transaction.Builder()
-                            .when(StoreKeys.MAP, replica.mapVersion())
-                            .set(StoreKeys.MAP, maps.next(map.epoch() + 1, map.members(), claimed))
+                            .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
+                            .put(StoreKeys.PARTITION_MAP, maps.next(map.epoch() + 1, map.members(), claimed))
                             .build(),
                     joinedAs);
         }
     }
 
-    private void write(Transaction txn, long incarnation) {
+    private void write(Transaction transaction, long incarnation) {
         writing = true;
-        transactions.submit(TransactionQueue.Urgency.MEMBERSHIP, txn, (status, revision) -> {
+        transactions.submit(TransactionQueue.Urgency.MEMBERSHIP, transaction, (status, revision) -> {
             writing = false;
             writtenAt = revision;
             if (status == Transaction.Status.COMMITTED) {
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -22,31 +22,33 @@
     }
 
     /** A peer told its status. */
-    public void take(PeerStatus status) {
-        statuses.put(status.node(), status);
-        heardAt.put(status.node(), context.now());
+    public void update(PeerStatus status) {
+        statuses.put(status.controller(), status);
+        heardAt.put(status.controller(), context.nowMs());
     }
 
     /** Names this start of a controller: one that restarted has not heard its machines yet. */
-    public String start(String node) {
-        long incarnation = replica.map() == null ? 0 : replica.map().incarnation(node);
+    public String incarnationId(String node) {
+        long incarnation =
+                replica.partitionMap() == null ? 0 : replica.partitionMap().incarnation(node);
         return incarnation == 0 ? null : node + "@" + incarnation;
     }
 
     /** True if a peer said within the last few seconds that it reaches the state service. */
-    public boolean anyReachesState() {
-        return statuses.values().stream().anyMatch(status -> status.stateReachable() && heard(status.node(), FRESH_MS));
+    public boolean anyReachesStore() {
+        return statuses.values().stream()
+                .anyMatch(status -> status.storeReachable() && heardWithin(status.controller(), FRESH_MS));
     }
 
     /** True if the controller said something within the given time. */
-    public boolean heard(String node, long ms) {
+    public boolean heardWithin(String node, long ms) {
         Long at = heardAt.get(node);
-        return at != null && context.now() - at <= ms;
+        return at != null && context.nowMs() - at <= ms;
     }
 
     /** True if there are other controllers and none of them was heard within the given time. */
-    boolean noneHeard(long ms) {
+    boolean noneHeardWithin(long ms) {
         return !context.settings().peers().isEmpty()
-                && heardAt.values().stream().allMatch(at -> context.now() - at > ms);
+                && heardAt.values().stream().allMatch(at -> context.nowMs() - at > ms);
     }
 }
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -10,28 +10,28 @@
     private final Settings settings;
     private final SplittableRandom random;
     private List<Effect> effects = new ArrayList<>();
-    private long now;
-    private long wall;
-    private boolean ordersLogged;
+    private long nowMs;
+    private long wallClockMs;
+    private boolean logsCommands;
 
     public ControllerContext(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
     }
 
-    public void at(long nowMs, long wallMs) {
-        now = nowMs;
-        wall = wallMs;
+    public void startMessage(long nowMs, long wallMs) {
+        this.nowMs = nowMs;
+        this.wallClockMs = wallMs;
     }
 
     /** Steady time in milliseconds. */
-    public long now() {
-        return now;
+    public long nowMs() {
+        return nowMs;
     }
 
     /** Time of day in milliseconds. */
-    public long wall() {
-        return wall;
+    public long wallClockMs() {
+        return wallClockMs;
     }
 
     /** The settings of this controller. */
@@ -55,12 +55,12 @@
     }
 
     /** Whether lines that are written for each order are wanted; they cost too much to be made and thrown away. */
-    public void logOrders(boolean wanted) {
-        ordersLogged = wanted;
+    public void logCommands(boolean wanted) {
+        logsCommands = wanted;
     }
 
-    public boolean ordersLogged() {
-        return ordersLogged;
+    public boolean logsCommands() {
+        return logsCommands;
     }
 
     /** Logs for those who look for a fault. */
--- a/src/main/java/dewlane/core/message/ControllerCounters.java
+++ b/src/main/java/dewlane/core/message/ControllerCounters.java
@@ -5,30 +5,30 @@
 
 /** What a controller has done since it last said so; plain counts: equal runs have equal ones. */
 public final class ControllerCounters {
-    public long reports;
-    public long reportsRefused;
+    public long heartbeats;
+    public long heartbeatsRejected;
     public long changesSeen;
     public long attemptsSeen;
-    public long passes;
-    public long jobsLookedAt;
-    public long machinesLookedAt;
+    public long schedulingCycles;
+    public long jobsConsidered;
+    public long machinesConsidered;
     public long commands;
     public long probes;
     public long suspicions;
-    public long launchesGivenUp;
+    public long launchesAbandoned;
     public long fencesRaised;
-    public long forgetsHeld;
-    public long handed;
+    public long forgetsDeferred;
+    public long handovers;
     long writes;
     long changesWritten;
-    public long launched;
+    public long tasksLaunched;
     private final long[] changesBy = new long[TransactionQueue.Urgency.values().length];
     public long conflicts;
-    public long refused;
-    public long invalid;
-    public long unreadable;
+    public long refusedTransactions;
+    public long invalidTransactions;
+    public long unreadableValues;
 
-    public void wrote(TransactionQueue.Urgency urgency, int changes) {
+    public void countTransaction(TransactionQueue.Urgency urgency, int changes) {
         writes++;
         changesWritten += changes;
         changesBy[urgency.ordinal()] += changes;
@@ -45,17 +45,19 @@
         return text.toString();
     }
 
-    public String text() {
-        return "reports " + reports + ", refused reports " + reportsRefused + ", changes seen " + changesSeen + " with "
+    public String summary() {
+        return "reports " + heartbeats + ", refused reports " + heartbeatsRejected + ", changes seen " + changesSeen
+                + " with "
                 + attemptsSeen + " attempts, passes "
-                + passes
-                + " over " + jobsLookedAt + " jobs and " + machinesLookedAt + " machines, commands " + commands
+                + schedulingCycles
+                + " over " + jobsConsidered + " jobs and " + machinesConsidered + " machines, commands " + commands
                 + ", probes "
-                + probes + ", launches given up on " + launchesGivenUp + ", fences raised " + fencesRaised
-                + ", forgets held back " + forgetsHeld + ", suspicions " + suspicions + ", handed on " + handed
+                + probes + ", launches given up on " + launchesAbandoned + ", fences raised " + fencesRaised
+                + ", forgets held back " + forgetsDeferred + ", suspicions " + suspicions + ", handed on " + handovers
                 + ", writes " + writes + " of "
                 + changesWritten
-                + " changes (" + byUrgency() + "), tasks launched " + launched + ", conflicts " + conflicts
-                + ", refused " + refused + ", invalid " + invalid + ", unreadable " + unreadable;
+                + " changes (" + byUrgency() + "), tasks launched " + tasksLaunched + ", conflicts " + conflicts
+                + ", refused " + refusedTransactions + ", invalid " + invalidTransactions + ", unreadable "
+                + unreadableValues;
     }
 }
--- a/src/main/java/dewlane/core/message/Effect.java
+++ b/src/main/java/dewlane/core/message/Effect.java
@@ -12,10 +12,10 @@
     record ListStore() implements Effect {}
 
     /** Wait for changes after the revision. */
-    record Watch(long since) implements Effect {}
+    record Watch(long afterRevision) implements Effect {}
 
     /** Send a transaction. */
-    record CommitTransaction(long id, Transaction txn) implements Effect {}
+    record CommitTransaction(long id, Transaction transaction) implements Effect {}
 
     /** Ask for a lease. */
     record GrantLease(long ttlMs) implements Effect {}
@@ -30,25 +30,26 @@
     record ReadRevision() implements Effect {}
 
     /** Answer a worker's report, which renews its lease. */
-    record AnswerHeartbeat(long id, long token, List<WorkerCommand> orders) implements Effect {}
+    record AnswerHeartbeat(long id, long fencingToken, List<WorkerCommand> commands) implements Effect {}
 
     /** The worker should report to {@code node}, or to any other if null. */
-    record RedirectHeartbeat(long id, String node) implements Effect {}
+    record RedirectHeartbeat(long id, String controller) implements Effect {}
 
     /** Send a worker to the next controller. */
     record RejectHeartbeat(long id) implements Effect {}
 
     /** Send commands straight to a worker. */
-    record SendCommands(String machine, String address, long session, long token, List<WorkerCommand> orders)
+    record SendCommands(
+            String machine, String address, long incarnation, long fencingToken, List<WorkerCommand> commands)
             implements Effect {}
 
     /**
      * Answers a user.
      *
-     * @param state null unless the status is 200 or 201
+     * @param job null unless the status is 200 or 201
      * @param retryAfterS when to come back, if the status is 503
      */
-    record AnswerUser(long id, int status, JobStatus state, String reason, int retryAfterS) implements Effect {}
+    record AnswerUser(long id, int status, JobStatus job, String reason, int retryAfterS) implements Effect {}
 
     /** Read the machine types. */
     record ListMachineTypes() implements Effect {}
@@ -57,7 +58,7 @@
     record ListInstances() implements Effect {}
 
     /** Rent machines. */
-    record CreateInstances(String request, String type, String zone, boolean spot, int count) implements Effect {}
+    record CreateInstances(String requestId, String type, String zone, boolean spot, int count) implements Effect {}
 
     /** Delete machines. */
     record DeleteInstances(List<String> machines) implements Effect {}
@@ -87,6 +88,6 @@
         PENDING,
         RUNNING,
         DONE,
-        ABORTED
+        CANCELLED
     }
 }
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -16,13 +16,13 @@
     record Tick() implements Input {}
 
     /** A key of the state service with its value and the revision of its latest change. */
-    record StoreRow(String key, StoredValue value, long version) {}
+    record StoreRow(String key, StoredValue value, long revision) {}
 
     /** A change; the value is null if the key was deleted. */
-    record KeyChange(String key, StoredValue value, long version) {}
+    record KeyChange(String key, StoredValue value, long revision) {}
 
     /** All keys but the final states; changes after {@code revision} may or may not be in them. */
-    record StoreListed(List<StoreRow> rows, long revision, long latest) implements Input {}
+    record StoreListed(List<StoreRow> rows, long revision, long latestRevision) implements Input {}
 
     /** The state could not be read. */
     record StoreListFailed() implements Input {}
@@ -31,7 +31,7 @@
     record WatchEvents(List<KeyChange> changes, long revision) implements Input {}
 
     /** The watch ended without an answer, or the revision was too old for it. */
-    record WatchFailed(boolean tooOld) implements Input {}
+    record WatchFailed(boolean revisionCompacted) implements Input {}
 
     /** How a transaction ended, as far as the answer tells. */
     record TransactionCompleted(long id, Transaction.Status status, long revision) implements Input {}
@@ -40,27 +40,28 @@
     record LeaseGranted(long lease) implements Input {}
 
     /** A renewal was answered; {@code ended} if the lease is no more. */
-    record LeaseRenewalCompleted(long lease, boolean renewed, boolean ended) implements Input {}
+    record LeaseRenewalCompleted(long lease, boolean renewed, boolean expired) implements Input {}
 
     /** A key was read; {@code known} is false if the state service gave no answer. */
-    record ValueRead(long id, boolean known, StoredValue value, long version) implements Input {}
+    record ValueRead(long id, boolean known, StoredValue value, long revision) implements Input {}
 
     /** The revision was read; {@code known} is false if the state service gave no answer. */
     record RevisionRead(boolean known, long revision) implements Input {}
 
     /** A worker reported and waits for the answer. */
-    record HeartbeatReceived(long id, Heartbeat report) implements Input {}
+    record HeartbeatReceived(long id, Heartbeat heartbeat) implements Input {}
 
     /** A direct command was answered, or not ({@code report} null); if it was not {@code sent}, it never arrives. */
-    record CommandCompleted(String machine, long token, boolean sent, Heartbeat report) implements Input {}
+    record CommandCompleted(String machine, long fencingToken, boolean delivered, Heartbeat heartbeat)
+            implements Input {}
 
     /**
      * A submission.
      *
-     * @param uid the job's id, or null if the body has none of the right form
+     * @param jobId the job's id, or null if the body has none of the right form
      * @param job null if the body is malformed, and then {@code reason} says how
      */
-    record SubmitJob(long id, String uid, Job job, String reason) implements Input {}
+    record SubmitJob(long id, String jobId, Job job, String rejection) implements Input {}
 
     /** A user asks for a job's state. */
     record GetJobStatus(long id, String job) implements Input {}
@@ -75,18 +76,18 @@
     record InstancesListed(List<CloudInstance> machines) implements Input {}
 
     /** A rental was answered. */
-    record InstancesCreated(String request, CreateStatus status, List<String> machines) implements Input {}
+    record InstancesCreated(String requestId, CreateStatus status, List<String> machines) implements Input {}
 
     /** How the cloud answered a rental. */
     enum CreateStatus {
-        RENTED,
+        CREATED,
         NO_CAPACITY,
         INVALID,
         UNKNOWN
     }
 
     /** A deletion was answered; {@code gone} if the machines are proven gone. */
-    record InstancesDeleted(List<String> machines, boolean gone) implements Input {}
+    record InstancesDeleted(List<String> machines, boolean terminated) implements Input {}
 
     /** A peer told what it knows. */
     record PeerStatusReceived(PeerStatus status) implements Input {}
--- a/src/main/java/dewlane/core/message/TokenBucket.java
+++ b/src/main/java/dewlane/core/message/TokenBucket.java
@@ -14,7 +14,7 @@
     }
 
     /** Takes one token; false if there is none. */
-    public boolean take(long now) {
+    public boolean tryAcquire(long now) {
         if (refilledAt != Long.MIN_VALUE) {
             tokens = Math.min(burst, tokens + perS * (now - refilledAt) / 1000.0);
         }
--- a/src/main/java/dewlane/core/model/Attempt.java
+++ b/src/main/java/dewlane/core/model/Attempt.java
@@ -5,7 +5,7 @@
  *
  * @param task number of the task within the job
  * @param number grows with every launch of the slice, so it is never used twice for a task
- * @param session the worker's session at launch
- * @param token the only token under which this launch is ever commanded
+ * @param incarnation the worker's session at launch
+ * @param fencingToken the only token under which this launch is ever commanded
  */
-public record Attempt(int task, int number, String machine, long session, long token, long launchedMs) {}
+public record Attempt(int task, int number, String machine, long incarnation, long fencingToken, long launchedAtMs) {}
--- a/src/main/java/dewlane/core/model/Heartbeat.java
+++ b/src/main/java/dewlane/core/model/Heartbeat.java
@@ -5,7 +5,7 @@
 /**
  * A worker's report. The one with the larger (session, sequence) is the newer.
  *
- * @param noticeS seconds until the cloud takes the machine away, NaN if it does not
+ * @param terminationNoticeS seconds until the cloud takes the machine away, NaN if it does not
  */
 public record Heartbeat(
         String machine,
@@ -13,14 +13,15 @@
         String type,
         String zone,
         boolean spot,
-        long session,
+        long incarnation,
         long sequence,
-        long token,
-        double noticeS,
+        long fencingToken,
+        double terminationNoticeS,
         List<TaskStatus> tasks) {
 
     /** What the worker says about one attempt. */
-    public record TaskStatus(String job, int task, int attempt, Phase phase, ExitReason end, boolean saved) {}
+    public record TaskStatus(
+            String job, int task, int attempt, Phase phase, ExitReason exitReason, boolean checkpointSaved) {}
 
     /** Where an attempt is. */
     public enum Phase {
@@ -41,7 +42,7 @@
     }
 
     /** True if this report is newer than the one of the given session and sequence number. */
-    public boolean newerThan(long otherSession, long otherSequence) {
-        return session != otherSession ? session > otherSession : sequence > otherSequence;
+    public boolean isNewerThan(long otherSession, long otherSequence) {
+        return incarnation != otherSession ? incarnation > otherSession : sequence > otherSequence;
     }
 }
--- a/src/main/java/dewlane/core/model/Job.java
+++ b/src/main/java/dewlane/core/model/Job.java
@@ -9,12 +9,12 @@
  * @param types allowed machine types, empty for any
  * @param zone the only allowed zone, or null
  * @param deadlineS seconds from submission, 0 for none
- * @param acceptedMs time of day at which the job was accepted
- * @param awaits jobs that must be done before any task of this one starts
+ * @param acceptedAtMs time of day at which the job was accepted
+ * @param dependencies jobs that must be done before any task of this one starts
  */
 public record Job(
         String id,
-        String lot,
+        String jobClass,
         String team,
         Priority priority,
         int tasks,
@@ -25,20 +25,20 @@
         double imageGb,
         List<String> types,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
-        double estimateS,
-        double checkpointS,
-        double saveS,
+        boolean sameZone,
+        boolean spreadZones,
+        boolean spotAllowed,
+        double expectedRunS,
+        double checkpointIntervalS,
+        double checkpointDurationS,
         double deadlineS,
-        long acceptedMs,
-        List<String> awaits) {
+        long acceptedAtMs,
+        List<String> dependencies) {
 
     /** A job that awaits no other. */
     public Job(
             String id,
-            String lot,
+            String jobClass,
             String team,
             Priority priority,
             int tasks,
@@ -49,17 +49,17 @@
             double imageGb,
             List<String> types,
             String zone,
-            boolean oneZone,
-            boolean spread,
-            boolean spot,
-            double estimateS,
-            double checkpointS,
-            double saveS,
+            boolean sameZone,
+            boolean spreadZones,
+            boolean spotAllowed,
+            double expectedRunS,
+            double checkpointIntervalS,
+            double checkpointDurationS,
             double deadlineS,
-            long acceptedMs) {
+            long acceptedAtMs) {
         this(
                 id,
-                lot,
+                jobClass,
                 team,
                 priority,
                 tasks,
@@ -70,25 +70,25 @@
                 imageGb,
                 types,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                estimateS,
-                checkpointS,
-                saveS,
+                sameZone,
+                spreadZones,
+                spotAllowed,
+                expectedRunS,
+                checkpointIntervalS,
+                checkpointDurationS,
                 deadlineS,
-                acceptedMs,
+                acceptedAtMs,
                 List.of());
     }
 
     /** Jobs whose tasks constrain each other's places stay in one slice. */
-    public boolean placesLinked() {
-        return oneZone || spread;
+    public boolean hasZoneConstraint() {
+        return sameZone || spreadZones;
     }
 
     /** What decides where a task of the job may go and whether it fits. */
     public record Requirements(
-            double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean spot) {
+            double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean spotAllowed) {
         /** True if the job may run on machines of the type. */
         public boolean allowsType(String type) {
             return types.isEmpty() || types.contains(type);
@@ -101,7 +101,7 @@
                     && cpus == s.cpus
                     && gpus == s.gpus
                     && memoryGb == s.memoryGb
-                    && spot == s.spot
+                    && spotAllowed == s.spotAllowed
                     && types.equals(s.types)
                     && Objects.equals(zone, s.zone);
         }
@@ -114,8 +114,8 @@
     }
 
     /** What the job asks of a machine. */
-    public Requirements shape() {
-        return new Requirements(cpus, gpus, memoryGb, types, zone, spot);
+    public Requirements requirements() {
+        return new Requirements(cpus, gpus, memoryGb, types, zone, spotAllowed);
     }
 
     /** True if the job may run on machines of the type. */
@@ -125,23 +125,23 @@
 
     /** True if the job may run on such a machine. */
     public boolean allows(String type, String inZone, boolean onSpot) {
-        return allowsType(type) && (zone == null || zone.equals(inZone)) && (spot || !onSpot);
+        return allowsType(type) && (zone == null || zone.equals(inZone)) && (spotAllowed || !onSpot);
     }
 
     /** The same job with the time of its acceptance. */
-    public Job withAccepted(long ms) {
-        return with(ms, awaits);
+    public Job withAcceptedAt(long ms) {
+        return with(ms, dependencies);
     }
 
     /** The same job awaiting the given jobs. */
-    public Job withAwaits(List<String> jobs) {
-        return with(acceptedMs, List.copyOf(jobs));
+    public Job withDependencies(List<String> jobs) {
+        return with(acceptedAtMs, List.copyOf(jobs));
     }
 
     private Job with(long ms, List<String> jobs) {
         return new Job(
                 id,
-                lot,
+                jobClass,
                 team,
                 priority,
                 tasks,
@@ -152,12 +152,12 @@
                 imageGb,
                 types,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                estimateS,
-                checkpointS,
-                saveS,
+                sameZone,
+                spreadZones,
+                spotAllowed,
+                expectedRunS,
+                checkpointIntervalS,
+                checkpointDurationS,
                 deadlineS,
                 ms,
                 jobs);
--- a/src/main/java/dewlane/core/model/MachineType.java
+++ b/src/main/java/dewlane/core/model/MachineType.java
@@ -8,20 +8,20 @@
         double cpus,
         double gpus,
         double memoryGb,
-        double cacheGb,
-        double fetchGbPerS,
+        double imageCacheGb,
+        double imageFetchGbPerS,
         double price,
         double spotPrice,
         double bootS,
         List<String> zones) {
 
     /** How many tasks of the job fit on an empty machine. */
-    public int fits(Job job) {
-        return new ResourceUsage().room(this, job);
+    public int capacityFor(Job job) {
+        return new ResourceUsage().capacityFor(this, job);
     }
 
     /** True if a task of the shape fits on an empty machine. */
-    public boolean holds(Job.Requirements shape) {
+    public boolean fits(Job.Requirements shape) {
         return cpus >= shape.cpus() - 1e-9 && gpus >= shape.gpus() - 1e-9 && memoryGb >= shape.memoryGb() - 1e-9;
     }
 
--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -51,30 +51,34 @@
         return gpus / UNIT;
     }
 
-    public boolean none() {
+    public boolean isEmpty() {
         return cpus == 0 && gpus == 0 && memory == 0;
     }
 
     /** How many tasks of the job fit beside this use on a machine of the type. */
-    public int room(MachineType type, Job job) {
+    public int capacityFor(MachineType type, Job job) {
         return (int) Math.min(
-                most(type.cpus(), cpus, job.cpus()),
-                Math.min(most(type.gpus(), gpus, job.gpus()), most(type.memoryGb(), memory, job.memoryGb())));
+                countFitting(type.cpus(), cpus, job.cpus()),
+                Math.min(
+                        countFitting(type.gpus(), gpus, job.gpus()),
+                        countFitting(type.memoryGb(), memory, job.memoryGb())));
     }
 
     /** How many tasks of the job fit beside this use within a team's limits, of which 0 is none. */
-    public int room(Settings.TeamQuota team, Job job) {
-        long byCpus = team.cpusMax() <= 0 ? Integer.MAX_VALUE : most(team.cpusMax(), cpus, job.cpus());
-        long byGpus = team.gpusMax() <= 0 ? Integer.MAX_VALUE : most(team.gpusMax(), gpus, job.gpus());
+    public int capacityFor(Settings.TeamQuota team, Job job) {
+        long byCpus = team.maxCpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxCpus(), cpus, job.cpus());
+        long byGpus = team.maxGpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxGpus(), gpus, job.gpus());
         return (int) Math.min(byCpus, byGpus);
     }
 
     /** How many tasks fit into a share of a limit of CPUs or else GPUs; a limit of 0 is none. */
-    public int room(double limit, double share, boolean ofCpus, Job job) {
-        return limit <= 0 ? 1_000_000 : (int) (ofCpus ? most(share, cpus, job.cpus()) : most(share, gpus, job.gpus()));
+    public int capacityFor(double limit, double share, boolean ofCpus, Job job) {
+        return limit <= 0
+                ? 1_000_000
+                : (int) (ofCpus ? countFitting(share, cpus, job.cpus()) : countFitting(share, gpus, job.gpus()));
     }
 
-    private static long most(double have, long used, double each) {
+    private static long countFitting(double have, long used, double each) {
         long need = units(each);
         return need <= 0 ? 1_000_000 : Math.max(0, Math.min(1_000_000, (units(have) - used) / need));
     }
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -46,21 +46,23 @@
         return settings.teams().get(job.team());
     }
 
-    boolean limited(Job job) {
-        return team(job) != null && team(job).limited();
+    boolean hasLimit(Job job) {
+        return team(job) != null && team(job).hasLimit();
     }
 
     /** True if the limit is so large that a share of it does not hold work up. */
-    private boolean shared(Settings.TeamQuota team) {
-        int n = replica.map() == null ? 1 : replica.map().members().size();
-        double least = settings.tuning().sharedCpus();
-        return (team.cpusMax() <= 0 || team.cpusMax() / n >= least)
-                && (team.gpusMax() <= 0 || team.gpusMax() / n >= least / 4);
+    private boolean isDivisible(Settings.TeamQuota team) {
+        int n = replica.partitionMap() == null
+                ? 1
+                : replica.partitionMap().members().size();
+        double least = settings.tuning().partitionedQuotaCpus();
+        return (team.maxCpus() <= 0 || team.maxCpus() / n >= least)
+                && (team.maxGpus() <= 0 || team.maxGpus() / n >= least / 4);
     }
 
     /** True if the controllers have shares of the team's limit. */
-    boolean divides(Job job) {
-        return limited(job) && shared(team(job));
+    boolean isPartitioned(Job job) {
+        return hasLimit(job) && isDivisible(team(job));
     }
 
     /** CPUs and GPUs. */
@@ -68,41 +70,41 @@
 
     /** A controller's share: an equal one, but for what was lent. */
     private Amount share(Settings.TeamQuota team, String node) {
-        int controllers = replica.map().members().size();
-        double cpus = team.cpusMax() / controllers;
-        double gpus = team.gpusMax() / controllers;
-        for (StoredValue.QuotaTransfer l : replica.map().loans()) {
-            if (l.team().equals(team.name()) && l.node().equals(node)) {
-                cpus += l.cpus();
-                gpus += l.gpus();
+        int controllers = replica.partitionMap().members().size();
+        double cpus = team.maxCpus() / controllers;
+        double gpus = team.maxGpus() / controllers;
+        for (StoredValue.QuotaTransfer transfer : replica.partitionMap().quotaTransfers()) {
+            if (transfer.team().equals(team.name()) && transfer.controller().equals(node)) {
+                cpus += transfer.cpus();
+                gpus += transfer.gpus();
             }
         }
         return new Amount(cpus, gpus);
     }
 
     /** True if the team's limit is lent launch by launch. */
-    public boolean lends(Job job) {
-        return limited(job) && !shared(team(job));
+    public boolean isSerialized(Job job) {
+        return hasLimit(job) && !isDivisible(team(job));
     }
 
-    public boolean busy(Job job) {
-        return lends(job) && settledAt.getOrDefault(job.team(), 0L) > replica.revision();
+    public boolean isLaunchInFlight(Job job) {
+        return isSerialized(job) && settledAt.getOrDefault(job.team(), 0L) > replica.revision();
     }
 
     /** How many more tasks of the job this controller may start under the team's limit; none for an unknown team. */
-    public int room(Job job) {
+    public int capacityFor(Job job) {
         Settings.TeamQuota team = team(job);
-        if (team == null || limited(job) && mayUseMore(job.team())) {
+        if (team == null || hasLimit(job) && hasUnreadableJobs(job.team())) {
             return 0;
         }
-        return limited(job) && shared(team)
-                ? roomInShare(team, job)
-                : machines.teamUsage().of(job.team()).room(team, job);
+        return hasLimit(job) && isDivisible(team)
+                ? capacityInShare(team, job)
+                : machines.teamUsage().usageOf(job.team()).capacityFor(team, job);
     }
 
     /** True if something is stored that cannot be read and may tell of further tasks of the team. */
-    private boolean mayUseMore(String team) {
-        for (String id : replica.held()) {
+    private boolean hasUnreadableJobs(String team) {
+        for (String id : replica.unreadableJobs()) {
             JobEntry job = replica.job(id);
             if (job == null || job.job() == null || job.job().team().equals(team)) {
                 return true;
@@ -111,54 +113,55 @@
         return false;
     }
 
-    private int roomInShare(Settings.TeamQuota team, Job job) {
+    private int capacityInShare(Settings.TeamQuota team, Job job) {
         double othersCpus = 0;
         double othersGpus = 0;
-        for (StoredValue.Member member : replica.map().members()) {
-            if (!member.name().equals(settings.node())) {
-                ResourceUsage use = machines.teamUsage().of(job.team(), member.name());
+        for (StoredValue.Member member : replica.partitionMap().members()) {
+            if (!member.name().equals(settings.controllerName())) {
+                ResourceUsage use = machines.teamUsage().usageOf(job.team(), member.name());
                 Amount share = share(team, member.name());
                 othersCpus += Math.max(use.cpus(), share.cpus());
                 othersGpus += Math.max(use.gpus(), share.gpus());
             }
         }
-        Amount left = new Amount(team.cpusMax() - othersCpus, team.gpusMax() - othersGpus);
-        return room(team, job, settings.node(), left);
+        Amount left = new Amount(team.maxCpus() - othersCpus, team.maxGpus() - othersGpus);
+        return capacityFor(team, job, settings.controllerName(), left);
     }
 
-    private int room(Settings.TeamQuota team, Job job, String node, Amount share) {
-        ResourceUsage use = machines.teamUsage().of(job.team(), node);
+    private int capacityFor(Settings.TeamQuota team, Job job, String node, Amount share) {
+        ResourceUsage use = machines.teamUsage().usageOf(job.team(), node);
         return Math.min(
-                use.room(team.cpusMax(), share.cpus(), true, job), use.room(team.gpusMax(), share.gpus(), false, job));
+                use.capacityFor(team.maxCpus(), share.cpus(), true, job),
+                use.capacityFor(team.maxGpus(), share.gpus(), false, job));
     }
 
     /** How many tasks of the job a controller has room for under the team's limit, in its share where it has one. */
-    public int room(Job job, String node) {
+    public int capacityFor(Job job, String node) {
         Settings.TeamQuota team = team(job);
-        if (!limited(job)) {
+        if (!hasLimit(job)) {
             return Integer.MAX_VALUE;
         }
-        return shared(team)
-                ? room(team, job, node, share(team, node))
-                : room(job, machines.teamUsage().of(job.team()));
+        return isDivisible(team)
+                ? capacityFor(team, job, node, share(team, node))
+                : capacityFor(job, machines.teamUsage().usageOf(job.team()));
     }
 
     /** What a controller leaves of its share of the team's limit; less than nothing if it has inherited too much. */
-    Amount spare(Job job, String node) {
+    Amount unusedShare(Job job, String node) {
         Amount share = share(team(job), node);
-        ResourceUsage use = machines.teamUsage().of(job.team(), node);
+        ResourceUsage use = machines.teamUsage().usageOf(job.team(), node);
         return new Amount(share.cpus() - use.cpus(), share.gpus() - use.gpus());
     }
 
     /** True if the team as a whole has room for more, though perhaps not in this controller's share. */
-    public boolean spare(Job job) {
-        return team(job) != null && room(job, machines.teamUsage().of(job.team())) > 0;
+    public boolean hasCapacity(Job job) {
+        return team(job) != null && capacityFor(job, machines.teamUsage().usageOf(job.team())) > 0;
     }
 
     /** How many more fit if the team used so much in all. */
-    public int room(Job job, ResourceUsage use) {
+    public int capacityFor(Job job, ResourceUsage use) {
         Settings.TeamQuota team = team(job);
-        return team == null ? 0 : use.room(team, job);
+        return team == null ? 0 : use.capacityFor(team, job);
     }
 
     /**
@@ -168,7 +171,7 @@
      *
      * @param ready unfinished jobs in ready order
      */
-    public Set<String> guaranteed(List<JobEntry> ready) {
+    public Set<String> withinGuarantee(List<JobEntry> ready) {
         Map<String, double[]> sums = new HashMap<>();
         Set<String> within = new HashSet<>();
         for (boolean idle : new boolean[] {false, true}) {
@@ -176,12 +179,12 @@
                 Job job = entry.job();
                 Settings.TeamQuota team = team(job);
                 if (team != null
-                        && (team.cpus() > 0 || team.gpus() > 0)
+                        && (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0)
                         && (entry.priority() == Priority.IDLE) == idle) {
                     double[] sum = sums.computeIfAbsent(team.name(), t -> new double[2]);
                     sum[0] += job.tasks() * job.cpus();
                     sum[1] += job.tasks() * job.gpus();
-                    if (sum[0] <= team.cpus() + 1e-9 && sum[1] <= team.gpus() + 1e-9) {
+                    if (sum[0] <= team.guaranteedCpus() + 1e-9 && sum[1] <= team.guaranteedGpus() + 1e-9) {
                         within.add(entry.id);
                     }
                 }
@@ -191,24 +194,24 @@
     }
 
     /** True if the team uses more than its guarantee. */
-    public boolean borrows(Job job) {
+    public boolean exceedsGuarantee(Job job) {
         Settings.TeamQuota team = team(job);
-        ResourceUsage use = machines.teamUsage().of(job.team());
-        return team == null || use.cpus() > team.cpus() + 1e-9 || use.gpus() > team.gpus() + 1e-9;
+        ResourceUsage use = machines.teamUsage().usageOf(job.team());
+        return team == null || use.cpus() > team.guaranteedCpus() + 1e-9 || use.gpus() > team.guaranteedGpus() + 1e-9;
     }
 
     /** Makes a launch conditional on the count it was decided by. */
-    public void guard(Transaction.Builder txn, Job job) {
-        if (lends(job)) {
-            ResourceUsage use = machines.teamUsage().of(job.team());
-            txn.when(StoreKeys.team(job.team()), replica.teamVersion(job.team()));
-            txn.set(StoreKeys.team(job.team()), new StoredValue.TeamUsageRecord(use.cpus(), use.gpus()));
+    public void addPrecondition(Transaction.Builder transaction, Job job) {
+        if (isSerialized(job)) {
+            ResourceUsage use = machines.teamUsage().usageOf(job.team());
+            transaction.require(StoreKeys.teamUsage(job.team()), replica.teamUsageRevision(job.team()));
+            transaction.put(StoreKeys.teamUsage(job.team()), new StoredValue.TeamUsageRecord(use.cpus(), use.gpus()));
             settledAt.put(job.team(), Long.MAX_VALUE);
         }
     }
 
-    public void answered(Job job, long revision) {
-        if (limited(job)) {
+    public void onLaunchCompleted(Job job, long revision) {
+        if (hasLimit(job)) {
             settledAt.put(job.team(), revision);
         }
     }
