--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -52,47 +52,47 @@
     }
 
     public void tick() {
-        if (!standing.now().mayDecide() || context.now() - lentAt < PAUSE_MS) {
+        if (!standing.current().mayDecide() || context.nowMs() - lentAt < PAUSE_MS) {
             return;
         }
         for (JobEntry job : replica.jobs()) {
             if (job.job() != null
                     && release.isReady(job.id)
-                    && context.wall() - job.waitsSinceMs() > WAIT_MS
-                    && quota.divides(job.job())
-                    && job.waiting() > 0
-                    && quota.spare(job.job())
-                    && lendFor(job)) {
-                lentAt = context.now();
+                    && context.wallClockMs() - job.waitingSinceMs() > WAIT_MS
+                    && quota.isPartitioned(job.job())
+                    && job.pendingCount() > 0
+                    && quota.hasCapacity(job.job())
+                    && transferFor(job)) {
+                lentAt = context.nowMs();
                 return;
             }
         }
     }
 
-    private boolean lendFor(JobEntry job) {
+    private boolean transferFor(JobEntry job) {
         Job spec = job.job();
-        String self = context.settings().node();
-        List<Member> members = replica.map().members();
-        int[] rooms = distributor.rooms(spec, job.shape());
-        int mine = quota.room(spec, self);
+        String self = context.settings().controllerName();
+        List<Member> members = replica.partitionMap().members();
+        int[] rooms = distributor.capacityByPartition(spec, job.requirements());
+        int mine = quota.capacityFor(spec, self);
         for (int i = 0; i < rooms.length; i++) {
             if (members.get(i).name().equals(self) && rooms[i] > 0 && mine > 0) {
                 // The job finds its room here.
                 return false;
             }
         }
-        QuotaEnforcer.Amount own = quota.spare(spec, self);
+        QuotaEnforcer.Amount own = quota.unusedShare(spec, self);
         for (int i = 0; i < rooms.length; i++) {
             String other = members.get(i).name();
-            if (!other.equals(self) && rooms[i] > 0 && quota.room(spec, other) <= 0) {
-                int tasks = Math.min(Math.max(1, mine / 2), Math.min(rooms[i], job.waiting()));
-                QuotaEnforcer.Amount theirs = quota.spare(spec, other);
+            if (!other.equals(self) && rooms[i] > 0 && quota.capacityFor(spec, other) <= 0) {
+                int tasks = Math.min(Math.max(1, mine / 2), Math.min(rooms[i], job.pendingCount()));
+                QuotaEnforcer.Amount theirs = quota.unusedShare(spec, other);
                 double lentCpus = Math.min(own.cpus(), tasks * spec.cpus() - theirs.cpus());
                 double lentGpus = Math.min(own.gpus(), tasks * spec.gpus() - theirs.gpus());
                 if (lentCpus > 0 || lentGpus > 0) {
                     context.info("lending " + other + " " + lentCpus + " CPUs and " + lentGpus
                             + " GPUs of the limit of " + spec.team() + " for " + job.id);
-                    membership.lend(spec.team(), other, Math.max(0, lentCpus), Math.max(0, lentGpus));
+                    membership.transferQuota(spec.team(), other, Math.max(0, lentCpus), Math.max(0, lentGpus));
                     return true;
                 }
             }
--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -16,11 +16,11 @@
 /** Finds machines of this part for a job's tasks, those first that have the image and that others need least. */
 final class CandidateFinder {
     /** A larger set of machines with room is sampled, not searched. */
-    private static final int SAMPLE = 256;
+    private static final int SAMPLE_SIZE = 256;
     /** Seconds of fetching that are worth leaving a machine to tasks that have fewer types to choose from. */
-    private static final double RIVAL_S = 8;
+    private static final double CONTENTION_COST_S = 8;
     /** Seconds of fetching that are worth leaving an ordinary machine idle, so that it can be returned. */
-    private static final double ORDINARY_S = 1.5;
+    private static final double ON_DEMAND_COST_S = 1.5;
 
     private final ControllerContext context;
     private final MachineRegistry machines;
@@ -34,36 +34,37 @@
     }
 
     /** Begins a pass with the machines that take tasks and are not full. */
-    void begin(List<Machine> withRoom) {
+    void beginCycle(List<Machine> withRoom) {
         free = withRoom;
     }
 
     /** Machines with room for a task of the job, the cheapest first. */
-    List<Candidate> of(JobEntry job) {
+    List<Candidate> find(JobEntry job) {
         Job spec = job.job();
         List<Candidate> found = new ArrayList<>();
         Map<String, double[]> byType = new HashMap<>();
         int n = free.size();
-        int offset = n > SAMPLE ? context.random().nextInt(n) : 0;
-        counters.machinesLookedAt += Math.min(n, SAMPLE);
-        for (int i = 0; i < Math.min(n, SAMPLE); i++) {
-            Machine m = free.get((offset + i) % n);
-            MachineType type = machines.type(m);
-            if (m.room(type, spec) < 1
-                    || !spec.allows(m.type, m.zone, m.spot)
-                    || (m.failedJobs.contains(job.id)
-                            && !machines.progress().of(job.id).faulty())) {
+        int offset = n > SAMPLE_SIZE ? context.random().nextInt(n) : 0;
+        counters.machinesConsidered += Math.min(n, SAMPLE_SIZE);
+        for (int i = 0; i < Math.min(n, SAMPLE_SIZE); i++) {
+            Machine machine = free.get((offset + i) % n);
+            MachineType type = machines.type(machine);
+            if (machine.capacityFor(type, spec) < 1
+                    || !spec.allows(machine.typeName, machine.zone, machine.spot)
+                    || (machine.failedJobs.contains(job.id)
+                            && !machines.progress().getOrCreate(job.id).isFaulty())) {
                 continue;
             }
-            double[] of = byType.computeIfAbsent(m.type, t -> new double[] {
-                spec.imageGb() / type.fetchGbPerS(), machines.rivalry().rivals(job.shape(), type) * RIVAL_S
+            double[] of = byType.computeIfAbsent(machine.typeName, t -> new double[] {
+                spec.imageGb() / type.imageFetchGbPerS(),
+                machines.typeContention().contention(job.requirements(), type) * CONTENTION_COST_S
             });
             found.add(new Candidate(
-                    m,
-                    (m.spot ? 0 : ORDINARY_S)
-                            + (m.hasImage(spec.image()) ? 0 : of[0])
+                    machine,
+                    (machine.spot ? 0 : ON_DEMAND_COST_S)
+                            + (machine.hasImage(spec.image()) ? 0 : of[0])
                             + of[1]
-                            + 2 * (type.cpus() - m.use.cpus() - spec.cpus()) / type.cpus()));
+                            + 2 * (type.cpus() - machine.usage.cpus() - spec.cpus()) / type.cpus()));
         }
         found.sort(Comparator.comparingDouble(Candidate::cost));
         return found;
--- a/src/main/java/dewlane/core/scheduling/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -19,8 +19,8 @@
  */
 final class JobUpdate {
     final JobEntry job;
-    final JobProgress work;
-    final List<JobProgress.Launch> launched = new ArrayList<>();
+    final JobProgress progress;
+    final List<JobProgress.Launch> launches = new ArrayList<>();
     /** Slices with the outcomes that are known here; they need not all be written now. */
     private final Map<SliceEntry, Slice> withOutcomes = new LinkedHashMap<>();
     /** Slices that are written. */
@@ -31,19 +31,19 @@
     private final Set<SliceEntry> unchanged = new HashSet<>();
 
     private final Set<String> machines = new HashSet<>();
-    private final int mostOps;
-    private final int mostGuards;
+    private final int maxWrites;
+    private final int maxPreconditions;
     private int nextNumber;
     /** True if the write holds only as long as the job and the map are as they are. */
-    private boolean bound;
+    private boolean requiresJobAndMap;
 
     /** With the room that a transaction leaves for slices and machines. */
     JobUpdate(JobEntry job, JobProgress work, int mostOps, int mostGuards) {
         this.job = job;
-        this.work = work;
-        this.mostOps = mostOps;
-        this.mostGuards = mostGuards;
-        this.nextNumber = job.nextSlice();
+        this.progress = work;
+        this.maxWrites = mostOps;
+        this.maxPreconditions = mostGuards;
+        this.nextNumber = job.nextSliceNumber();
     }
 
     /** The slice with the outcomes that are known here, and with what this write decides. */
@@ -67,24 +67,24 @@
 
     void create(Slice slice) {
         created.put(nextNumber++, slice);
-        bound = true;
+        requiresJobAndMap = true;
     }
 
     /** The write depends on a slice that it leaves as it is. */
     void dependOn(SliceEntry slice) {
         unchanged.add(slice);
-        bound = true;
+        requiresJobAndMap = true;
     }
 
     /** The write holds only under the present map and as long as the job is as it is. */
-    void bind() {
-        bound = true;
+    void requireJobAndMap() {
+        requiresJobAndMap = true;
     }
 
     void launch(JobProgress.Launch launch) {
-        launched.add(launch);
+        launches.add(launch);
         machines.add(launch.machine().name);
-        bound = true;
+        requiresJobAndMap = true;
     }
 
     Map<SliceEntry, Slice> changed() {
@@ -100,42 +100,43 @@
     }
 
     /** How many more slices this write may change or create. */
-    int opsLeft() {
-        return mostOps - changed.size() - created.size();
+    int remainingWrites() {
+        return maxWrites - changed.size() - created.size();
     }
 
     /** True if a slice may be changed: it is already, or there is room for one more change. */
     boolean mayChange(SliceEntry slice) {
-        return changed.containsKey(slice) || opsLeft() > 0;
+        return changed.containsKey(slice) || remainingWrites() > 0;
     }
 
-    boolean noneLive() {
-        return job.slices().stream().allMatch(s -> value(s).attempts().isEmpty());
+    boolean hasNoAttempts() {
+        return job.slices().stream().allMatch(slice -> value(slice).attempts().isEmpty());
     }
 
     boolean allDone() {
         int done = 0;
-        for (SliceEntry s : job.slices()) {
-            done += value(s).done().cardinality();
+        for (SliceEntry slice : job.slices()) {
+            done += value(slice).done().cardinality();
         }
         return done == job.job().tasks();
     }
 
     /** Writes the slices, on condition that they, and what the launches rest on, are as they were. */
-    void write(Transaction.Builder txn, long mapVersion) {
-        changed.forEach((slice, value) -> txn.when(slice.key, slice.version()).set(slice.key, value));
-        unchanged.forEach(slice -> txn.when(slice.key, slice.version()));
+    void write(Transaction.Builder transaction, long mapVersion) {
+        changed.forEach((slice, value) ->
+                transaction.require(slice.key, slice.revision()).put(slice.key, value));
+        unchanged.forEach(slice -> transaction.require(slice.key, slice.revision()));
         created.forEach((number, value) -> {
             String key = StoreKeys.slice(job.id, number);
-            txn.when(key, 0).set(key, value);
+            transaction.require(key, 0).put(key, value);
         });
-        if (bound) {
+        if (requiresJobAndMap) {
             // A cancelled job, a slice dealt anew or a newer map each stop a launch here.
-            txn.when(StoreKeys.job(job.id), job.version()).when(StoreKeys.MAP, mapVersion);
+            transaction.require(StoreKeys.job(job.id), job.revision()).require(StoreKeys.PARTITION_MAP, mapVersion);
             // A record of the leader's means that the machine is gone or is being deleted: a launch there would be
             // lost, not run twice, so what the transaction has no room for is left out.
-            int room = Math.max(0, mostGuards - txn.guards());
-            machines.stream().limit(room).forEach(name -> txn.when(StoreKeys.machine(name), 0));
+            int room = Math.max(0, maxPreconditions - transaction.preconditionCount());
+            machines.stream().limit(room).forEach(name -> transaction.require(StoreKeys.decommission(name), 0));
         }
     }
 }
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -38,17 +38,17 @@
  */
 public final class JobWriter {
     /** How long outcomes gather, and how long while the rate of changes is short. */
-    private static final long GATHER_MS = 1000;
+    private static final long OUTCOME_DELAY_MS = 1000;
 
-    private static final long GATHER_SCARCE_MS = 15_000;
+    private static final long OUTCOME_DELAY_SCARCE_MS = 15_000;
     /** The same where the team's limit leaves the job no room, as attempts count until their end is durable. */
-    private static final long GATHER_AT_LIMIT_MS = 5000;
+    private static final long OUTCOME_DELAY_AT_LIMIT_MS = 5000;
     /** The same where the team's limit is lent by what is durable. */
-    private static final long GATHER_LENT_MS = 3000;
+    private static final long OUTCOME_DELAY_SERIALIZED_MS = 3000;
     /** How long a job rests after a write about it was called invalid. */
     private static final long INVALID_PAUSE_MS = 2000;
     /** No slice with fewer attempts and done marks is near the size that a value may have. */
-    private static final int LEAST_BYTES_EACH = 64;
+    private static final int MIN_BYTES_PER_ENTRY = 64;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -86,52 +86,56 @@
         this.cancellations = cancellations;
         this.counters = counters;
         this.size = size;
-        this.self = context.settings().node();
+        this.self = context.settings().controllerName();
     }
 
     /** Writes what there is to say of a job; launches only if allowed. */
-    void step(JobEntry job, boolean launches) {
-        JobProgress work = machines.progress().of(job.id);
-        if (work.busy(replica.revision(), context.now())
-                || replica.isHeld(job.id)
-                || !transactions.open(TransactionQueue.Urgency.OUTCOME)) {
+    void writeNext(JobEntry job, boolean launches) {
+        JobProgress work = machines.progress().getOrCreate(job.id);
+        if (work.isBusy(replica.revision(), context.nowMs())
+                || replica.isUnreadable(job.id)
+                || !transactions.hasCapacity(TransactionQueue.Urgency.OUTCOME)) {
             return;
         }
-        if (!job.aborted() && dependencies.cancelled(job)) {
-            passCancellation(job, work);
+        if (!job.isCancelled() && dependencies.isCancelled(job)) {
+            propagateCancellation(job, work);
             return;
         }
         Settings settings = context.settings();
-        int reserved = quota.lends(job.job()) ? 1 : 0;
-        JobUpdate update = new JobUpdate(job, work, settings.txnOps() - reserved, settings.txnGuards() - reserved);
+        int reserved = quota.isSerialized(job.job()) ? 1 : 0;
+        JobUpdate update = new JobUpdate(
+                job,
+                work,
+                settings.maxTransactionWrites() - reserved,
+                settings.maxTransactionPreconditions() - reserved);
         applyOutcomes(update);
-        if ((job.aborted() ? update.noneLive() : update.allDone()) && end(update)) {
+        if ((job.isCancelled() ? update.hasNoAttempts() : update.allDone()) && end(update)) {
             return;
         }
         boolean cut = cutLargeSlices(update);
         if (!cut
-                && !cancellations.ended(job)
+                && !cancellations.mustNotRun(job)
                 && launches
-                && context.now() >= work.notBefore
-                && transactions.open(TransactionQueue.Urgency.LAUNCH)) {
+                && context.nowMs() >= work.retryAtMs
+                && transactions.hasCapacity(TransactionQueue.Urgency.LAUNCH)) {
             planner.plan(update);
         }
         if (!cut) {
             addDueOutcomes(update);
         }
         if (!update.isEmpty()) {
-            Transaction.Builder txn = new Transaction.Builder();
-            update.write(txn, replica.mapVersion());
-            if (!update.launched.isEmpty()) {
-                quota.guard(txn, job.job());
+            Transaction.Builder transaction = new Transaction.Builder();
+            update.write(transaction, replica.partitionMapRevision());
+            if (!update.launches.isEmpty()) {
+                quota.addPrecondition(transaction, job.job());
             }
-            write(update, txn);
+            write(update, transaction);
         }
     }
 
     private void applyOutcomes(JobUpdate update) {
         for (SliceEntry slice : update.job.slices()) {
-            Slice after = applyOutcomes(update.job, slice.value(), update.work);
+            Slice after = applyOutcomes(update.job, slice.value(), update.progress);
             if (after != slice.value()) {
                 update.apply(slice, after);
             }
@@ -144,13 +148,13 @@
         }
         BitSet done = slice.done();
         List<Attempt> left = new ArrayList<>();
-        for (Attempt a : slice.attempts()) {
-            Outcome outcome = work.outcomes.get(new AttemptId(job.id, a.task(), a.number()));
+        for (Attempt attempt : slice.attempts()) {
+            Outcome outcome = work.outcomes.get(new AttemptId(job.id, attempt.task(), attempt.number()));
             if (outcome == null) {
-                left.add(a);
+                left.add(attempt);
             } else if (outcome == Outcome.DONE) {
                 done = done == slice.done() ? (BitSet) done.clone() : done;
-                done.set(a.task() - slice.first());
+                done.set(attempt.task() - slice.first());
             }
         }
         return left.size() == slice.attempts().size() ? slice : slice.withOutcomes(done, left);
@@ -168,13 +172,13 @@
         boolean cut = false;
         for (SliceEntry slice : update.job.slices()) {
             Slice value = update.value(slice);
-            if (!mayBeLarge(value)) {
+            if (!mayExceedLimit(value)) {
                 continue;
             }
-            boolean mine = self.equals(Partitioner.owner(replica.map(), slice.key, value));
+            boolean mine = self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key, value));
             if (mine || update.withOutcomes().containsKey(slice)) {
                 List<Slice> pieces =
-                        SliceSplitter.split(value, context.settings().valueBytes());
+                        SliceSplitter.split(value, context.settings().maxValueBytes());
                 if (pieces.size() > 1 && cut(update, slice, value, pieces, mine)) {
                     cut = true;
                 } else if (pieces.size() > 1) {
@@ -186,24 +190,24 @@
         return cut;
     }
 
-    private boolean mayBeLarge(Slice slice) {
+    private boolean mayExceedLimit(Slice slice) {
         int marks = slice.attempts().size() + slice.done().cardinality();
-        return marks * LEAST_BYTES_EACH > context.settings().valueBytes();
+        return marks * MIN_BYTES_PER_ENTRY > context.settings().maxValueBytes();
     }
 
     private boolean cut(JobUpdate update, SliceEntry slice, Slice value, List<Slice> pieces, boolean mine) {
-        int room = update.opsLeft();
+        int room = update.remainingWrites();
         if (pieces.size() <= room) {
             update.put(slice, pieces.get(0));
             pieces.subList(1, pieces.size()).forEach(update::create);
-        } else if (mine && (membership.allUpgraded() || transactions.sizeWasRefused())) {
+        } else if (mine && (membership.allControllersUpgraded() || transactions.wasSizeRejected())) {
             // What is taken over must be in no launch that is still on its way: the owner alone does this, under the
             // map.
             pieces.subList(pieces.size() - room, pieces.size()).forEach(update::create);
             update.dependOn(slice);
         } else if (room >= 2) {
             List<Slice> last = pieces.subList(pieces.size() - room + 1, pieces.size());
-            update.put(slice, value.part(0, last.get(0).first() - value.first()));
+            update.put(slice, value.subrange(0, last.get(0).first() - value.first()));
             last.forEach(update::create);
         } else {
             return false;
@@ -228,26 +232,27 @@
      */
     private boolean isDue(JobUpdate update, SliceEntry slice, Slice value) {
         long most = gatherMs(update.job.job());
-        return value.complete()
-                || update.job.aborted() && value.attempts().isEmpty()
-                || context.now() - update.work.gatheringSince(slice.number, context.now()) >= most
+        return value.isComplete()
+                || update.job.isCancelled() && value.attempts().isEmpty()
+                || context.nowMs() - update.progress.gatheringSince(slice.number, context.nowMs()) >= most
                 || hasToRunAgain(update, slice);
     }
 
     private long gatherMs(Job job) {
-        boolean scarce = transactions.scarce();
-        if (quota.lends(job)) {
-            return scarce ? GATHER_LENT_MS : 0;
+        boolean scarce = transactions.isScarce();
+        if (quota.isSerialized(job)) {
+            return scarce ? OUTCOME_DELAY_SERIALIZED_MS : 0;
         }
         if (!scarce) {
-            return GATHER_MS;
+            return OUTCOME_DELAY_MS;
         }
-        return quota.room(job) > 0 ? GATHER_SCARCE_MS : GATHER_AT_LIMIT_MS;
+        return quota.capacityFor(job) > 0 ? OUTCOME_DELAY_SCARCE_MS : OUTCOME_DELAY_AT_LIMIT_MS;
     }
 
     private static boolean hasToRunAgain(JobUpdate update, SliceEntry slice) {
-        for (Attempt a : slice.value().attempts()) {
-            Outcome outcome = update.work.outcomes.get(new AttemptId(update.job.id, a.task(), a.number()));
+        for (Attempt attempt : slice.value().attempts()) {
+            Outcome outcome =
+                    update.progress.outcomes.get(new AttemptId(update.job.id, attempt.task(), attempt.number()));
             if (outcome != null && outcome != Outcome.DONE) {
                 return true;
             }
@@ -256,9 +261,9 @@
     }
 
     /** Where several controllers made the last outcomes durable, one of them ends the job, so that they do not race. */
-    private boolean ends(JobEntry job) {
-        return self.equals(Partitioner.owner(replica.map(), StoreKeys.job(job.id)))
-                || job.slices().size() > context.settings().mostSlices();
+    private boolean isResponsibleForEnd(JobEntry job) {
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job.id)))
+                || job.slices().size() > context.settings().maxSlicesPerJob();
     }
 
     /**
@@ -270,27 +275,29 @@
      */
     private boolean end(JobUpdate update) {
         JobEntry job = update.job;
-        if (update.withOutcomes().isEmpty() && !ends(job)) {
+        if (update.withOutcomes().isEmpty() && !isResponsibleForEnd(job)) {
             return true;
         }
         Settings settings = context.settings();
         // A cancellation passes down first: who awaits the job is looked up by its record as long as that is there.
-        if (update.withOutcomes().size() >= settings.txnGuards()
-                || job.aborted() && dependencies.hasUnmarkedDependants(job.id)) {
+        if (update.withOutcomes().size() >= settings.maxTransactionPreconditions()
+                || job.isCancelled() && dependencies.hasUncancelledDependents(job.id)) {
             return false;
         }
-        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.job(job.id), job.version());
-        update.withOutcomes().keySet().forEach(slice -> txn.when(slice.key, slice.version()));
-        if (!job.aborted()) {
-            txn.set(StoreKeys.fin(job.id), new StoredValue.JobResult(false, context.wall()));
+        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id), job.revision());
+        update.withOutcomes().keySet().forEach(slice -> transaction.require(slice.key, slice.revision()));
+        if (!job.isCancelled()) {
+            transaction.put(StoreKeys.jobResult(job.id), new StoredValue.JobResult(false, context.wallClockMs()));
         }
-        txn.delete(StoreKeys.job(job.id));
+        transaction.delete(StoreKeys.job(job.id));
         for (SliceEntry slice : job.slices()) {
-            if (slice.version() != 0 && txn.writes() < settings.txnOps() && txn.guards() < settings.txnGuards()) {
-                txn.when(slice.key, slice.version()).delete(slice.key);
+            if (slice.revision() != 0
+                    && transaction.writeCount() < settings.maxTransactionWrites()
+                    && transaction.preconditionCount() < settings.maxTransactionPreconditions()) {
+                transaction.require(slice.key, slice.revision()).delete(slice.key);
             }
         }
-        write(update, txn);
+        write(update, transaction);
         return true;
     }
 
@@ -298,40 +305,40 @@
      * Makes a cancellation durable that passed down from a job that this one awaits. The job never had a task, so its
      * end is written at once.
      */
-    private void passCancellation(JobEntry job, JobProgress work) {
-        if (!ends(job)) {
+    private void propagateCancellation(JobEntry job, JobProgress work) {
+        if (!isResponsibleForEnd(job)) {
             return;
         }
-        StoredValue.JobResult result = new StoredValue.JobResult(true, context.wall());
-        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.job(job.id), job.version());
-        txn.set(StoreKeys.fin(job.id), result);
-        if (job.live() == 0 && !dependencies.hasUnmarkedDependants(job.id)) {
-            txn.delete(StoreKeys.job(job.id));
+        StoredValue.JobResult result = new StoredValue.JobResult(true, context.wallClockMs());
+        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id), job.revision());
+        transaction.put(StoreKeys.jobResult(job.id), result);
+        if (job.liveAttemptCount() == 0 && !dependencies.hasUncancelledDependents(job.id)) {
+            transaction.delete(StoreKeys.job(job.id));
         } else {
-            int most = context.settings().valueBytes();
-            txn.set(StoreKeys.job(job.id), job.record().cancelled(context.wall(), size, most));
+            int most = context.settings().maxValueBytes();
+            transaction.put(StoreKeys.job(job.id), job.record().asCancelled(context.wallClockMs(), size, most));
         }
-        write(new JobUpdate(job, work, 0, 0), txn);
+        write(new JobUpdate(job, work, 0, 0), transaction);
     }
 
-    private void write(JobUpdate update, Transaction.Builder txn) {
-        JobProgress work = update.work;
-        work.writing = true;
-        update.changed().keySet().forEach(slice -> work.gatherAnew(slice.number));
+    private void write(JobUpdate update, Transaction.Builder transaction) {
+        JobProgress work = update.progress;
+        work.writeInFlight = true;
+        update.changed().keySet().forEach(slice -> work.resetGathering(slice.number));
         Job spec = update.job.job();
-        int launched = update.launched.size();
+        int launched = update.launches.size();
         TransactionQueue.Urgency urgency =
                 launched > 0 ? TransactionQueue.Urgency.LAUNCH : TransactionQueue.Urgency.OUTCOME;
-        transactions.submit(urgency, txn.build(), (status, revision) -> {
-            work.writing = false;
-            work.settled = revision;
+        transactions.submit(urgency, transaction.build(), (status, revision) -> {
+            work.writeInFlight = false;
+            work.settledRevision = revision;
             if (status == Transaction.Status.COMMITTED) {
-                counters.launched += launched;
+                counters.tasksLaunched += launched;
             } else if (status == Transaction.Status.INVALID) {
-                work.pausedUntil = context.now() + INVALID_PAUSE_MS;
+                work.pausedUntilMs = context.nowMs() + INVALID_PAUSE_MS;
             }
             if (launched > 0) {
-                quota.answered(spec, revision);
+                quota.onLaunchCompleted(spec, revision);
             }
         });
     }
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -28,11 +28,11 @@
  */
 public final class LaunchPlanner {
     /** How often a waiting job looks for room in other parts. */
-    private static final long LOOK_MS = 400;
+    private static final long HANDOVER_CHECK_MS = 400;
     /** How long after it was handed on a job stays where it is. */
-    private static final long HANDED_MS = 2000;
+    private static final long HANDOVER_COOLDOWN_MS = 2000;
     /** Attempts in one write, which must stay below 64 KiB; the rest follows in the next. */
-    private static final int MOST_ATTEMPTS = 900;
+    private static final int MAX_ATTEMPTS_PER_WRITE = 900;
 
     /**
      * A slice's attempts after a launch.
@@ -68,37 +68,37 @@
         this.counters = counters;
         this.preemption = new Preemptor(context, machines, quota);
         this.candidates = new CandidateFinder(context, machines, counters);
-        this.self = context.settings().node();
+        this.self = context.settings().controllerName();
     }
 
     /** Begins a pass over all jobs. */
-    void begin(List<Machine> usable, List<Machine> free, Set<String> guaranteed) {
+    void beginCycle(List<Machine> usable, List<Machine> free, Set<String> guaranteed) {
         full.clear();
-        candidates.begin(free);
-        preemption.begin(usable, guaranteed);
+        candidates.beginCycle(free);
+        preemption.beginCycle(usable, guaranteed);
     }
 
     /** Adds launches to the write, or tasks that are handed to another part. */
     void plan(JobUpdate update) {
         JobEntry job = update.job;
-        if (quota.busy(job.job())) {
+        if (quota.isLaunchInFlight(job.job())) {
             return;
         }
         boolean anyHanded = false;
         int attempts = attemptsIn(update);
         for (SliceEntry slice : job.slices()) {
             Slice value = update.value(slice);
-            int room = MOST_ATTEMPTS - attempts;
+            int room = MAX_ATTEMPTS_PER_WRITE - attempts;
             if (room <= 0) {
                 break;
             }
-            if (value.waiting() > 0 && owns(slice, value) && update.mayChange(slice)) {
+            if (value.pendingCount() > 0 && owns(slice, value) && update.mayChange(slice)) {
                 anyHanded |= planSlice(update, slice, room);
                 attempts += update.value(slice).attempts().size();
             }
         }
         if (anyHanded) {
-            update.bind();
+            update.requireJobAndMap();
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     private boolean owns(SliceEntry slice, Slice value) {
-        return self.equals(Partitioner.owner(replica.map(), slice.key, value));
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key, value));
     }
 
     /** Plans launches of one slice; true if tasks of it are handed on instead. */
@@ -120,25 +120,25 @@
         Job spec = job.job();
         Slice value = update.value(slice);
         boolean noneBefore = update.usesNoMachine();
-        List<Candidate> found = full.contains(job.shape()) ? List.of() : candidates.of(job);
-        int most = Math.min(value.waiting(), Math.min(room, quota.room(spec)));
+        List<Candidate> found = full.contains(job.requirements()) ? List.of() : candidates.find(job);
+        int most = Math.min(value.pendingCount(), Math.min(room, quota.capacityFor(spec)));
         Placed placed = place(update, slice, value, found, most);
         List<Attempt> live = placed.live();
         int launched = live.size() - value.attempts().size();
-        int unplaced = value.waiting() - launched;
+        int unplaced = value.pendingCount() - launched;
         boolean stuck = unplaced > 0 && launched < most && !placed.writeFull();
-        if (stuck && noneBefore && launched == 0 && !spec.placesLinked() && update.work.errors == 0) {
+        if (stuck && noneBefore && launched == 0 && !spec.hasZoneConstraint() && update.progress.failureCount == 0) {
             // Room only shrinks during a pass, so further jobs of the shape need not look for it.
-            full.add(job.shape());
+            full.add(job.requirements());
         }
         boolean handed = false;
         if (launched > 0) {
             update.put(slice, value.withLaunch(self, live));
-        } else if (update.launched.isEmpty() && unplaced > 0 && quota.spare(spec)) {
+        } else if (update.launches.isEmpty() && unplaced > 0 && quota.hasCapacity(spec)) {
             handed = handOver(update, slice, value);
         }
         if (stuck && !handed) {
-            preemption.makeRoom(job, Math.min(unplaced, quota.room(spec)));
+            preemption.makeRoom(job, Math.min(unplaced, quota.capacityFor(spec)));
         }
         return handed;
     }
@@ -147,33 +147,38 @@
     private Placed place(JobUpdate update, SliceEntry slice, Slice value, List<Candidate> found, int most) {
         Job spec = update.job.job();
         List<Attempt> live = new ArrayList<>(value.attempts());
-        Map<String, Integer> zones = spec.placesLinked() ? zonesOf(live) : Map.of();
+        Map<String, Integer> zones = spec.hasZoneConstraint() ? zonesOf(live) : Map.of();
         if (most <= 0 || found.isEmpty() || zones == null) {
             return new Placed(live, false);
         }
         SliceSizeBound size = new SliceSizeBound(value);
-        BitSet taken = value.taken();
+        BitSet taken = value.occupied();
         int offset = taken.nextClearBit(0);
         int left = most;
         for (Candidate candidate : found) {
-            Machine m = candidate.machine();
+            Machine machine = candidate.machine();
             if (left <= 0) {
                 break;
             }
-            int here = Math.min(left, m.room(machines.type(m), spec));
-            while (here-- > 0 && zoneAllowed(spec, zones, m.zone)) {
-                Attempt a = new Attempt(
-                        value.first() + offset, value.launches() + 1, m.name, m.session, m.token(), context.wall());
-                if (!size.fits(a, context.settings().valueBytes())) {
+            int here = Math.min(left, machine.capacityFor(machines.type(machine), spec));
+            while (here-- > 0 && zoneAllowed(spec, zones, machine.zone)) {
+                Attempt attempt = new Attempt(
+                        value.first() + offset,
+                        value.launchCount() + 1,
+                        machine.name,
+                        machine.incarnation,
+                        machine.fencingToken(),
+                        context.wallClockMs());
+                if (!size.fits(attempt, context.settings().maxValueBytes())) {
                     return new Placed(live, true);
                 }
-                size.add(a);
-                live.add(a);
-                JobProgress.Launch launch = new JobProgress.Launch(m, a, slice.number, spec);
+                size.add(attempt);
+                live.add(attempt);
+                JobProgress.Launch launch = new JobProgress.Launch(machine, attempt, slice.number, spec);
                 update.launch(launch);
-                machines.progress().launching(update.job.id, launch);
-                if (spec.placesLinked()) {
-                    zones.merge(m.zone, 1, Integer::sum);
+                machines.progress().launchDecided(update.job.id, launch);
+                if (spec.hasZoneConstraint()) {
+                    zones.merge(machine.zone, 1, Integer::sum);
                 }
                 offset = taken.nextClearBit(offset + 1);
                 left--;
@@ -189,55 +194,56 @@
      * has.
      */
     private boolean handOver(JobUpdate update, SliceEntry slice, Slice value) {
-        JobProgress work = update.work;
+        JobProgress work = update.progress;
         Job spec = update.job.job();
-        if (context.now() - work.handedAt < HANDED_MS || context.now() - work.lookedAt < LOOK_MS) {
+        if (context.nowMs() - work.handedOverAtMs < HANDOVER_COOLDOWN_MS
+                || context.nowMs() - work.handoverCheckedAtMs < HANDOVER_CHECK_MS) {
             return false;
         }
-        work.lookedAt = context.now();
-        SliceAssigner.Offer to = distributor.better(update.job, self);
+        work.handoverCheckedAtMs = context.nowMs();
+        SliceAssigner.Offer to = distributor.findBetterPartition(update.job, self);
         if (to == null) {
             return false;
         }
-        int tail = value.count() - value.taken().length();
-        int moved = spec.placesLinked() ? value.count() : Math.min(tail, to.room());
+        int tail = value.count() - value.occupied().length();
+        int moved = spec.hasZoneConstraint() ? value.count() : Math.min(tail, to.capacity());
         // Tasks that wait before others that are done can only go with the whole slice, or they would wait here for
         // ever.
         if (value.attempts().isEmpty() && (moved == value.count() || tail == 0)) {
-            update.put(slice, value.withOwner(to.node()));
+            update.put(slice, value.withOwner(to.controller()));
         } else if (moved > 0
                 && moved < value.count()
-                && update.opsLeft() >= 2
-                && update.job.slices().size() < context.settings().mostSlices()) {
+                && update.remainingWrites() >= 2
+                && update.job.slices().size() < context.settings().maxSlicesPerJob()) {
             int kept = value.count() - moved;
-            update.put(slice, value.part(0, kept));
-            update.create(value.part(kept, moved).withOwner(to.node()));
+            update.put(slice, value.subrange(0, kept));
+            update.create(value.subrange(kept, moved).withOwner(to.controller()));
         } else {
             return false;
         }
-        work.handedAt = context.now();
-        counters.handed++;
-        context.debug("handing tasks of " + slice.key + " to " + to.node());
+        work.handedOverAtMs = context.nowMs();
+        counters.handovers++;
+        context.debug("handing tasks of " + slice.key + " to " + to.controller());
         return true;
     }
 
     /** Live tasks a zone, or null if the zone of one is not known. */
     private Map<String, Integer> zonesOf(List<Attempt> live) {
         Map<String, Integer> zones = new HashMap<>();
-        for (Attempt a : live) {
-            Machine m = machines.get(a.machine());
-            if (m == null || m.zone == null) {
+        for (Attempt attempt : live) {
+            Machine machine = machines.get(attempt.machine());
+            if (machine == null || machine.zone == null) {
                 return null;
             }
-            zones.merge(m.zone, 1, Integer::sum);
+            zones.merge(machine.zone, 1, Integer::sum);
         }
         return zones;
     }
 
     private static boolean zoneAllowed(Job spec, Map<String, Integer> zones, String zone) {
-        if (spec.oneZone() && !zones.isEmpty() && !zones.containsKey(zone)) {
+        if (spec.sameZone() && !zones.isEmpty() && !zones.containsKey(zone)) {
             return false;
         }
-        return !spec.spread() || zones.getOrDefault(zone, 0) < (spec.tasks() + 1) / 2;
+        return !spec.spreadZones() || zones.getOrDefault(zone, 0) < (spec.tasks() + 1) / 2;
     }
 }
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -57,39 +57,39 @@
     }
 
     /** Begins a pass over all jobs, those with the first claim first. */
-    void begin(List<Machine> usableNow, Set<String> guaranteedNow) {
+    void beginCycle(List<Machine> usableNow, Set<String> guaranteedNow) {
         usable = usableNow;
         guaranteed = guaranteedNow;
         coming.clear();
         hopeless.clear();
-        keeping.forEach(m -> m.kept = null);
+        keeping.forEach(machine -> machine.reserved = null);
         keeping.clear();
-        for (Machine m : usable) {
-            for (AttemptId key : m.stops.keySet()) {
-                AssignedAttempt l = m.live.get(key);
-                if (l != null && !l.over) {
-                    free(m, l.job.job());
+        for (Machine machine : usable) {
+            for (AttemptId id : machine.preemptions.keySet()) {
+                AssignedAttempt assigned = machine.attempts.get(id);
+                if (assigned != null && !assigned.ended) {
+                    markPreempted(machine, assigned.job.job());
                 }
             }
         }
     }
 
     /** Room on the machine once the stops under way have ended. */
-    private void free(Machine m, Job job) {
-        coming.computeIfAbsent(m, k -> new ResourceUsage(k.use)).remove(job);
+    private void markPreempted(Machine machine, Job job) {
+        coming.computeIfAbsent(machine, k -> new ResourceUsage(k.usage)).remove(job);
     }
 
-    private ResourceUsage after(Machine m) {
-        return coming.getOrDefault(m, m.use);
+    private ResourceUsage usageAfterPreemption(Machine machine) {
+        return coming.getOrDefault(machine, machine.usage);
     }
 
     /** Keeps room for up to the given number of tasks, and stops what may be stopped for the rest. */
     void makeRoom(JobEntry job, int tasks) {
         Job spec = job.job();
-        if (tasks < 1 || spec.placesLinked() || ageS(job) < patienceS(job)) {
+        if (tasks < 1 || spec.hasZoneConstraint() || ageS(job) < patienceS(job)) {
             return;
         }
-        Claim claim = new Claim(job.shape(), job.priority(), guaranteed.contains(job.id), spec.team());
+        Claim claim = new Claim(job.requirements(), job.priority(), guaranteed.contains(job.id), spec.team());
         if (hopeless.contains(claim)) {
             return;
         }
@@ -97,7 +97,7 @@
         int n = usable.size();
         int offset = n > SAMPLE ? context.random().nextInt(n) : 0;
         for (int i = 0; i < Math.min(n, SAMPLE); i++) {
-            offer(usable.get((offset + i) % n), job, offers);
+            addOption(usable.get((offset + i) % n), job, offers);
         }
         for (int i = 0; i < tasks; i++) {
             Offer best = offers.poll();
@@ -105,101 +105,107 @@
                 hopeless.add(claim);
                 return;
             }
-            Machine m = best.machine;
-            for (AssignedAttempt v : best.victims) {
-                Job lost = v.job.job();
-                context.debug("stopping " + v.job.id + "/" + v.attempt.task() + " on " + m.name + " for " + job.id);
-                m.stops.put(v.key, lost.checkpointS() > 0 ? lost.saveS() + 1 : 0);
-                free(m, lost);
+            Machine machine = best.machine;
+            for (AssignedAttempt victim : best.victims) {
+                Job lost = victim.job.job();
+                context.debug("stopping " + victim.job.id + "/" + victim.attempt.task() + " on " + machine.name
+                        + " for " + job.id);
+                machine.preemptions.put(victim.id, lost.checkpointIntervalS() > 0 ? lost.checkpointDurationS() + 1 : 0);
+                markPreempted(machine, lost);
             }
-            machines.touch(m);
+            machines.markChanged(machine);
             // Nobody further down the order gets this room in the meantime.
-            coming.computeIfAbsent(m, k -> new ResourceUsage(k.use)).add(spec);
-            m.keep(spec);
-            keeping.add(m);
-            offer(m, job, offers);
+            coming.computeIfAbsent(machine, k -> new ResourceUsage(k.usage)).add(spec);
+            machine.reserve(spec);
+            keeping.add(machine);
+            addOption(machine, job, offers);
         }
     }
 
     /** What it costs to make room for one more task on the machine. */
-    private void offer(Machine m, JobEntry job, PriorityQueue<Offer> offers) {
+    private void addOption(Machine machine, JobEntry job, PriorityQueue<Offer> offers) {
         Job spec = job.job();
-        MachineType type = machines.type(m);
-        if (!spec.allows(m.type, m.zone, m.spot) || !type.holds(job.shape())) {
+        MachineType type = machines.type(machine);
+        if (!spec.allows(machine.typeName, machine.zone, machine.spot) || !type.fits(job.requirements())) {
             return;
         }
-        List<AssignedAttempt> victims = after(m).room(type, spec) > 0 ? List.of() : victims(m, type, job);
+        List<AssignedAttempt> victims =
+                usageAfterPreemption(machine).capacityFor(type, spec) > 0 ? List.of() : victims(machine, type, job);
         if (victims != null) {
-            offers.add(new Offer(m, victims, loss(victims)));
+            offers.add(new Offer(machine, victims, loss(victims)));
         }
     }
 
     /** Seconds for which the job has been waiting or running; not those in which it awaited others. */
     private double ageS(JobEntry job) {
-        return (context.wall() - job.waitsSinceMs()) / 1000.0;
+        return (context.wallClockMs() - job.waitingSinceMs()) / 1000.0;
     }
 
     /** How long the job waits before it stops others, by what its users expect of its start and end. */
     private double patienceS(JobEntry entry) {
         Job job = entry.job();
         Settings aims = context.settings();
-        double may = Math.min(aims.within("wait", job.lot()), aims.within("finished", job.lot()));
+        double may = Math.min(aims.objectiveS("wait", job.jobClass()), aims.objectiveS("finished", job.jobClass()));
         if (guaranteed.contains(entry.id)) {
-            may = Math.min(may, aims.within("guarantee", job.lot()));
+            may = Math.min(may, aims.objectiveS("guarantee", job.jobClass()));
         }
         if (entry.deadlineMs() != JobEntry.NO_DEADLINE) {
-            may = Math.min(may, (entry.deadlineMs() - entry.waitsSinceMs()) / 1000.0 - job.estimateS());
+            may = Math.min(may, (entry.deadlineMs() - entry.waitingSinceMs()) / 1000.0 - job.expectedRunS());
         }
         return Math.min(30, Math.max(1, PATIENCE * may));
     }
 
     /** The tasks whose stop costs least and makes room on the machine, or null. */
-    private List<AssignedAttempt> victims(Machine m, MachineType type, JobEntry job) {
+    private List<AssignedAttempt> victims(Machine machine, MachineType type, JobEntry job) {
         List<AssignedAttempt> may = new ArrayList<>();
-        for (AssignedAttempt l : m.live.values()) {
-            if (!l.over && !m.stops.containsKey(l.key) && m.reported.containsKey(l.key) && mayStop(l, job)) {
-                may.add(l);
+        for (AssignedAttempt assigned : machine.attempts.values()) {
+            if (!assigned.ended
+                    && !machine.preemptions.containsKey(assigned.id)
+                    && machine.reportedTasks.containsKey(assigned.id)
+                    && mayPreempt(assigned, job)) {
+                may.add(assigned);
             }
         }
         may.sort(Comparator.comparingDouble(this::loss));
-        ResourceUsage left = new ResourceUsage(after(m));
+        ResourceUsage left = new ResourceUsage(usageAfterPreemption(machine));
         List<AssignedAttempt> chosen = new ArrayList<>();
-        for (AssignedAttempt l : may) {
-            chosen.add(l);
-            left.remove(l.job.job());
-            if (left.room(type, job.job()) > 0) {
+        for (AssignedAttempt assigned : may) {
+            chosen.add(assigned);
+            left.remove(assigned.job.job());
+            if (left.capacityFor(type, job.job()) > 0) {
                 return chosen;
             }
         }
         return null;
     }
 
-    private boolean mayStop(AssignedAttempt l, JobEntry job) {
-        Job theirs = l.job.job();
-        if (l.job.aborted() || ageS(l.job) > SPARE * context.settings().within("finished", theirs.lot())) {
+    private boolean mayPreempt(AssignedAttempt assigned, JobEntry job) {
+        Job theirs = assigned.job.job();
+        if (assigned.job.isCancelled()
+                || ageS(assigned.job) > SPARE * context.settings().objectiveS("finished", theirs.jobClass())) {
             return false;
         }
-        if (l.job.priority().compareTo(job.priority()) < 0) {
+        if (assigned.job.priority().compareTo(job.priority()) < 0) {
             return true;
         }
         return guaranteed.contains(job.id)
-                && !guaranteed.contains(l.job.id)
+                && !guaranteed.contains(assigned.job.id)
                 && !theirs.team().equals(job.job().team())
-                && quota.borrows(theirs);
+                && quota.exceedsGuarantee(theirs);
     }
 
     private double loss(List<AssignedAttempt> lives) {
         double sum = 0;
-        for (AssignedAttempt l : lives) {
-            sum += loss(l);
+        for (AssignedAttempt assigned : lives) {
+            sum += loss(assigned);
         }
         return sum;
     }
 
     /** CPU seconds that are lost when the task is stopped now. */
-    private double loss(AssignedAttempt l) {
-        Job job = l.job.job();
-        double ran = (context.wall() - l.attempt.launchedMs()) / 1000.0;
-        return job.cpus() * (1 + (job.checkpointS() > 0 ? Math.min(ran, job.saveS()) : ran));
+    private double loss(AssignedAttempt assigned) {
+        Job job = assigned.job.job();
+        double ran = (context.wallClockMs() - assigned.attempt.launchedAtMs()) / 1000.0;
+        return job.cpus() * (1 + (job.checkpointIntervalS() > 0 ? Math.min(ran, job.checkpointDurationS()) : ran));
     }
 }
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -37,9 +37,9 @@
     private final SliceGarbageCollector cleaner;
     private final ControllerCounters counters;
     private final String self;
-    private List<Machine> usable = List.of();
+    private List<Machine> schedulableMachines = List.of();
     /** Usable machines that are not full. */
-    private final List<Machine> free = new ArrayList<>();
+    private final List<Machine> machinesWithCapacity = new ArrayList<>();
 
     public SchedulingCycle(
             ControllerContext context,
@@ -62,82 +62,82 @@
         this.planner = planner;
         this.cleaner = cleaner;
         this.counters = counters;
-        this.self = context.settings().node();
+        this.self = context.settings().controllerName();
     }
 
     /** True if the machine, which must be of this part, can be given tasks. */
-    public boolean takesTasks(Machine m) {
-        return !m.leaving
-                && m.type != null
-                && machines.type(m) != null
-                && m.takenAt == 0
-                && !m.reachability.isSuspected()
-                && m.reachability.confirmedWithin(
-                        context.now(), context.settings().heardMs())
-                && reports(m)
-                && (m.failedJobs.isEmpty() || !machines.faulty(m))
-                && !replica.machines().containsKey(m.name);
+    public boolean isSchedulable(Machine machine) {
+        return !machine.scalingIn
+                && machine.typeName != null
+                && machines.type(machine) != null
+                && machine.terminationAtMs == 0
+                && !machine.reachability.isSuspected()
+                && machine.reachability.confirmedWithin(
+                        context.nowMs(), context.settings().heartbeatTimeoutMs())
+                && sendsHeartbeats(machine)
+                && (machine.failedJobs.isEmpty() || !machines.isFaulty(machine))
+                && !replica.decommissionsByMachine().containsKey(machine.name);
     }
 
     /**
      * A machine that answers commands but whose reports do not come loses all its tasks when its lease ends. One that
      * has just got this owner has some time to find it.
      */
-    private boolean reports(Machine m) {
-        return context.now() - Math.max(m.reachability.reportedAt(), m.ownerSince)
-                < context.settings().leaseS() * 500;
+    private boolean sendsHeartbeats(Machine machine) {
+        return context.nowMs() - Math.max(machine.reachability.reportedAt(), machine.ownerSince)
+                < context.settings().workerLeaseS() * 500;
     }
 
     /** Machines of this part that take tasks, as of the latest pass. */
-    public List<Machine> usable() {
-        return usable;
+    public List<Machine> schedulableMachines() {
+        return schedulableMachines;
     }
 
     /** Looks at all jobs for what can be written, at the machines of this part, and at no other. */
-    public void pass() {
-        machines.progress().settle();
-        if (!membership.joined()) {
-            usable = List.of();
+    public void run() {
+        machines.progress().reconcile();
+        if (!membership.isMember()) {
+            schedulableMachines = List.of();
             return;
         }
-        lookAtMachines();
+        surveyMachines();
         List<JobEntry> order = readyJobs();
-        counters.passes++;
-        counters.jobsLookedAt += order.size();
+        counters.schedulingCycles++;
+        counters.jobsConsidered += order.size();
         for (String id : List.copyOf(release.failed())) {
             JobEntry job = replica.job(id);
             if (job != null && job.job() != null) {
-                writer.step(job, false);
+                writer.writeNext(job, false);
             }
         }
-        Set<String> guaranteed = quota.guaranteed(order);
-        order.removeIf(j -> !hasToDo(j));
+        Set<String> guaranteed = quota.withinGuarantee(order);
+        order.removeIf(j -> !hasWork(j));
         order.sort(Comparator.comparing((JobEntry j) -> guaranteed.contains(j.id))
                 .thenComparing(JobEntry::priority)
                 .reversed());
-        planner.begin(usable, free, guaranteed);
-        boolean launches = membership.reachesState();
+        planner.beginCycle(schedulableMachines, machinesWithCapacity, guaranteed);
+        boolean launches = membership.reachesStore();
         for (JobEntry job : order) {
-            writer.step(job, launches);
+            writer.writeNext(job, launches);
         }
-        cleaner.pass();
+        cleaner.collect();
     }
 
-    private void lookAtMachines() {
-        usable = new ArrayList<>();
-        free.clear();
-        for (Machine m : machines.own()) {
-            if (takesTasks(m)) {
-                usable.add(m);
-                if (m.use.cpus() < machines.type(m).cpus()) {
-                    free.add(m);
+    private void surveyMachines() {
+        schedulableMachines = new ArrayList<>();
+        machinesWithCapacity.clear();
+        for (Machine machine : machines.owned()) {
+            if (isSchedulable(machine)) {
+                schedulableMachines.add(machine);
+                if (machine.usage.cpus() < machines.type(machine).cpus()) {
+                    machinesWithCapacity.add(machine);
                 }
             }
-            if (m.takenAt != 0) {
-                saveInTime(m);
+            if (machine.terminationAtMs != 0) {
+                checkpointBeforeTermination(machine);
             }
-            if (!m.live.isEmpty() && machines.isGone(m.name)) {
-                takeProof(m);
+            if (!machine.attempts.isEmpty() && machines.isTerminated(machine.name)) {
+                recordTerminated(machine);
             }
         }
     }
@@ -153,44 +153,44 @@
         return order;
     }
 
-    private boolean hasToDo(JobEntry job) {
-        JobProgress work = machines.progress().known(job.id);
+    private boolean hasWork(JobEntry job) {
+        JobProgress work = machines.progress().get(job.id);
         if (work != null && !work.outcomes.isEmpty()) {
             return true;
         }
-        for (SliceEntry s : job.slices()) {
-            if (s.value().waiting() > 0 && ownsSlice(s, s.value())) {
+        for (SliceEntry slice : job.slices()) {
+            if (slice.value().pendingCount() > 0 && ownsSlice(slice, slice.value())) {
                 return true;
             }
         }
-        return job.complete();
+        return job.isComplete();
     }
 
     private boolean ownsSlice(SliceEntry slice, Slice value) {
-        return self.equals(Partitioner.owner(replica.map(), slice.key, value));
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key, value));
     }
 
     /** All that was on a machine that is proven gone is gone. */
-    private void takeProof(Machine m) {
-        for (AssignedAttempt l : m.live.values()) {
-            record(machines.progress().of(l.job.id), l, Outcome.GONE);
+    private void recordTerminated(Machine machine) {
+        for (AssignedAttempt assigned : machine.attempts.values()) {
+            recordOutcome(machines.progress().getOrCreate(assigned.job.id), assigned, Outcome.GONE);
         }
     }
 
     /** Notes an outcome that is to be made durable; true if it is the first for the attempt. */
-    public boolean record(JobProgress work, AssignedAttempt live, Outcome outcome) {
-        work.gather(live.slice.number, context.now());
-        return work.outcomes.putIfAbsent(live.key, outcome) == null;
+    public boolean recordOutcome(JobProgress work, AssignedAttempt live, Outcome outcome) {
+        work.beginGathering(live.slice.number, context.nowMs());
+        return work.outcomes.putIfAbsent(live.id, outcome) == null;
     }
 
     /** Tasks on a machine that is soon taken away save as late as is safe. */
-    private void saveInTime(Machine m) {
-        for (AssignedAttempt l : m.live.values()) {
-            Job job = l.job.job();
-            if (job.checkpointS() > 0
-                    && m.takenAt - context.now() < (job.saveS() + 5) * 1000
-                    && m.stops.putIfAbsent(l.key, job.saveS() + 1) == null) {
-                machines.touch(m);
+    private void checkpointBeforeTermination(Machine machine) {
+        for (AssignedAttempt assigned : machine.attempts.values()) {
+            Job job = assigned.job.job();
+            if (job.checkpointIntervalS() > 0
+                    && machine.terminationAtMs - context.nowMs() < (job.checkpointDurationS() + 5) * 1000
+                    && machine.preemptions.putIfAbsent(assigned.id, job.checkpointDurationS() + 1) == null) {
+                machines.markChanged(machine);
             }
         }
     }
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -24,18 +24,18 @@
 /** Deals jobs among the parts by free room, as slices of their tasks: few, as each slice costs changes. */
 public final class SliceAssigner {
     /** Keeps a slice's done marks well within the smallest value the state service takes. */
-    private static final int MAX_SLICE = 20_000;
+    private static final int MAX_TASKS_PER_SLICE = 20_000;
     /** Tasks that find no room wait in no more slices than so many each make worth while. */
-    private static final int WAITING_SLICE = 150;
+    private static final int MIN_WAITING_TASKS_PER_SLICE = 150;
 
     /** A part, the tasks it has room for, and that less what waits there already. */
-    record Offer(String node, int room, double spare) {}
+    record Offer(String controller, int capacity, double spare) {}
 
     /** How long a count of the parts' room is good enough. */
-    private static final long KEEP_MS = 250;
+    private static final long CACHE_TTL_MS = 250;
 
     /** So long a job leaves the room of a part to all that waits there, even to what cannot use it yet. */
-    private static final long COURTESY_MS = 30_000;
+    private static final long YIELD_PERIOD_MS = 30_000;
 
     /** Jobs that ask the same. */
     private record Asked(Job.Requirements shape, Priority priority, String team, boolean waitedLong) {}
@@ -72,23 +72,26 @@
     }
 
     private static Asked newJob(Job job) {
-        return new Asked(job.shape(), job.priority(), job.team(), false);
+        return new Asked(job.requirements(), job.priority(), job.team(), false);
     }
 
     private Asked waiting(JobEntry job) {
-        return new Asked(job.shape(), job.priority(), job.job().team(), waitedLong(job));
+        return new Asked(job.requirements(), job.priority(), job.job().team(), waitedLong(job));
     }
 
     /** Tasks of the job that each part of the map has room for. */
-    public int[] rooms(Job job, Job.Requirements shape) {
+    public int[] capacityByPartition(Job job, Job.Requirements shape) {
         keepFresh();
         return rooms.computeIfAbsent(shape, k -> {
-            List<Member> members = replica.map().members();
+            List<Member> members = replica.partitionMap().members();
             int[] found = new int[members.size()];
-            for (Machine m : machines.all()) {
-                MachineType type = machines.type(m);
-                if (type != null && type.holds(shape) && takesTasks(m) && job.allows(m.type, m.zone, m.spot)) {
-                    found[index(members, m.owner)] += m.use.room(type, job);
+            for (Machine machine : machines.all()) {
+                MachineType type = machines.type(machine);
+                if (type != null
+                        && type.fits(shape)
+                        && acceptsTasks(machine)
+                        && job.allows(machine.typeName, machine.zone, machine.spot)) {
+                    found[index(members, machine.owner)] += machine.usage.capacityFor(type, job);
                 }
             }
             return found;
@@ -96,17 +99,17 @@
     }
 
     private void keepFresh() {
-        if (context.now() - countedAt > KEEP_MS || replica.mapVersion() != countedFor) {
+        if (context.nowMs() - countedAt > CACHE_TTL_MS || replica.partitionMapRevision() != countedFor) {
             counted.clear();
             rooms.clear();
-            countedAt = context.now();
-            countedFor = replica.mapVersion();
+            countedAt = context.nowMs();
+            countedFor = replica.partitionMapRevision();
         }
     }
 
     private List<Offer> count(Job job, Asked asked) {
-        List<Member> members = replica.map().members();
-        int[] rooms = rooms(job, asked.shape());
+        List<Member> members = replica.partitionMap().members();
+        int[] rooms = capacityByPartition(job, asked.shape());
         double[] waiting = new double[members.size()];
         double[] taking = new double[members.size()];
         boolean waitedLong = asked.waitedLong();
@@ -116,10 +119,10 @@
                     || other.priority().compareTo(asked.priority()) < 0) {
                 continue;
             }
-            for (SliceEntry s : other.slices()) {
-                int left = s.value().waiting();
+            for (SliceEntry slice : other.slices()) {
+                int left = slice.value().pendingCount();
                 if (left > 0) {
-                    int part = index(members, Partitioner.owner(replica.map(), s.key, s.value()));
+                    int part = index(members, Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value()));
                     double each = other.job().cpus() / Math.max(0.001, job.cpus());
                     waiting[part] += left * each;
                     if (waitedLong && rooms[part] > 0) {
@@ -132,7 +135,7 @@
         List<Offer> offers = new ArrayList<>();
         for (int i = 0; i < rooms.length; i++) {
             String node = members.get(i).name();
-            int allowed = quota.room(job, node);
+            int allowed = quota.capacityFor(job, node);
             double spare = Math.min(rooms[i] - waiting[i], allowed);
             // Large tasks need all that comes free; but a job that has waited for long leaves others no more than they
             // can
@@ -146,11 +149,15 @@
 
     /** Tasks of a job that waits in a part which could start there now, by their shape, zone and team. */
     private int usable(JobEntry other, String node, int part) {
-        return Math.max(0, Math.min(rooms(other.job(), other.shape())[part], quota.room(other.job(), node)));
+        return Math.max(
+                0,
+                Math.min(
+                        capacityByPartition(other.job(), other.requirements())[part],
+                        quota.capacityFor(other.job(), node)));
     }
 
     private boolean waitedLong(JobEntry job) {
-        return context.wall() - job.waitsSinceMs() > COURTESY_MS;
+        return context.wallClockMs() - job.waitingSinceMs() > YIELD_PERIOD_MS;
     }
 
     private static int index(List<Member> members, String name) {
@@ -162,33 +169,33 @@
         throw new IllegalStateException(name + " is not in the map");
     }
 
-    private boolean takesTasks(Machine m) {
-        if (m.owner == null || replica.machines().containsKey(m.name)) {
+    private boolean acceptsTasks(Machine machine) {
+        if (machine.owner == null || replica.decommissionsByMachine().containsKey(machine.name)) {
             return false;
         }
-        if (m.owner.equals(context.settings().node())) {
-            return m.reachability.confirmedWithin(
-                            context.now(), context.settings().heardMs())
-                    && m.takenAt == 0
-                    && !m.reachability.isSuspected();
+        if (machine.owner.equals(context.settings().controllerName())) {
+            return machine.reachability.confirmedWithin(
+                            context.nowMs(), context.settings().heartbeatTimeoutMs())
+                    && machine.terminationAtMs == 0
+                    && !machine.reachability.isSuspected();
         }
-        return machines.listedByOwner(m);
+        return machines.isListedByOwner(machine);
     }
 
     /**
      * The slices of a new job: one if a part has room for all of it, or else as few as its room is spread over; what
      * finds no room waits where least does. A slice holds no more tasks than its value can tell of at once.
      */
-    public List<SliceAssignment> deal(Job job) {
+    public List<SliceAssignment> assign(Job job) {
         List<Offer> offers = offers(job, newJob(job));
         List<SliceAssignment> deals = new ArrayList<>();
-        if (job.placesLinked()) {
-            cut(deals, offers.get(0).node(), 0, job.tasks(), Integer.MAX_VALUE);
+        if (job.hasZoneConstraint()) {
+            cut(deals, offers.get(0).controller(), 0, job.tasks(), Integer.MAX_VALUE);
             return deals;
         }
         int[] shares = shares(job, offers);
-        int most = Math.max(1, context.settings().mostSlices());
-        int perSlice = Math.min(MAX_SLICE, tasksPerSlice(job));
+        int most = Math.max(1, context.settings().maxSlicesPerJob());
+        int perSlice = Math.min(MAX_TASKS_PER_SLICE, tasksPerSlice(job));
         while (slices(shares, perSlice) > most && perSlice < job.tasks()) {
             perSlice = Math.min(job.tasks(), 2 * perSlice);
         }
@@ -197,15 +204,15 @@
         }
         int from = 0;
         for (int i = 0; i < shares.length; i++) {
-            cut(deals, offers.get(i).node(), from, from + shares[i], perSlice);
+            cut(deals, offers.get(i).controller(), from, from + shares[i], perSlice);
             from += shares[i];
         }
         return deals;
     }
 
     /** All of a job's tasks as one slice, for a record that has no room for more. */
-    public List<SliceAssignment> dealWhole(Job job) {
-        return List.of(new SliceAssignment(offers(job, newJob(job)).get(0).node(), 0, job.tasks()));
+    public List<SliceAssignment> assignWhole(Job job) {
+        return List.of(new SliceAssignment(offers(job, newJob(job)).get(0).controller(), 0, job.tasks()));
     }
 
     /** How many tasks go to each part. */
@@ -213,10 +220,10 @@
         int[] shares = new int[offers.size()];
         int left = job.tasks();
         for (int i = 0; i < shares.length && left > 0; i++) {
-            shares[i] = Math.min(left, offers.get(i).room());
+            shares[i] = Math.min(left, offers.get(i).capacity());
             left -= shares[i];
         }
-        int waitIn = Math.min(shares.length, (left + WAITING_SLICE - 1) / WAITING_SLICE);
+        int waitIn = Math.min(shares.length, (left + MIN_WAITING_TASKS_PER_SLICE - 1) / MIN_WAITING_TASKS_PER_SLICE);
         for (int i = 0; i < waitIn; i++) {
             int share = left / (waitIn - i);
             shares[i] += share;
@@ -238,13 +245,13 @@
         int types = 0;
         int fit = 0;
         for (MachineType type : machines.types()) {
-            if (job.allowsType(type.name()) && type.fits(job) > 0) {
+            if (job.allowsType(type.name()) && type.capacityFor(job) > 0) {
                 types++;
-                fit += type.fits(job);
+                fit += type.capacityFor(job);
             }
         }
         int perMachine = types == 0 ? 1 : Math.max(1, fit / types / 2);
-        return SliceSizeBound.tasksWithin(context.settings().valueBytes(), perMachine);
+        return SliceSizeBound.tasksWithin(context.settings().maxValueBytes(), perMachine);
     }
 
     /** Cuts tasks into runs of about equal length. */
@@ -259,9 +266,9 @@
     }
 
     /** The part with the most room for the job, other than the present one, or null if none has any. */
-    Offer better(JobEntry job, String than) {
+    Offer findBetterPartition(JobEntry job, String than) {
         return offers(job.job(), waiting(job)).stream()
-                .filter(o -> !o.node().equals(than) && o.room() > 0)
+                .filter(o -> !o.controller().equals(than) && o.capacity() > 0)
                 .findFirst()
                 .orElse(null);
     }
--- a/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -29,14 +29,16 @@
     }
 
     /** Deletes slices of this controller's share of such jobs, as far as the rate of changes allows. */
-    void pass() {
+    void collect() {
         settledAt.values().removeIf(revision -> revision <= replica.revision());
-        for (JobEntry job : replica.leftovers()) {
-            if (!transactions.open(TransactionQueue.Urgency.LATER)) {
+        for (JobEntry job : replica.endedJobsWithSlices()) {
+            if (!transactions.hasCapacity(TransactionQueue.Urgency.LATER)) {
                 return;
             }
-            boolean mine = context.settings().node().equals(Partitioner.owner(replica.map(), StoreKeys.job(job.id)));
-            if (mine && !settledAt.containsKey(job.id) && !replica.isHeld(job.id)) {
+            boolean mine = context.settings()
+                    .controllerName()
+                    .equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job.id)));
+            if (mine && !settledAt.containsKey(job.id) && !replica.isUnreadable(job.id)) {
                 delete(job);
             }
         }
@@ -44,14 +46,16 @@
 
     /** On condition that the job has no record: without one, nothing of it can be launched or become undone. */
     private void delete(JobEntry job) {
-        Transaction.Builder txn = new Transaction.Builder().when(StoreKeys.job(job.id), 0);
+        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id), 0);
         for (SliceEntry slice : job.slices()) {
-            if (txn.writes() < context.settings().txnOps()) {
-                txn.when(slice.key, slice.version()).delete(slice.key);
+            if (transaction.writeCount() < context.settings().maxTransactionWrites()) {
+                transaction.require(slice.key, slice.revision()).delete(slice.key);
             }
         }
         settledAt.put(job.id, Long.MAX_VALUE);
         transactions.submit(
-                TransactionQueue.Urgency.LATER, txn.build(), (status, revision) -> settledAt.put(job.id, revision));
+                TransactionQueue.Urgency.LATER,
+                transaction.build(),
+                (status, revision) -> settledAt.put(job.id, revision));
     }
 }
--- a/src/main/java/dewlane/core/schema/Partitioner.java
+++ b/src/main/java/dewlane/core/schema/Partitioner.java
@@ -13,12 +13,12 @@
     private Partitioner() {}
 
     /** The controller whose part a machine or a key belongs to, or null without a map. */
-    public static String owner(PartitionMap map, String name) {
+    public static String ownerOf(PartitionMap map, String name) {
         if (map == null) {
             return null;
         }
-        String taker = map.moved().get(name);
-        if (taker != null && map.has(taker)) {
+        String taker = map.reassignedMachines().get(name);
+        if (taker != null && map.hasMember(taker)) {
             return taker;
         }
         String best = null;
@@ -35,19 +35,19 @@
     }
 
     /** The controller that may launch a slice's tasks. */
-    public static String owner(PartitionMap map, String sliceKey, Slice slice) {
-        return map != null && map.has(slice.owner()) ? slice.owner() : owner(map, sliceKey);
+    public static String ownerOf(PartitionMap map, String sliceKey, Slice slice) {
+        return map != null && map.hasMember(slice.owner()) ? slice.owner() : ownerOf(map, sliceKey);
     }
 
     /** The controller that has been in the map for longest. */
-    public static String leader(PartitionMap map) {
+    public static String leaderOf(PartitionMap map) {
         if (map == null) {
             return null;
         }
         Member oldest = null;
-        for (Member m : map.members()) {
-            if (oldest == null || m.incarnation() < oldest.incarnation()) {
-                oldest = m;
+        for (Member member : map.members()) {
+            if (oldest == null || member.incarnation() < oldest.incarnation()) {
+                oldest = member;
             }
         }
         return oldest == null ? null : oldest.name();
--- a/src/main/java/dewlane/core/schema/SchemaVersion.java
+++ b/src/main/java/dewlane/core/schema/SchemaVersion.java
@@ -9,10 +9,10 @@
     /** Version 0.1, which names none: it refuses unknown keys and loses unknown fields when it rewrites a value. */
     public static final int FIRST = 1;
     /** Jobs may await others, a job may leave slices behind for a moment, and a slice may be cut by later ones. */
-    public static final int PIPELINES = 2;
+    public static final int DEPENDENCIES = 2;
 
     /** What this version knows. */
-    public static final int CURRENT = PIPELINES;
+    public static final int CURRENT = DEPENDENCIES;
 
     private SchemaVersion() {}
 }
--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -13,26 +13,26 @@
     /**
      * A job that is not final, or is cancelled with tasks that may still be on machines.
      *
-     * @param deals how its tasks were dealt at acceptance; deal N holds until slice N has a key of its own
+     * @param assignments how its tasks were dealt at acceptance; deal N holds until slice N has a key of its own
      */
-    record JobRecord(Job job, List<SliceAssignment> deals, long abortedMs, UnknownFields unknown)
+    record JobRecord(Job job, List<SliceAssignment> assignments, long cancelledAtMs, UnknownFields unknown)
             implements StoredValue {
-        public JobRecord(Job job, List<SliceAssignment> deals, long abortedMs) {
-            this(job, deals, abortedMs, UnknownFields.NONE);
+        public JobRecord(Job job, List<SliceAssignment> assignments, long cancelledAtMs) {
+            this(job, assignments, cancelledAtMs, UnknownFields.NONE);
         }
 
         /**
          * The same record with the mark that the job is cancelled. Nothing of it is launched any more, so how it was
          * dealt is left out where a value has no room for it.
          */
-        public JobRecord cancelled(long atMs, ValueSizer size, int mostBytes) {
-            JobRecord marked = new JobRecord(job, deals, atMs, unknown);
+        public JobRecord asCancelled(long atMs, ValueSizer size, int mostBytes) {
+            JobRecord marked = new JobRecord(job, assignments, atMs, unknown);
             return size.bytes(marked) <= mostBytes ? marked : new JobRecord(job, List.of(), atMs, unknown);
         }
 
         /** True if the job was cancelled. */
-        public boolean aborted() {
-            return abortedMs > 0;
+        public boolean isCancelled() {
+            return cancelledAtMs > 0;
         }
     }
 
@@ -44,58 +44,58 @@
     }
 
     /** The final state of a job; never deleted. */
-    record JobResult(boolean aborted, long atMs) implements StoredValue {}
+    record JobResult(boolean cancelled, long endedAtMs) implements StoredValue {}
 
     /**
      * A run of a job's tasks.
      *
      * @param owner the controller it is dealt to; another acts once that one left the map
-     * @param launches number of the latest launch
+     * @param launchCount number of the latest launch
      * @param done tasks that are done, as offsets from {@code first}
      */
     record Slice(
             String owner,
             int first,
             int count,
-            int launches,
+            int launchCount,
             BitSet done,
             List<Attempt> attempts,
             UnknownFields unknown)
             implements StoredValue {
-        public Slice(String owner, int first, int count, int launches, BitSet done, List<Attempt> attempts) {
-            this(owner, first, count, launches, done, attempts, UnknownFields.NONE);
+        public Slice(String owner, int first, int count, int launchCount, BitSet done, List<Attempt> attempts) {
+            this(owner, first, count, launchCount, done, attempts, UnknownFields.NONE);
         }
 
         /** The same slice with other outcomes. */
         public Slice withOutcomes(BitSet nowDone, List<Attempt> left) {
-            return new Slice(owner, first, count, launches, nowDone, List.copyOf(left), unknown);
+            return new Slice(owner, first, count, launchCount, nowDone, List.copyOf(left), unknown);
         }
 
         /** The same slice owned by the launching controller, after one more launch. */
         public Slice withLaunch(String launcher, List<Attempt> live) {
-            return new Slice(launcher, first, count, launches + 1, done, List.copyOf(live), unknown);
+            return new Slice(launcher, first, count, launchCount + 1, done, List.copyOf(live), unknown);
         }
 
         /** The same slice dealt to another controller. */
         public Slice withOwner(String other) {
-            return new Slice(other, first, count, launches, done, attempts, unknown);
+            return new Slice(other, first, count, launchCount, done, attempts, unknown);
         }
 
         /** The run of {@code length} tasks that begins {@code from} tasks after the first. */
-        public Slice part(int from, int length) {
+        public Slice subrange(int from, int length) {
             BitSet doneThere = done.get(from, from + length);
             List<Attempt> there = new ArrayList<>();
-            for (Attempt a : attempts) {
-                int offset = a.task() - first;
+            for (Attempt attempt : attempts) {
+                int offset = attempt.task() - first;
                 if (offset >= from && offset < from + length) {
-                    there.add(a);
+                    there.add(attempt);
                 }
             }
-            return new Slice(owner, first + from, length, launches, doneThere, List.copyOf(there), unknown);
+            return new Slice(owner, first + from, length, launchCount, doneThere, List.copyOf(there), unknown);
         }
 
         /** True if every task of the slice is done. */
-        public boolean complete() {
+        public boolean isComplete() {
             return done.cardinality() == count;
         }
 
@@ -105,24 +105,24 @@
         }
 
         /** Tasks that are neither done nor may be on a machine. */
-        public int waiting() {
+        public int pendingCount() {
             return count - done.cardinality() - attempts.size();
         }
 
         /** Tasks that are done or may be on a machine, as offsets from {@code first}. */
-        public BitSet taken() {
+        public BitSet occupied() {
             BitSet taken = (BitSet) done.clone();
-            for (Attempt a : attempts) {
-                taken.set(a.task() - first);
+            for (Attempt attempt : attempts) {
+                taken.set(attempt.task() - first);
             }
             return taken;
         }
 
         /** The attempt that may be running the task, or null. */
         public Attempt attemptOf(int task) {
-            for (Attempt a : attempts) {
-                if (a.task() == task) {
-                    return a;
+            for (Attempt attempt : attempts) {
+                if (attempt.task() == task) {
+                    return attempt;
                 }
             }
             return null;
@@ -132,37 +132,43 @@
     /**
      * The live controllers. Each change has a higher epoch.
      *
-     * @param moved machines that could not reach the controller of their part, and the one that took them over
-     * @param loans by how much shares of teams' limits differ from equal ones; those of a team add up to nothing
-     * @param formats by controller, live or not, the newest form of stored values that it has shown to know, see
+     * @param reassignedMachines machines that could not reach the controller of their part, and the one that took them
+     *     over
+     * @param quotaTransfers by how much shares of teams' limits differ from equal ones; those of a team add up to
+     *     nothing
+     * @param schemaVersions by controller, live or not, the newest form of stored values that it has shown to know, see
      *     {@link SchemaVersion}. Version 0.1 drops this field from each map that it writes, and it writes one to join
      */
     record PartitionMap(
             long epoch,
             List<Member> members,
-            Map<String, String> moved,
-            List<QuotaTransfer> loans,
-            Map<String, Integer> formats,
+            Map<String, String> reassignedMachines,
+            List<QuotaTransfer> quotaTransfers,
+            Map<String, Integer> schemaVersions,
             UnknownFields unknown)
             implements StoredValue {
-        public PartitionMap(long epoch, List<Member> members, Map<String, String> moved, List<QuotaTransfer> loans) {
-            this(epoch, members, moved, loans, Map.of(), UnknownFields.NONE);
+        public PartitionMap(
+                long epoch,
+                List<Member> members,
+                Map<String, String> reassignedMachines,
+                List<QuotaTransfer> quotaTransfers) {
+            this(epoch, members, reassignedMachines, quotaTransfers, Map.of(), UnknownFields.NONE);
         }
 
-        public PartitionMap(long epoch, List<Member> members, Map<String, String> moved) {
-            this(epoch, members, moved, List.of());
+        public PartitionMap(long epoch, List<Member> members, Map<String, String> reassignedMachines) {
+            this(epoch, members, reassignedMachines, List.of());
         }
 
         /** True if the controller is a member. */
-        public boolean has(String name) {
+        public boolean hasMember(String name) {
             return incarnation(name) != 0;
         }
 
         /** The epoch at which the controller joined, or 0 if it is not in the map. */
         public long incarnation(String name) {
-            for (Member m : members) {
-                if (m.name().equals(name)) {
-                    return m.incarnation();
+            for (Member member : members) {
+                if (member.name().equals(name)) {
+                    return member.incarnation();
                 }
             }
             return 0;
@@ -170,7 +176,7 @@
     }
 
     /** What a controller's share of a team's limit has beyond an equal one, or less if it is negative. */
-    record QuotaTransfer(String team, String node, double cpus, double gpus) {}
+    record QuotaTransfer(String team, String controller, double cpus, double gpus) {}
 
     /** A controller and the epoch at which it joined. */
     record Member(String name, long incarnation) {}
@@ -178,9 +184,9 @@
     /**
      * Attached to a controller's lease: it is there as long as the controller renews.
      *
-     * @param format the newest form of stored values that the controller knows, see {@link SchemaVersion}
+     * @param schemaVersion the newest form of stored values that the controller knows, see {@link SchemaVersion}
      */
-    record Presence(long incarnation, int format) implements StoredValue {
+    record Presence(long incarnation, int schemaVersion) implements StoredValue {
         public Presence(long incarnation) {
             this(incarnation, SchemaVersion.CURRENT);
         }
@@ -192,12 +198,12 @@
     /**
      * Why no launch may be written for a machine any more.
      *
-     * @param names the machines, if the record is about several; else its key names the one
+     * @param machines the machines, if the record is about several; else its key names the one
      */
-    record DecommissionRecord(DecommissionState fate, String reason, List<String> names, UnknownFields unknown)
+    record DecommissionRecord(DecommissionState state, String reason, List<String> machines, UnknownFields unknown)
             implements StoredValue {
-        public DecommissionRecord(DecommissionState fate, String reason, List<String> names) {
-            this(fate, reason, names, UnknownFields.NONE);
+        public DecommissionRecord(DecommissionState state, String reason, List<String> machines) {
+            this(state, reason, machines, UnknownFields.NONE);
         }
     }
 
@@ -207,10 +213,10 @@
     /** What is to become of a machine. */
     enum DecommissionState {
         /** idle, to be returned unless a launch came first */
-        RETURN,
+        SCALE_IN,
         /** silent or faulty, to be deleted whatever is on it */
         DELETE,
         /** proven gone */
-        GONE
+        TERMINATED
     }
 }
--- a/src/main/java/dewlane/core/schema/Transaction.java
+++ b/src/main/java/dewlane/core/schema/Transaction.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** A conditional write, applied as a whole or not at all. */
-public record Transaction(List<Precondition> when, List<Write> apply) {
+public record Transaction(List<Precondition> preconditions, List<Write> writes) {
 
     /** The key must have this version; 0: it must not exist. */
     public record Precondition(String key, long version) {}
@@ -18,57 +18,57 @@
         CONFLICT,
         INVALID,
         /** Not executed: more changes or requests than the rate allows. */
-        OVER_RATE,
+        RATE_LIMITED,
         /** Not executed: the state service is out, for all or for this controller. */
-        REFUSED,
+        UNAVAILABLE,
         UNKNOWN
     }
 
     /** Collects the parts of a transaction. */
     public static final class Builder {
-        private final List<Precondition> when = new ArrayList<>();
-        private final List<Write> apply = new ArrayList<>();
+        private final List<Precondition> preconditions = new ArrayList<>();
+        private final List<Write> writes = new ArrayList<>();
 
         /** Makes the transaction conditional on the version of a key; 0: the key does not exist. */
-        public Builder when(String key, long version) {
+        public Builder require(String key, long version) {
             Precondition guard = new Precondition(key, version);
-            if (!when.contains(guard)) {
-                when.add(guard);
+            if (!preconditions.contains(guard)) {
+                preconditions.add(guard);
             }
             return this;
         }
 
         /** Writes a key. */
-        public Builder set(String key, StoredValue value) {
-            apply.add(new Write(key, value, 0));
+        public Builder put(String key, StoredValue value) {
+            writes.add(new Write(key, value, 0));
             return this;
         }
 
         /** Writes a key that goes when the lease ends. */
-        public Builder setLeased(String key, StoredValue value, long lease) {
-            apply.add(new Write(key, value, lease));
+        public Builder putWithLease(String key, StoredValue value, long lease) {
+            writes.add(new Write(key, value, lease));
             return this;
         }
 
         /** Deletes a key. */
         public Builder delete(String key) {
-            apply.add(new Write(key, null, 0));
+            writes.add(new Write(key, null, 0));
             return this;
         }
 
         /** How many conditions there are so far. */
-        public int guards() {
-            return when.size();
+        public int preconditionCount() {
+            return preconditions.size();
         }
 
         /** How many changes there are so far. */
-        public int writes() {
-            return apply.size();
+        public int writeCount() {
+            return writes.size();
         }
 
         /** The transaction as it stands. */
         public Transaction build() {
-            return new Transaction(List.copyOf(when), List.copyOf(apply));
+            return new Transaction(List.copyOf(preconditions), List.copyOf(writes));
         }
     }
 }
--- a/src/main/java/dewlane/core/store/DecommissionIndex.java
+++ b/src/main/java/dewlane/core/store/DecommissionIndex.java
@@ -11,39 +11,41 @@
 /** The records that let go of machines, by their keys and by the names of the machines. */
 public final class DecommissionIndex {
     /** A record of one or several machines, its key, and the version of that. */
-    public record Entry(String key, DecommissionRecord record, long version) {
+    public record Entry(String key, DecommissionRecord record, long revision) {
         /** The machines that the record is about. */
-        public List<String> names() {
-            return record.names().isEmpty() ? List.of(key.substring(StoreKeys.MACHINES.length())) : record.names();
+        public List<String> machines() {
+            return record.machines().isEmpty()
+                    ? List.of(key.substring(StoreKeys.DECOMMISSIONS.length()))
+                    : record.machines();
         }
     }
 
-    private final Map<String, Entry> byName = new LinkedHashMap<>();
+    private final Map<String, Entry> byMachine = new LinkedHashMap<>();
     private final Map<String, Entry> byKey = new LinkedHashMap<>();
 
     DecommissionIndex() {}
 
     void clear() {
-        byName.clear();
+        byMachine.clear();
         byKey.clear();
     }
 
     /** Takes a change of a record; returns the new one, or null if the record is gone or the change is an old one. */
     Entry apply(Input.KeyChange change) {
         Entry known = byKey.get(change.key());
-        if (known != null && known.version > change.version()) {
+        if (known != null && known.revision > change.revision()) {
             return null;
         }
         if (known != null) {
             byKey.remove(change.key());
-            known.names().forEach(name -> byName.remove(name, known));
+            known.machines().forEach(name -> byMachine.remove(name, known));
         }
         if (change.value() == null) {
             return null;
         }
-        Entry entry = new Entry(change.key(), (DecommissionRecord) change.value(), change.version());
+        Entry entry = new Entry(change.key(), (DecommissionRecord) change.value(), change.revision());
         byKey.put(entry.key, entry);
-        entry.names().forEach(name -> byName.put(name, entry));
+        entry.machines().forEach(name -> byMachine.put(name, entry));
         return entry;
     }
 
@@ -51,7 +53,7 @@
         return byKey.values();
     }
 
-    Map<String, Entry> byName() {
-        return byName;
+    Map<String, Entry> byMachine() {
+        return byMachine;
     }
 }
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -14,11 +14,11 @@
     public final String id;
     private final TreeMap<Integer, SliceEntry> slices = new TreeMap<>();
     private JobRecord record;
-    private long version;
-    private Job.Requirements shape;
+    private long revision;
+    private Job.Requirements requirements;
     private Priority priority;
     private long deadlineMs = NO_DEADLINE;
-    private long waitsSinceMs;
+    private long waitingSinceMs;
 
     JobEntry(String id) {
         this.id = id;
@@ -30,13 +30,13 @@
     }
 
     /** The job's shape; only of a job that has a record. */
-    public Job.Requirements shape() {
-        return shape;
+    public Job.Requirements requirements() {
+        return requirements;
     }
 
     /** True if the job was cancelled by its own user, or a cancellation that passed down to it is durable. */
-    public boolean aborted() {
-        return record != null && record.aborted();
+    public boolean isCancelled() {
+        return record != null && record.isCancelled();
     }
 
     /** The job's record, or null if it has none any more. */
@@ -45,13 +45,13 @@
     }
 
     /** When the job was cancelled; 0: it was not. */
-    public long abortedMs() {
-        return record == null ? 0 : record.abortedMs();
+    public long cancelledAtMs() {
+        return record == null ? 0 : record.cancelledAtMs();
     }
 
     /** The revision of the latest change. */
-    public long version() {
-        return version;
+    public long revision() {
+        return revision;
     }
 
     /** The highest priority of the job and of all jobs that need it, directly or through others. */
@@ -68,40 +68,40 @@
     }
 
     /** Time of day from which the job's waiting counts: its acceptance, or the end of the last job that it awaited. */
-    public long waitsSinceMs() {
-        return waitsSinceMs;
+    public long waitingSinceMs() {
+        return waitingSinceMs;
     }
 
     /** Time of day of the job's own deadline, counted from its submission however long it awaits others. */
     public long ownDeadlineMs() {
         Job job = record.job();
-        return job.deadlineS() > 0 ? job.acceptedMs() + (long) (1000 * job.deadlineS()) : NO_DEADLINE;
+        return job.deadlineS() > 0 ? job.acceptedAtMs() + (long) (1000 * job.deadlineS()) : NO_DEADLINE;
     }
 
-    public void expect(Priority highest, long earliestDeadlineMs) {
+    public void inheritUrgency(Priority highest, long earliestDeadlineMs) {
         priority = highest;
         deadlineMs = earliestDeadlineMs;
     }
 
     /** The last job that this one awaited ended at the given time of day. */
-    public void released(long atMs) {
-        waitsSinceMs = Math.max(waitsSinceMs, atMs);
+    public void dependencyEnded(long atMs) {
+        waitingSinceMs = Math.max(waitingSinceMs, atMs);
     }
 
     void store(JobRecord stored, long at) {
         boolean first = record == null;
         record = stored;
-        version = at;
-        shape = stored.job().shape();
+        revision = at;
+        requirements = stored.job().requirements();
         if (first) {
-            expect(stored.job().priority(), ownDeadlineMs());
-            waitsSinceMs = stored.job().acceptedMs();
+            inheritUrgency(stored.job().priority(), ownDeadlineMs());
+            waitingSinceMs = stored.job().acceptedAtMs();
         }
     }
 
     void removeRecord() {
         record = null;
-        version = 0;
+        revision = 0;
     }
 
     /** The slices that the job is cut into. */
@@ -114,48 +114,48 @@
     }
 
     /** How many tasks are done. */
-    public int done() {
+    public int doneCount() {
         int n = 0;
-        for (SliceEntry s : slices.values()) {
-            n += s.value().done().cardinality();
+        for (SliceEntry slice : slices.values()) {
+            n += slice.value().done().cardinality();
         }
         return n;
     }
 
     /** How many attempts may be on a machine. */
-    public int live() {
+    public int liveAttemptCount() {
         int n = 0;
-        for (SliceEntry s : slices.values()) {
-            n += s.value().attempts().size();
+        for (SliceEntry slice : slices.values()) {
+            n += slice.value().attempts().size();
         }
         return n;
     }
 
     /** Tasks that are neither done nor may be on a machine. */
-    public int waiting() {
+    public int pendingCount() {
         int n = 0;
-        for (SliceEntry s : slices.values()) {
-            n += s.value().waiting();
+        for (SliceEntry slice : slices.values()) {
+            n += slice.value().pendingCount();
         }
         return n;
     }
 
     /** True if every task has a done mark. */
-    public boolean complete() {
-        return record != null && done() == record.job().tasks();
+    public boolean isComplete() {
+        return record != null && doneCount() == record.job().tasks();
     }
 
     /** A number that no slice of the job has had, since slices go only with their job. */
-    public int nextSlice() {
+    public int nextSliceNumber() {
         return slices.isEmpty() ? 0 : slices.lastKey() + 1;
     }
 
     /** The slice that holds a task, or null. */
     public SliceEntry sliceOf(int task) {
-        for (SliceEntry s : slices.values()) {
-            if (task >= s.value().first()
-                    && task < s.value().first() + s.value().count()) {
-                return s;
+        for (SliceEntry slice : slices.values()) {
+            if (task >= slice.value().first()
+                    && task < slice.value().first() + slice.value().count()) {
+                return slice;
             }
         }
         return null;
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -25,7 +25,7 @@
         void absent();
 
         /** The state service did not say. */
-        void noAnswer();
+        void unavailable();
     }
 
     private record Read(String job, Listener listener) {}
@@ -41,23 +41,23 @@
         this.replica = replica;
         Settings settings = context.settings();
         double controllers = settings.peers().size() + 1;
-        double perS = settings.stateRps() * REQUEST_SHARE / controllers;
+        double perS = settings.storeRequestsPerS() * REQUEST_SHARE / controllers;
         this.rate = new TokenBucket(perS, Math.max(LEAST_BURST, perS));
     }
 
     /** Asks for a job's final state; false if that is more than the rate allows now, and then nobody is told. */
     public boolean read(String job, Listener listener) {
-        if (!rate.take(context.now())) {
+        if (!rate.tryAcquire(context.nowMs())) {
             return false;
         }
         long id = nextRead++;
         reads.put(id, new Read(job, listener));
-        context.emit(new Effect.ReadValue(id, StoreKeys.fin(job)));
+        context.emit(new Effect.ReadValue(id, StoreKeys.jobResult(job)));
         return true;
     }
 
     /** Takes an answer of the state service. */
-    public void answered(Input.ValueRead in) {
+    public void onValueRead(Input.ValueRead in) {
         Read read = reads.remove(in.id());
         if (read == null) {
             return;
@@ -65,10 +65,10 @@
         if (in.known() && in.value() == null) {
             read.listener().absent();
         } else if (in.known() && in.value() instanceof JobResult result) {
-            replica.rememberFinal(read.job(), result);
+            replica.recordResult(read.job(), result);
             read.listener().found(result);
         } else {
-            read.listener().noAnswer();
+            read.listener().unavailable();
         }
     }
 }
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -45,31 +45,31 @@
         this.replica = replica;
         Settings settings = context.settings();
         int controllers = settings.peers().size() + 1;
-        this.pauseMs = Math.round(1000 * controllers / (settings.stateRps() * REQUEST_SHARE));
+        this.pauseMs = Math.round(1000 * controllers / (settings.storeRequestsPerS() * REQUEST_SHARE));
     }
 
     /** Runs {@code proceed} once the replica holds all that is durable now, or {@code fail} if that cannot be known. */
     public void await(Runnable proceed, Runnable fail) {
-        arrived.add(new Question(context.now(), proceed, fail));
-        pump();
+        arrived.add(new Question(context.nowMs(), proceed, fail));
+        sendRequest();
     }
 
     /** Takes the answer to the request under way. */
-    public void answered(Input.RevisionRead in) {
+    public void onRevisionRead(Input.RevisionRead in) {
         asking = false;
         List<Question> batch = asked;
         asked = List.of();
         if (in.known()) {
             proven.add(new Batch(in.revision(), batch));
-            advanced();
+            onReplicaAdvanced();
         } else {
             batch.forEach(q -> q.fail().run());
         }
-        pump();
+        sendRequest();
     }
 
     /** The replica has come further. */
-    void advanced() {
+    void onReplicaAdvanced() {
         while (!proven.isEmpty() && proven.peek().revision() <= replica.revision()) {
             proven.poll().questions().forEach(q -> q.proceed().run());
         }
@@ -80,17 +80,17 @@
         while (!proven.isEmpty() && late(proven.peek().questions().get(0))) {
             proven.poll().questions().forEach(q -> q.fail().run());
         }
-        pump();
+        sendRequest();
     }
 
     private boolean late(Question question) {
-        return context.now() - question.at() > PATIENCE_MS;
+        return context.nowMs() - question.at() > PATIENCE_MS;
     }
 
-    private void pump() {
-        if (!asking && !arrived.isEmpty() && context.now() - askedAt >= pauseMs) {
+    private void sendRequest() {
+        if (!asking && !arrived.isEmpty() && context.nowMs() - askedAt >= pauseMs) {
             asking = true;
-            askedAt = context.now();
+            askedAt = context.nowMs();
             asked = arrived;
             arrived = new ArrayList<>();
             context.emit(new Effect.ReadRevision());
--- a/src/main/java/dewlane/core/store/SliceEntry.java
+++ b/src/main/java/dewlane/core/store/SliceEntry.java
@@ -9,7 +9,7 @@
     public final String key;
     private Slice stored;
     private Slice value;
-    private long version;
+    private long revision;
 
     SliceEntry(String job, int number) {
         this.number = number;
@@ -22,8 +22,8 @@
     }
 
     /** The revision of the latest change; 0 while the job's deal stands for the slice. */
-    public long version() {
-        return version;
+    public long revision() {
+        return revision;
     }
 
     Slice stored() {
@@ -33,11 +33,11 @@
     void store(Slice slice, long at) {
         stored = slice;
         value = slice;
-        version = at;
+        revision = at;
     }
 
     /** Restricts the slice to its first tasks, as another one holds the rest. */
     void restrictTo(int count) {
-        value = count == stored.count() ? stored : stored.part(0, count);
+        value = count == stored.count() ? stored : stored.subrange(0, count);
     }
 }
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -27,50 +27,50 @@
  */
 public final class StoreReplica {
     private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
-    private final DecommissionIndex machines = new DecommissionIndex();
+    private final DecommissionIndex decommissions = new DecommissionIndex();
     private final Map<String, Presence> presences = new LinkedHashMap<>();
     /** Jobs of which only slices are left. */
-    private final Set<JobEntry> leftovers = new LinkedHashSet<>();
+    private final Set<JobEntry> endedJobsWithSlices = new LinkedHashSet<>();
 
     private final UnreadableKeys unreadable = new UnreadableKeys();
 
-    private final Object2LongOpenHashMap<String> teams = new Object2LongOpenHashMap<>();
-    private final Cache<String, JobResult> finals =
+    private final Object2LongOpenHashMap<String> teamUsageRevisions = new Object2LongOpenHashMap<>();
+    private final Cache<String, JobResult> results =
             Caffeine.newBuilder().maximumSize(20_000).executor(Runnable::run).build();
-    private final Consumer<ReplicaChange> follower;
-    private PartitionMap map;
-    private long mapVersion;
+    private final Consumer<ReplicaChange> listener;
+    private PartitionMap partitionMap;
+    private long partitionMapRevision;
     private long revision;
     private boolean loading;
 
     public StoreReplica(Consumer<ReplicaChange> follower) {
-        this.follower = follower;
+        this.listener = follower;
     }
 
     /** Begins anew from a listing. Changes after {@code listedAt} must follow, whether or not the rows have them. */
     void load(List<Input.StoreRow> rows, long listedAt) {
         for (JobEntry entry : List.copyOf(jobs.values())) {
             for (SliceEntry slice : List.copyOf(entry.slices())) {
-                follower.accept(new ReplicaChange.SliceChanged(entry, slice, slice.value(), null));
+                listener.accept(new ReplicaChange.SliceChanged(entry, slice, slice.value(), null));
             }
             JobRecord before = entry.record();
             entry.removeRecord();
             if (before != null) {
-                follower.accept(new ReplicaChange.JobChanged(entry, before, null));
+                listener.accept(new ReplicaChange.JobChanged(entry, before, null));
             }
         }
         jobs.clear();
-        leftovers.clear();
+        endedJobsWithSlices.clear();
         unreadable.clear();
-        machines.clear();
+        decommissions.clear();
         presences.clear();
-        teams.clear();
-        mapVersion = 0;
+        teamUsageRevisions.clear();
+        partitionMapRevision = 0;
         loading = true;
         rows.stream()
                 .sorted(Comparator.comparing((Input.StoreRow row) -> !row.key().startsWith(StoreKeys.JOBS))
-                        .thenComparingLong(Input.StoreRow::version))
-                .forEach(row -> apply(new Input.KeyChange(row.key(), row.value(), row.version())));
+                        .thenComparingLong(Input.StoreRow::revision))
+                .forEach(row -> apply(new Input.KeyChange(row.key(), row.value(), row.revision())));
         loading = false;
         revision = listedAt;
     }
@@ -79,31 +79,34 @@
     public void apply(Input.KeyChange change) {
         String key = change.key();
         if (change.value() instanceof StoredValue.Unreadable bad) {
-            noteUnreadable(key, bad.reason());
+            applyUnreadable(key, bad.reason());
         } else if (key.startsWith(StoreKeys.SLICES)) {
-            slice(key.substring(StoreKeys.SLICES.length()), change);
+            applySlice(key.substring(StoreKeys.SLICES.length()), change);
         } else if (key.startsWith(StoreKeys.JOBS)) {
-            job(key.substring(StoreKeys.JOBS.length()), change);
-        } else if (key.startsWith(StoreKeys.FINALS)) {
+            applyJob(key.substring(StoreKeys.JOBS.length()), change);
+        } else if (key.startsWith(StoreKeys.JOB_RESULTS)) {
             if (change.value() != null) {
-                rememberFinal(key.substring(StoreKeys.FINALS.length()), (JobResult) change.value());
+                recordResult(key.substring(StoreKeys.JOB_RESULTS.length()), (JobResult) change.value());
             }
-        } else if (key.startsWith(StoreKeys.MACHINES)) {
-            machineRecord(change);
-        } else if (key.startsWith(StoreKeys.PRESENCE)) {
-            presence(key.substring(StoreKeys.PRESENCE.length()), (Presence) change.value());
-        } else if (key.startsWith(StoreKeys.TEAMS)) {
-            String name = key.substring(StoreKeys.TEAMS.length());
-            teams.put(name, Math.max(teams.getLong(name), change.value() == null ? 0 : change.version()));
-        } else if (key.equals(StoreKeys.MAP) && change.value() != null && change.version() > mapVersion) {
-            PartitionMap before = map;
-            map = (PartitionMap) change.value();
-            mapVersion = change.version();
-            follower.accept(new ReplicaChange.PartitionMapChanged(before, map, !loading));
+        } else if (key.startsWith(StoreKeys.DECOMMISSIONS)) {
+            applyDecommission(change);
+        } else if (key.startsWith(StoreKeys.PRESENCES)) {
+            applyPresence(key.substring(StoreKeys.PRESENCES.length()), (Presence) change.value());
+        } else if (key.startsWith(StoreKeys.TEAM_USAGES)) {
+            String name = key.substring(StoreKeys.TEAM_USAGES.length());
+            teamUsageRevisions.put(
+                    name, Math.max(teamUsageRevisions.getLong(name), change.value() == null ? 0 : change.revision()));
+        } else if (key.equals(StoreKeys.PARTITION_MAP)
+                && change.value() != null
+                && change.revision() > partitionMapRevision) {
+            PartitionMap before = partitionMap;
+            partitionMap = (PartitionMap) change.value();
+            partitionMapRevision = change.revision();
+            listener.accept(new ReplicaChange.PartitionMapChanged(before, partitionMap, !loading));
         }
     }
 
-    private void presence(String name, Presence presence) {
+    private void applyPresence(String name, Presence presence) {
         if (presence == null) {
             presences.remove(name);
         } else {
@@ -116,30 +119,30 @@
      * told about, a controller counts as present, and an unreadable map is never replaced, as its version stays
      * unknown.
      */
-    private void noteUnreadable(String key, String reason) {
+    private void applyUnreadable(String key, String reason) {
         if (key.startsWith(StoreKeys.SLICES) || key.startsWith(StoreKeys.JOBS)) {
             unreadable.add(key);
-        } else if (key.startsWith(StoreKeys.PRESENCE)) {
-            presences.put(key.substring(StoreKeys.PRESENCE.length()), new Presence(0, SchemaVersion.FIRST));
+        } else if (key.startsWith(StoreKeys.PRESENCES)) {
+            presences.put(key.substring(StoreKeys.PRESENCES.length()), new Presence(0, SchemaVersion.FIRST));
         }
-        follower.accept(new ReplicaChange.ValueUnreadable(key, reason));
+        listener.accept(new ReplicaChange.ValueUnreadable(key, reason));
     }
 
     /** True if something of the job is stored that cannot be read, so that nothing about it may be decided. */
-    public boolean isHeld(String job) {
-        return unreadable.holds(job);
+    public boolean isUnreadable(String job) {
+        return unreadable.contains(job);
     }
 
     /** Jobs of which something cannot be read. */
-    public Set<String> held() {
+    public Set<String> unreadableJobs() {
         return unreadable.jobs();
     }
 
-    private void machineRecord(Input.KeyChange change) {
-        DecommissionIndex.Entry entry = machines.apply(change);
+    private void applyDecommission(Input.KeyChange change) {
+        DecommissionIndex.Entry entry = decommissions.apply(change);
         if (entry != null) {
-            entry.names()
-                    .forEach(name -> follower.accept(new ReplicaChange.MachineDecommissioned(name, entry.record())));
+            entry.machines()
+                    .forEach(name -> listener.accept(new ReplicaChange.MachineDecommissioned(name, entry.record())));
         }
     }
 
@@ -147,11 +150,11 @@
         revision = Math.max(revision, to);
     }
 
-    private void job(String id, Input.KeyChange change) {
-        unreadable.readable(id, change.key());
+    private void applyJob(String id, Input.KeyChange change) {
+        unreadable.markReadable(id, change.key());
         JobEntry entry = jobs.get(id);
         if (change.value() == null) {
-            if (entry != null && entry.version() < change.version()) {
+            if (entry != null && entry.revision() < change.revision()) {
                 removeJob(entry);
             }
             return;
@@ -160,13 +163,13 @@
             entry = new JobEntry(id);
             jobs.put(id, entry);
         }
-        if (change.version() >= entry.version()) {
+        if (change.revision() >= entry.revision()) {
             JobRecord before = entry.record();
-            entry.store((JobRecord) change.value(), change.version());
-            leftovers.remove(entry);
-            follower.accept(new ReplicaChange.JobChanged(entry, before, entry.record()));
+            entry.store((JobRecord) change.value(), change.revision());
+            endedJobsWithSlices.remove(entry);
+            listener.accept(new ReplicaChange.JobChanged(entry, before, entry.record()));
             if (before == null) {
-                deal(entry);
+                applyAssignments(entry);
             }
         }
     }
@@ -175,40 +178,40 @@
         JobRecord before = entry.record();
         entry.removeRecord();
         if (before != null) {
-            follower.accept(new ReplicaChange.JobChanged(entry, before, null));
+            listener.accept(new ReplicaChange.JobChanged(entry, before, null));
         }
-        entry.slices().removeIf(slice -> slice.version() == 0);
-        keepLeftovers(entry);
+        entry.slices().removeIf(slice -> slice.revision() == 0);
+        updateEndedJob(entry);
     }
 
     /** A slice that has no key yet is as it was dealt, at version 0. */
-    private void deal(JobEntry entry) {
-        List<StoredValue.SliceAssignment> deals = entry.record().deals();
+    private void applyAssignments(JobEntry entry) {
+        List<StoredValue.SliceAssignment> deals = entry.record().assignments();
         for (int i = 0; i < deals.size(); i++) {
             if (!entry.slicesByNumber().containsKey(i)) {
                 SliceEntry slice = new SliceEntry(entry.id, i);
                 slice.store(deals.get(i).slice(), 0);
                 entry.slicesByNumber().put(i, slice);
-                slice.restrictTo(countLeft(entry, slice));
+                slice.restrictTo(remainingCount(entry, slice));
             }
         }
     }
 
-    private void slice(String name, Input.KeyChange change) {
+    private void applySlice(String name, Input.KeyChange change) {
         int slash = name.lastIndexOf('/');
         String id = name.substring(0, Math.max(0, slash));
         int number;
         try {
             number = Integer.parseInt(name.substring(slash + 1));
         } catch (NumberFormatException e) {
-            follower.accept(new ReplicaChange.ValueUnreadable(change.key(), "no slice number"));
+            listener.accept(new ReplicaChange.ValueUnreadable(change.key(), "no slice number"));
             return;
         }
-        unreadable.readable(id, change.key());
+        unreadable.markReadable(id, change.key());
         JobEntry entry = jobs.get(id);
         if (change.value() == null) {
             if (entry != null) {
-                removeSlice(entry, number, change.version());
+                removeSlice(entry, number, change.revision());
             }
             return;
         }
@@ -216,37 +219,37 @@
             entry = new JobEntry(id);
             jobs.put(id, entry);
         }
-        storeSlice(entry, number, (Slice) change.value(), change.version());
-        keepLeftovers(entry);
+        storeSlice(entry, number, (Slice) change.value(), change.revision());
+        updateEndedJob(entry);
     }
 
     private void removeSlice(JobEntry entry, int number, long version) {
         SliceEntry held = entry.slicesByNumber().get(number);
-        if (held != null && held.version() < version) {
+        if (held != null && held.revision() < version) {
             entry.slicesByNumber().remove(number);
-            follower.accept(new ReplicaChange.SliceChanged(entry, held, held.value(), null));
+            listener.accept(new ReplicaChange.SliceChanged(entry, held, held.value(), null));
         }
-        keepLeftovers(entry);
+        updateEndedJob(entry);
     }
 
     private void storeSlice(JobEntry entry, int number, Slice value, long version) {
         SliceEntry held = entry.slicesByNumber().computeIfAbsent(number, n -> new SliceEntry(entry.id, n));
-        if (version < held.version()) {
+        if (version < held.revision()) {
             return;
         }
         Slice before = held.value();
         held.store(value, version);
-        held.restrictTo(countLeft(entry, held));
+        held.restrictTo(remainingCount(entry, held));
         // What it takes over leaves the others first, so that no attempt is in two slices in between.
         for (SliceEntry other : entry.slicesByNumber().headMap(number).values()) {
-            int count = countLeft(entry, other);
+            int count = remainingCount(entry, other);
             if (count != other.value().count()) {
                 Slice was = other.value();
                 other.restrictTo(count);
-                follower.accept(new ReplicaChange.SliceChanged(entry, other, was, other.value()));
+                listener.accept(new ReplicaChange.SliceChanged(entry, other, was, other.value()));
             }
         }
-        follower.accept(new ReplicaChange.SliceChanged(entry, held, before, held.value()));
+        listener.accept(new ReplicaChange.SliceChanged(entry, held, before, held.value()));
     }
 
     /**
@@ -254,7 +257,7 @@
      * slices with higher numbers, which take over its last tasks group by group: a task is always in the slice with the
      * highest number that holds it.
      */
-    private static int countLeft(JobEntry entry, SliceEntry slice) {
+    private static int remainingCount(JobEntry entry, SliceEntry slice) {
         int first = slice.stored().first();
         int count = slice.stored().count();
         for (SliceEntry later :
@@ -267,21 +270,21 @@
         return count;
     }
 
-    private void keepLeftovers(JobEntry entry) {
+    private void updateEndedJob(JobEntry entry) {
         if (entry.record() != null) {
             return;
         }
         if (entry.slices().isEmpty()) {
-            leftovers.remove(entry);
+            endedJobsWithSlices.remove(entry);
             jobs.remove(entry.id);
         } else {
-            leftovers.add(entry);
+            endedJobsWithSlices.add(entry);
         }
     }
 
     /** Jobs that are over and of which only slices are left, to be deleted. */
-    public Collection<JobEntry> leftovers() {
-        return leftovers;
+    public Collection<JobEntry> endedJobsWithSlices() {
+        return endedJobsWithSlices;
     }
 
     /** The revision up to which everything is known. */
@@ -290,13 +293,13 @@
     }
 
     /** The present map; null before the first. */
-    public PartitionMap map() {
-        return map;
+    public PartitionMap partitionMap() {
+        return partitionMap;
     }
 
     /** The revision of the map's latest change. */
-    public long mapVersion() {
-        return mapVersion;
+    public long partitionMapRevision() {
+        return partitionMapRevision;
     }
 
     /** The jobs that are not over. */
@@ -310,29 +313,29 @@
     }
 
     /** The job, or null if it has no record: it is over or was never accepted, or its record cannot be read. */
-    public JobEntry recorded(String id) {
+    public JobEntry activeJob(String id) {
         JobEntry entry = jobs.get(id);
         return entry == null || entry.record() == null ? null : entry;
     }
 
     /** The final state of a job if this node has seen it; absence proves nothing. */
-    public JobResult fin(String id) {
-        return finals.getIfPresent(id);
+    public JobResult result(String id) {
+        return results.getIfPresent(id);
     }
 
-    public void rememberFinal(String id, JobResult fin) {
-        finals.put(id, fin);
-        follower.accept(new ReplicaChange.JobEnded(id, fin));
+    public void recordResult(String id, JobResult fin) {
+        results.put(id, fin);
+        listener.accept(new ReplicaChange.JobEnded(id, fin));
     }
 
     /** Records of machines by their keys. */
-    public Collection<DecommissionIndex.Entry> machineRecords() {
-        return machines.byKey();
+    public Collection<DecommissionIndex.Entry> decommissions() {
+        return decommissions.byKey();
     }
 
     /** Records of machines by the machines' names. */
-    public Map<String, DecommissionIndex.Entry> machines() {
-        return machines.byName();
+    public Map<String, DecommissionIndex.Entry> decommissionsByMachine() {
+        return decommissions.byMachine();
     }
 
     /** The controllers whose leases live, by name. */
@@ -341,7 +344,7 @@
     }
 
     /** The revision of the latest change of a team's use. */
-    public long teamVersion(String team) {
-        return teams.getLong(team);
+    public long teamUsageRevision(String team) {
+        return teamUsageRevisions.getLong(team);
     }
 }
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -42,76 +42,76 @@
     }
 
     /** True if the state has been read and is followed. */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return loaded;
     }
 
     /** True if the replica holds all that was durable at some moment, with nothing of a later one in between. */
-    public boolean caughtUp() {
+    public boolean isCaughtUp() {
         return loaded && replica.revision() >= loadedFrom;
     }
 
     /** Asks for the whole state if it is not followed. */
     public void tick() {
-        if (!loaded && !listing && context.now() - listedAt > LIST_AGAIN_MS) {
+        if (!loaded && !listing && context.nowMs() - listedAt > LIST_AGAIN_MS) {
             listing = true;
-            listedAt = context.now();
+            listedAt = context.nowMs();
             context.emit(new Effect.ListStore());
         }
     }
 
     /** The whole state was read. */
-    public void listed(Input.StoreListed in) {
-        membership.contact();
+    public void onListed(Input.StoreListed in) {
+        membership.onStoreContact();
         listing = false;
         loaded = true;
         // Changes between the listing's first and last page are only complete once the watch has passed them.
-        loadedFrom = in.latest();
+        loadedFrom = in.latestRevision();
         replica.load(in.rows(), in.revision());
-        cancellations.viewed(listedAt);
-        barrier.advanced();
+        cancellations.viewRefreshed(listedAt);
+        barrier.onReplicaAdvanced();
         context.info("read " + replica.jobs().size() + " jobs from the state service at revision " + in.revision());
         watch(in.revision());
     }
 
     /** The state could not be read. */
-    public void listFailed() {
+    public void onListFailed() {
         listing = false;
     }
 
     private void watch(long since) {
-        watchedAt = context.now();
+        watchedAt = context.nowMs();
         context.emit(new Effect.Watch(since));
     }
 
     /** A watch was answered; true if it brought changes. */
-    public boolean changed(Input.WatchEvents in) {
+    public boolean onEvents(Input.WatchEvents in) {
         if (!loaded) {
             return false;
         }
-        membership.contact();
+        membership.onStoreContact();
         for (Input.KeyChange change : in.changes()) {
             replica.apply(change);
         }
         counters.changesSeen += in.changes().size();
         log(in);
         replica.advance(in.revision());
-        barrier.advanced();
-        cancellations.viewed(watchedAt);
+        barrier.onReplicaAdvanced();
+        cancellations.viewRefreshed(watchedAt);
         watch(in.revision());
         return !in.changes().isEmpty();
     }
 
     private void log(Input.WatchEvents in) {
-        if (context.ordersLogged() && !in.changes().isEmpty()) {
+        if (context.logsCommands() && !in.changes().isEmpty()) {
             context.debug("the state is read up to revision " + in.revision() + ": "
-                    + in.changes().size() + " changes, asked for " + (context.now() - watchedAt) + " ms ago");
+                    + in.changes().size() + " changes, asked for " + (context.nowMs() - watchedAt) + " ms ago");
         }
     }
 
     /** A watch ended without an answer. */
-    public void watchFailed(Input.WatchFailed in) {
-        if (in.tooOld()) {
+    public void onWatchFailed(Input.WatchFailed in) {
+        if (in.revisionCompacted()) {
             context.info("the watch fell behind, reading the state anew");
             loaded = false;
         } else if (loaded) {
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -38,7 +38,7 @@
          * Called once, with the definite answer and its revision. What a user has waited too long for is told as
          * refused or unknown instead; it may then yet be applied.
          */
-        void answered(Transaction.Status status, long revision);
+        void completed(Transaction.Status status, long revision);
     }
 
     private static final class Entry {
@@ -50,32 +50,32 @@
         long notBefore;
         int tries;
 
-        Entry(long id, Urgency urgency, Transaction txn, Listener listener, long submittedAt) {
+        Entry(long id, Urgency urgency, Transaction transaction, Listener listener, long submittedAt) {
             this.submittedAt = submittedAt;
             this.id = id;
             this.urgency = urgency;
-            this.txn = txn;
+            this.txn = transaction;
             this.listener = listener;
         }
     }
 
     private static final int MAX_IN_FLIGHT = 8;
     /** Writes that may wait in the queue before no more are built. */
-    private static final int MOST_WAITING = 6;
+    private static final int MAX_QUEUED = 6;
     /** The part of the burst that is kept for outcomes and users. */
-    private static final double RESERVE = 0.25;
+    private static final double BURST_RESERVE = 0.25;
 
     /** Submissions that may wait before further ones are told to come back. */
-    private static final int MOST_USERS_WAITING = 16;
+    private static final int MAX_QUEUED_SUBMISSIONS = 16;
     /** What users wait for is given up on when they have. */
-    private static final long USER_PATIENCE_MS = 4000;
+    private static final long USER_TIMEOUT_MS = 4000;
     /** Pauses before a write is tried again, doubled with each try. */
-    private static final long PAUSE_MS = 100;
+    private static final long RETRY_BACKOFF_MS = 100;
 
-    private static final long USER_PAUSE_MS = 15;
-    private static final long USER_REFUSED_PAUSE_MS = 50;
-    private static final long LONGEST_PAUSE_MS = 1000;
-    private static final int MOST_DOUBLINGS = 5;
+    private static final long USER_RETRY_BACKOFF_MS = 15;
+    private static final long USER_REFUSED_BACKOFF_MS = 50;
+    private static final long MAX_BACKOFF_MS = 1000;
+    private static final int MAX_DOUBLINGS = 5;
 
     private final ControllerContext context;
     private final ControllerCounters counters;
@@ -84,7 +84,7 @@
     private final Long2ObjectLinkedOpenHashMap<Entry> inFlight = new Long2ObjectLinkedOpenHashMap<>();
     private long nextId = 1;
     /** Entries of the queue by urgency. */
-    private final int[] waiting = new int[Urgency.values().length];
+    private final int[] queuedByUrgency = new int[Urgency.values().length];
 
     private final WriteRateLimiter budget;
     private final ValueSizer size;
@@ -106,55 +106,55 @@
      * True once a write within the present limits was called invalid: the coming ones are in force, which they are only
      * after every controller has been upgraded.
      */
-    public boolean sizeWasRefused() {
+    public boolean wasSizeRejected() {
         return sizeRefused;
     }
 
-    public void submit(Urgency urgency, Transaction txn, Listener listener) {
-        enqueue(new Entry(nextId++, urgency, txn, listener, context.now()));
-        pump();
+    public void submit(Urgency urgency, Transaction transaction, Listener listener) {
+        enqueue(new Entry(nextId++, urgency, transaction, listener, context.nowMs()));
+        sendPending();
     }
 
     /**
      * True if a write of this urgency would be sent soon. Whoever builds writes from what is known asks first: what
      * waits unbuilt gathers, what waits in the queue only grows old.
      */
-    public boolean open(Urgency urgency) {
+    public boolean hasCapacity(Urgency urgency) {
         int before = 0;
         for (int i = 0; i <= urgency.ordinal(); i++) {
-            before += waiting[i];
+            before += queuedByUrgency[i];
         }
-        return before < MOST_WAITING && budget.tokens() >= Math.max(1, budget.capacity() * reserve(urgency));
+        return before < MAX_QUEUED && budget.tokens() >= Math.max(1, budget.capacity() * reserve(urgency));
     }
 
     /**
      * True if a submission can be written soon, and then counts it. What is beyond that is better told to come back:
      * submissions that were all tried again and again took every change there was, and nothing accepted could run.
      */
-    public boolean admitsUser() {
-        return waiting[Urgency.USER.ordinal()] < MOST_USERS_WAITING && budget.admitsUser();
+    public boolean tryAdmitSubmission() {
+        return queuedByUrgency[Urgency.USER.ordinal()] < MAX_QUEUED_SUBMISSIONS && budget.tryAdmitSubmission();
     }
 
     private void enqueue(Entry entry) {
         queue.add(entry);
-        waiting[entry.urgency.ordinal()]++;
+        queuedByUrgency[entry.urgency.ordinal()]++;
     }
 
     /** The part of the burst that is left to more urgent writes. */
     private static double reserve(Urgency urgency) {
         return switch (urgency) {
-            case LAUNCH -> RESERVE;
-            case LATER -> 2 * RESERVE;
+            case LAUNCH -> BURST_RESERVE;
+            case LATER -> 2 * BURST_RESERVE;
             default -> 0;
         };
     }
 
     /** True if changes are short, so that it pays to say more with each. */
-    public boolean scarce() {
+    public boolean isScarce() {
         return budget.tokens() < budget.capacity() / 2;
     }
 
-    public void answered(Input.TransactionCompleted answer) {
+    public void onCompleted(Input.TransactionCompleted answer) {
         Entry entry = inFlight.remove(answer.id());
         if (entry == null) {
             return;
@@ -163,32 +163,32 @@
             case COMMITTED, CONFLICT, INVALID -> {
                 counters.conflicts += answer.status() == Transaction.Status.CONFLICT ? 1 : 0;
                 if (answer.status() == Transaction.Status.INVALID) {
-                    noteInvalid(entry.txn);
+                    reportInvalid(entry.txn);
                 }
-                entry.listener.answered(answer.status(), answer.revision());
+                entry.listener.completed(answer.status(), answer.revision());
             }
             default -> {
                 if (answer.status() != Transaction.Status.UNKNOWN) {
-                    counters.refused++;
-                    budget.refused(answer.status() == Transaction.Status.OVER_RATE);
+                    counters.refusedTransactions++;
+                    budget.onRefused(answer.status() == Transaction.Status.RATE_LIMITED);
                 }
-                if (fromUser(entry) && context.now() - entry.submittedAt > USER_PATIENCE_MS) {
-                    entry.listener.answered(answer.status(), 0);
+                if (isUserRequest(entry) && context.nowMs() - entry.submittedAt > USER_TIMEOUT_MS) {
+                    entry.listener.completed(answer.status(), 0);
                 } else {
-                    tryAgain(entry, answer.status());
+                    retry(entry, answer.status());
                 }
             }
         }
-        pump();
+        sendPending();
     }
 
     /** Says which write was called invalid: it is not sent again as it is, and its writer makes another one. */
-    private void noteInvalid(Transaction txn) {
-        counters.invalid++;
+    private void reportInvalid(Transaction transaction) {
+        counters.invalidTransactions++;
         String largest = null;
         int most = 0;
         boolean leased = false;
-        for (Transaction.Write write : txn.apply()) {
+        for (Transaction.Write write : transaction.writes()) {
             int bytes = write.value() == null ? 0 : size.bytes(write.value());
             leased |= write.lease() != 0;
             if (largest == null || bytes > most) {
@@ -197,37 +197,37 @@
             }
         }
         if (!leased) {
-            sizeRefused |= most > context.settings().valueBytes();
-            context.info("a write of " + txn.apply().size() + " changes was called invalid; its largest value, of "
-                    + largest + ", has " + most + " bytes");
+            sizeRefused |= most > context.settings().maxValueBytes();
+            context.info("a write of " + transaction.writes().size()
+                    + " changes was called invalid; its largest value, of " + largest + ", has " + most + " bytes");
         }
     }
 
-    private static boolean fromUser(Entry entry) {
+    private static boolean isUserRequest(Entry entry) {
         return entry.urgency == Urgency.USER || entry.urgency == Urgency.SAFETY;
     }
 
     /** What users wait for is tried again soon; the rest stays off until there is something to have. */
-    private void tryAgain(Entry entry, Transaction.Status status) {
+    private void retry(Entry entry, Transaction.Status status) {
         entry.tries++;
-        long pause = PAUSE_MS;
+        long pause = RETRY_BACKOFF_MS;
         if (entry.urgency.compareTo(Urgency.USER) <= 0) {
-            boolean busy = status != Transaction.Status.UNKNOWN && fromUser(entry);
-            pause = busy ? USER_REFUSED_PAUSE_MS : USER_PAUSE_MS;
+            boolean busy = status != Transaction.Status.UNKNOWN && isUserRequest(entry);
+            pause = busy ? USER_REFUSED_BACKOFF_MS : USER_RETRY_BACKOFF_MS;
         }
-        entry.notBefore = context.now()
-                + Math.min(LONGEST_PAUSE_MS, pause << Math.min(entry.tries, MOST_DOUBLINGS))
+        entry.notBefore = context.nowMs()
+                + Math.min(MAX_BACKOFF_MS, pause << Math.min(entry.tries, MAX_DOUBLINGS))
                 + context.random().nextInt((int) pause);
         enqueue(entry);
     }
 
-    public void pump() {
+    public void sendPending() {
         List<Entry> later = new ArrayList<>();
         while (!queue.isEmpty() && inFlight.size() < MAX_IN_FLIGHT) {
             Entry entry = queue.poll();
-            waiting[entry.urgency.ordinal()]--;
-            int cost = Math.max(1, entry.txn.apply().size());
-            if (entry.notBefore > context.now()) {
+            queuedByUrgency[entry.urgency.ordinal()]--;
+            int cost = Math.max(1, entry.txn.writes().size());
+            if (entry.notBefore > context.nowMs()) {
                 later.add(entry);
                 continue;
             }
@@ -238,7 +238,7 @@
                 break;
             }
             budget.spend(cost);
-            counters.wrote(entry.urgency, entry.txn.apply().size());
+            counters.countTransaction(entry.urgency, entry.txn.writes().size());
             inFlight.put(entry.id, entry);
             context.emit(new Effect.CommitTransaction(entry.id, entry.txn));
         }
--- a/src/main/java/dewlane/core/store/UnreadableKeys.java
+++ b/src/main/java/dewlane/core/store/UnreadableKeys.java
@@ -20,7 +20,7 @@
     }
 
     /** The key of the job or of one of its slices has a value that can be read, or is gone. */
-    void readable(String job, String key) {
+    void markReadable(String job, String key) {
         Set<String> keys = byJob.isEmpty() ? null : byJob.get(job);
         if (keys != null && keys.remove(key) && keys.isEmpty()) {
             byJob.remove(job);
@@ -28,7 +28,7 @@
     }
 
     /** True if something of the job cannot be read. */
-    boolean holds(String job) {
+    boolean contains(String job) {
         return !byJob.isEmpty() && byJob.containsKey(job);
     }
 
--- a/src/main/java/dewlane/core/store/UnreadableValueLog.java
+++ b/src/main/java/dewlane/core/store/UnreadableValueLog.java
@@ -20,9 +20,9 @@
         this.counters = counters;
     }
 
-    public void note(ReplicaChange.ValueUnreadable unread) {
-        counters.unreadable++;
-        if (rate.take(context.now())) {
+    public void report(ReplicaChange.ValueUnreadable unread) {
+        counters.unreadableValues++;
+        if (rate.tryAcquire(context.nowMs())) {
             context.info(
                     "the value of " + unread.key() + " cannot be read, what depends on it is held: " + unread.reason());
         }
--- a/src/main/java/dewlane/core/store/WriteRateLimiter.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -44,7 +44,7 @@
 
     WriteRateLimiter(ControllerContext context) {
         this.context = context;
-        this.limits = context.settings().state();
+        this.limits = context.settings().store();
         this.userTokens = userBurst();
     }
 
@@ -60,7 +60,7 @@
 
     /** The most that the bucket holds. */
     double capacity() {
-        return Math.max(limits.txnOps(), rate());
+        return Math.max(limits.maxTransactionWrites(), rate());
     }
 
     /**
@@ -72,7 +72,7 @@
     }
 
     /** True if a submission is within the part of the rate that is for them, and then counts it. */
-    boolean admitsUser() {
+    boolean tryAdmitSubmission() {
         refill();
         if (userTokens < 1) {
             return false;
@@ -82,11 +82,11 @@
     }
 
     /** The state service refused a change, for its rate or because it is out. */
-    void refused(boolean overRate) {
+    void onRefused(boolean overRate) {
         boolean atShare = boost <= 1;
         boost = Math.max(1, boost / 2);
-        if (context.now() - emptiedAt >= REFUSAL_MS) {
-            emptiedAt = context.now();
+        if (context.nowMs() - emptiedAt >= REFUSAL_MS) {
+            emptiedAt = context.nowMs();
             tokens = Math.min(tokens, 0);
         }
         if (overRate && atShare && !reduced()) {
@@ -95,28 +95,28 @@
     }
 
     private void countAtShare() {
-        long now = context.now();
+        long now = context.nowMs();
         if (now - countedSince > REFUSALS_WITHIN_MS) {
             countedSince = now;
             refusalsAtShare = 0;
         }
         refusalsAtShare++;
         if (refusalsAtShare >= REFUSALS_AT_SHARE
-                && limits.reducedWriteRps() < limits.present().writeRps()) {
+                && limits.reducedWritesPerS() < limits.present().writesPerS()) {
             boolean again = now - reducedUntil < 2 * REFUSALS_WITHIN_MS;
             reductions = again ? Math.min(MOST_DOUBLINGS, reductions + 1) : 0;
             reducedUntil = now + (REDUCED_MS << reductions);
-            context.info("changes are refused at " + limits.present().writeRps() + " a second, keeping to "
-                    + limits.reducedWriteRps());
+            context.info("changes are refused at " + limits.present().writesPerS() + " a second, keeping to "
+                    + limits.reducedWritesPerS());
         }
     }
 
     private boolean reduced() {
-        return context.now() < reducedUntil;
+        return context.nowMs() < reducedUntil;
     }
 
     private double allowed() {
-        return reduced() ? limits.reducedWriteRps() : limits.present().writeRps();
+        return reduced() ? limits.reducedWritesPerS() : limits.present().writesPerS();
     }
 
     private double rate() {
@@ -124,18 +124,18 @@
     }
 
     private double userBurst() {
-        return limits.reducedWriteRps();
+        return limits.reducedWritesPerS();
     }
 
     private void refill() {
         if (refilledAt == Long.MIN_VALUE) {
             tokens = capacity();
         } else {
-            double passedS = (context.now() - refilledAt) / 1000.0;
+            double passedS = (context.nowMs() - refilledAt) / 1000.0;
             tokens = Math.min(capacity(), tokens + rate() * passedS);
             userTokens = Math.min(userBurst(), userTokens + rate() * USER_SHARE * passedS);
             boost = Math.min(MOST_BOOST, boost + BOOST_PER_S * passedS);
         }
-        refilledAt = context.now();
+        refilledAt = context.nowMs();
     }
 }
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -23,56 +23,56 @@
     }
 
     /** Orders go out with the answer to a report. */
-    void answered(Machine m, List<WorkerCommand> orders) {
-        sent(m, "with the answer to report " + m.sequence, orders);
+    void answered(Machine machine, List<WorkerCommand> orders) {
+        sent(machine, "with the answer to report " + machine.sequence, orders);
     }
 
     /** Orders go out by a direct command. */
-    void commanded(Machine m, List<WorkerCommand> orders) {
-        sent(m, "by command", orders);
+    void commanded(Machine machine, List<WorkerCommand> orders) {
+        sent(machine, "by command", orders);
     }
 
-    private void sent(Machine m, String way, List<WorkerCommand> orders) {
-        if (!context.ordersLogged() || orders.isEmpty()) {
+    private void sent(Machine machine, String way, List<WorkerCommand> orders) {
+        if (!context.logsCommands() || orders.isEmpty()) {
             return;
         }
         StringJoiner text = new StringJoiner(", ");
-        for (WorkerCommand o : orders) {
-            text.add(o.kind() + " " + name(o.job(), o.task(), o.attempt()));
+        for (WorkerCommand command : orders) {
+            text.add(command.action() + " " + name(command.job(), command.task(), command.attempt()));
         }
-        context.debug(m.name + " is told " + way + ", " + standing(m) + ", state read to " + replica.revision() + ": "
-                + text);
+        context.debug(machine.name + " is told " + way + ", " + incarnationOf(machine) + ", state read to "
+                + replica.revision() + ": " + text);
     }
 
     /** A direct command was answered, given up on, or not sent. */
-    void settled(Machine m, Input.CommandCompleted in) {
-        if (!context.ordersLogged()) {
+    void commandCompleted(Machine machine, Input.CommandCompleted in) {
+        if (!context.logsCommands()) {
             return;
         }
-        String what = in.report() != null
-                ? "answered by report " + in.report().sequence()
-                : in.sent() ? "given up on" : "not sent";
-        context.debug("command to " + m.name + " with token " + in.token() + " " + what + " after "
-                + m.channel.commandAgeMs(context.now()) + " ms");
+        String what = in.heartbeat() != null
+                ? "answered by report " + in.heartbeat().sequence()
+                : in.delivered() ? "given up on" : "not sent";
+        context.debug("command to " + machine.name + " with token " + in.fencingToken() + " " + what + " after "
+                + machine.commandChannel.commandAgeMs(context.nowMs()) + " ms");
     }
 
     /** An attempt has ended and is not forgotten yet. */
-    void forgetHeld(Machine m, AttemptId key) {
-        if (context.ordersLogged()) {
-            context.debug(name(key.job(), key.task(), key.number()) + " on " + m.name + " is not forgotten yet, "
-                    + standing(m) + ": a launch of it is under way");
+    void forgetDeferred(Machine machine, AttemptId id) {
+        if (context.logsCommands()) {
+            context.debug(name(id.job(), id.task(), id.number()) + " on " + machine.name + " is not forgotten yet, "
+                    + incarnationOf(machine) + ": a launch of it is under way");
         }
     }
 
     /** All launches on their way to the machine are given up. */
-    void fenceRaised(Machine m, String reason) {
-        if (context.ordersLogged()) {
-            context.debug("fence of " + m.name + " raised, " + standing(m) + ": " + reason);
+    void fenceRaised(Machine machine, String reason) {
+        if (context.logsCommands()) {
+            context.debug("fence of " + machine.name + " raised, " + incarnationOf(machine) + ": " + reason);
         }
     }
 
-    private static String standing(Machine m) {
-        return "token " + m.token() + " session " + m.session;
+    private static String incarnationOf(Machine machine) {
+        return "token " + machine.fencingToken() + " session " + machine.incarnation;
     }
 
     private static String name(String job, int task, int attempt) {
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -21,9 +21,9 @@
 /** Works out what a machine is to be told. All of it follows from the replica and the machine's latest report. */
 final class CommandPlanner {
     /** How long an attempt that the replica does not explain is left alone: the replica may lag. */
-    private static final long UNACCOUNTED_MS = 5000;
+    private static final long REPLICA_LAG_GRACE_MS = 5000;
 
-    private static final int MOST_ORDERS = 400;
+    private static final int MAX_COMMANDS = 400;
     private static final long RESEND_MS = 2000;
 
     private final ControllerContext context;
@@ -52,115 +52,124 @@
     }
 
     /** What the machine should do now. All of it is repeated in every answer until a report shows it done. */
-    List<WorkerCommand> orders(Machine m, boolean inAnswer) {
+    List<WorkerCommand> plan(Machine machine, boolean inAnswer) {
         List<AttemptId> forget = new ArrayList<>();
         List<AttemptId> strangers = new ArrayList<>();
-        m.reported.forEach((key, t) -> {
-            if (!m.live.containsKey(key)) {
-                settle(m, key, t, forget, strangers);
+        machine.reportedTasks.forEach((id, status) -> {
+            if (!machine.attempts.containsKey(id)) {
+                reconcile(machine, id, status, forget, strangers);
             }
         });
-        raiseFenceIfNeeded(m, forget);
-        forget.removeIf(key -> heldBack(m, key));
-        boolean mayLaunch = standing.now().maySendLaunches();
+        raiseFenceIfNeeded(machine, forget);
+        forget.removeIf(id -> isForgetDeferred(machine, id));
+        boolean mayLaunch = standing.current().maySendLaunches();
         List<WorkerCommand> orders = new ArrayList<>();
-        for (AssignedAttempt l : m.live.values()) {
-            WorkerCommand order = orderFor(m, l, mayLaunch);
-            if (order != null && (inAnswer || due(m, l.key))) {
+        for (AssignedAttempt assigned : machine.attempts.values()) {
+            WorkerCommand order = commandFor(machine, assigned, mayLaunch);
+            if (order != null && (inAnswer || isDue(machine, assigned.id))) {
                 orders.add(order);
             }
         }
-        for (AttemptId k : strangers) {
-            if (!inAnswer && !due(m, k)) {
+        for (AttemptId id : strangers) {
+            if (!inAnswer && !isDue(machine, id)) {
                 continue;
             }
-            orders.add(new WorkerCommand(WorkerCommand.Action.STOP, k.job(), k.task(), k.number(), 0));
+            orders.add(new WorkerCommand(WorkerCommand.Action.STOP, id.job(), id.task(), id.number(), 0));
         }
-        for (AttemptId k : forget) {
-            orders.add(new WorkerCommand(WorkerCommand.Action.FORGET, k.job(), k.task(), k.number(), 0));
+        for (AttemptId id : forget) {
+            orders.add(new WorkerCommand(WorkerCommand.Action.FORGET, id.job(), id.task(), id.number(), 0));
         }
         // The rest follows with the next answer: no answer or command may be longer than 64 KiB.
-        return orders.size() > MOST_ORDERS ? orders.subList(0, MOST_ORDERS) : orders;
+        return orders.size() > MAX_COMMANDS ? orders.subList(0, MAX_COMMANDS) : orders;
     }
 
     /** Refuses, from the next answer or command on, launches that must not be carried out any more. */
-    private void raiseFenceIfNeeded(Machine m, List<AttemptId> forget) {
+    private void raiseFenceIfNeeded(Machine machine, List<AttemptId> forget) {
         String reason = null;
-        if (forget.stream().anyMatch(m.channel::launchAbandoned)) {
+        if (forget.stream().anyMatch(machine.commandChannel::isLaunchAbandoned)) {
             reason = "a command that launches what is to be forgotten was given up on";
-        } else if (m.live.values().stream().anyMatch(l -> endedOnTheWay(m, l))) {
+        } else if (machine.attempts.values().stream()
+                .anyMatch(assigned -> isLaunchOfStoppedJobInFlight(machine, assigned))) {
             reason = "a launch on its way is of a job that is over";
         }
         if (reason != null) {
             counters.fencesRaised++;
-            m.channel.raiseFence();
-            orderLog.fenceRaised(m, reason);
+            machine.commandChannel.raiseFence();
+            orderLog.fenceRaised(machine, reason);
         }
     }
 
     /** A launch that may still be on its way must not arrive after its job's cancellation. */
-    private boolean endedOnTheWay(Machine m, AssignedAttempt l) {
-        return cancellations.ended(l.job)
-                && !m.reported.containsKey(l.key)
-                && l.attempt.session() == m.session
-                && l.attempt.token() == m.token();
+    private boolean isLaunchOfStoppedJobInFlight(Machine machine, AssignedAttempt assigned) {
+        return cancellations.mustNotRun(assigned.job)
+                && !machine.reportedTasks.containsKey(assigned.id)
+                && assigned.attempt.incarnation() == machine.incarnation
+                && assigned.attempt.fencingToken() == machine.fencingToken();
     }
 
     /** Forgetting waits until no copy of the launch can arrive; raising the fence instead would give up others too. */
-    private boolean heldBack(Machine m, AttemptId key) {
-        boolean held = m.channel.launchUnderWay(key);
+    private boolean isForgetDeferred(Machine machine, AttemptId id) {
+        boolean held = machine.commandChannel.isLaunchInFlight(id);
         if (held) {
-            counters.forgetsHeld++;
-            orderLog.forgetHeld(m, key);
+            counters.forgetsDeferred++;
+            orderLog.forgetDeferred(machine, id);
         }
         return held;
     }
 
-    private boolean due(Machine m, AttemptId key) {
-        return !m.commanded.containsKey(key) || context.now() - m.commanded.getLong(key) > RESEND_MS;
+    private boolean isDue(Machine machine, AttemptId id) {
+        return !machine.commandedAt.containsKey(id) || context.nowMs() - machine.commandedAt.getLong(id) > RESEND_MS;
     }
 
-    private WorkerCommand orderFor(Machine m, AssignedAttempt l, boolean mayLaunch) {
-        TaskStatus t = m.reported.get(l.key);
-        Attempt a = l.attempt;
-        if (t == null) {
+    private WorkerCommand commandFor(Machine machine, AssignedAttempt assigned, boolean mayLaunch) {
+        TaskStatus status = machine.reportedTasks.get(assigned.id);
+        Attempt attempt = assigned.attempt;
+        if (status == null) {
             // Only the token written with the launch may ever command it, or the proof of gone would not hold. And a
             // launch written long ago must not be sent on a view that may lack its job's cancellation.
             boolean launches = mayLaunch
-                    && !cancellations.ended(l.job)
-                    && a.session() == m.session
-                    && a.token() == m.token()
-                    && !machines.progress().of(l.job.id).outcomes.containsKey(l.key);
-            return launches ? new WorkerCommand(WorkerCommand.Action.LAUNCH, l.job.id, a.task(), a.number(), 0) : null;
+                    && !cancellations.mustNotRun(assigned.job)
+                    && attempt.incarnation() == machine.incarnation
+                    && attempt.fencingToken() == machine.fencingToken()
+                    && !machines.progress()
+                            .getOrCreate(assigned.job.id)
+                            .outcomes
+                            .containsKey(assigned.id);
+            return launches
+                    ? new WorkerCommand(
+                            WorkerCommand.Action.LAUNCH, assigned.job.id, attempt.task(), attempt.number(), 0)
+                    : null;
         }
-        if (t.phase() == Phase.EXITED) {
+        if (status.phase() == Phase.EXITED) {
             return null;
         }
-        if (cancellations.ended(l.job)) {
-            return new WorkerCommand(WorkerCommand.Action.STOP, l.job.id, a.task(), a.number(), 0);
+        if (cancellations.mustNotRun(assigned.job)) {
+            return new WorkerCommand(WorkerCommand.Action.STOP, assigned.job.id, attempt.task(), attempt.number(), 0);
         }
-        Double grace = m.stops.get(l.key);
-        return grace == null || t.phase() == Phase.SAVING
+        Double grace = machine.preemptions.get(assigned.id);
+        return grace == null || status.phase() == Phase.SAVING
                 ? null
-                : new WorkerCommand(WorkerCommand.Action.STOP, l.job.id, a.task(), a.number(), grace);
+                : new WorkerCommand(
+                        WorkerCommand.Action.STOP, assigned.job.id, attempt.task(), attempt.number(), grace);
     }
 
     /** An attempt on the machine that the replica does not hold against it. */
-    private void settle(Machine m, AttemptId key, TaskStatus t, List<AttemptId> forget, List<AttemptId> strangers) {
-        if (replica.isHeld(key.job())) {
+    private void reconcile(
+            Machine machine, AttemptId id, TaskStatus status, List<AttemptId> forget, List<AttemptId> strangers) {
+        if (replica.isUnreadable(id.job())) {
             return;
         }
-        JobEntry job = replica.job(key.job());
-        SliceEntry slice = job == null ? null : job.sliceOf(key.task());
-        boolean settled = slice != null ? slice.value().launches() >= key.number() : replica.fin(key.job()) != null;
+        JobEntry job = replica.job(id.job());
+        SliceEntry slice = job == null ? null : job.sliceOf(id.task());
+        boolean settled = slice != null ? slice.value().launchCount() >= id.number() : replica.result(id.job()) != null;
         if (!settled) {
-            m.unaccounted.putIfAbsent(key, context.now());
-            settled = context.now() - m.unaccounted.getLong(key) > UNACCOUNTED_MS;
+            machine.unaccountedSince.putIfAbsent(id, context.nowMs());
+            settled = context.nowMs() - machine.unaccountedSince.getLong(id) > REPLICA_LAG_GRACE_MS;
         }
-        if (settled && t.phase() == Phase.EXITED) {
-            forget.add(key);
+        if (settled && status.phase() == Phase.EXITED) {
+            forget.add(id);
         } else if (settled) {
-            strangers.add(key);
+            strangers.add(id);
         }
     }
 }
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -23,7 +23,7 @@
 /** Asks for the deletion of machines of this part that fell silent or are faulty. */
 public final class FailureDetector {
     /** As many as the cloud deletes at once. */
-    private static final int MOST_AT_ONCE = 100;
+    private static final int MAX_DELETED_AT_ONCE = 100;
 
     /**
      * Parts of {@code cancel_s} after which a silent machine with a cancelled task is condemned, and is deleted
@@ -40,7 +40,7 @@
 
     private static final long DELETE_AGAIN_MS = 5000;
     /** A pause between two ticks, which come every second, that only a process that stood still has. */
-    private static final long STOOD_STILL_MS = 3000;
+    private static final long PROCESS_PAUSE_MS = 3000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -72,12 +72,12 @@
 
     /** Looks at all machines of this part, once a second. */
     public void tick() {
-        noteStandstill();
-        if (!membership.joined()) {
+        detectProcessPause();
+        if (!membership.isMember()) {
             return;
         }
-        endCancelled();
-        if (!membership.reachesState()) {
+        deleteWithCancelledTasks();
+        if (!membership.reachesStore()) {
             return;
         }
         if (membership.incarnation() != incarnation) {
@@ -86,41 +86,41 @@
             countSilenceFromNow();
         }
         if (mostAreSilent()) {
-            mostSilentAt = context.now();
+            mostSilentAt = context.nowMs();
         }
-        Map<String, String> condemned = condemned();
+        Map<String, String> condemned = machinesToDecommission();
         condemned.forEach((name, reason) -> context.info("machine " + name + " is " + reason + ", to be deleted with "
-                + machines.get(name).live.size() + " tasks on it"));
+                + machines.get(name).attempts.size() + " tasks on it"));
         List<String> names = List.copyOf(condemned.keySet());
         for (List<String> some :
-                DecommissionBatches.split(names, context.settings().valueBytes())) {
-            condemn(some, condemned.get(some.get(0)));
+                DecommissionBatches.split(names, context.settings().maxValueBytes())) {
+            decommission(some, condemned.get(some.get(0)));
         }
     }
 
     /** What the process slept through is nobody's silence: reports of that time may still be on their way in. */
-    private void noteStandstill() {
-        if (tickedAt != 0 && context.now() - tickedAt > STOOD_STILL_MS) {
-            context.info("stood still for " + (context.now() - tickedAt) + " ms");
+    private void detectProcessPause() {
+        if (tickedAt != 0 && context.nowMs() - tickedAt > PROCESS_PAUSE_MS) {
+            context.info("stood still for " + (context.nowMs() - tickedAt) + " ms");
             countSilenceFromNow();
         }
-        tickedAt = context.now();
+        tickedAt = context.nowMs();
     }
 
     private void countSilenceFromNow() {
-        machines.all().forEach(m -> m.reachability.countSilenceFrom(context.now()));
+        machines.all().forEach(machine -> machine.reachability.countSilenceFrom(context.nowMs()));
     }
 
     /** Those suspected or just fallen silent count too: they do not all begin at the same moment. */
     private boolean mostAreSilent() {
-        long patience = Math.min(patienceMs(), context.settings().heardMs());
+        long patience = Math.min(patienceMs(), context.settings().heartbeatTimeoutMs());
         int heard = 0;
         int silent = 0;
-        for (Machine m : machines.own()) {
-            if (!known(m)) {
+        for (Machine machine : machines.owned()) {
+            if (!known(machine)) {
                 continue;
             }
-            if (m.reachability.isSuspected() || silentFor(m) > patience) {
+            if (machine.reachability.isSuspected() || silentFor(machine) > patience) {
                 silent++;
             } else {
                 heard++;
@@ -130,48 +130,50 @@
     }
 
     private long patienceMs() {
-        return (long) (context.settings().tuning().silentS() * 1000);
+        return (long) (context.settings().tuning().machineTimeoutS() * 1000);
     }
 
     /** Machines to be deleted, with the reason. */
-    private Map<String, String> condemned() {
+    private Map<String, String> machinesToDecommission() {
         Map<String, String> condemned = new LinkedHashMap<>();
-        for (Machine m : machines.own()) {
-            boolean underWay = replica.machines().containsKey(m.name) || asking.contains(m.name);
-            String reason = underWay ? null : reasonToDelete(m);
+        for (Machine machine : machines.owned()) {
+            boolean underWay =
+                    replica.decommissionsByMachine().containsKey(machine.name) || asking.contains(machine.name);
+            String reason = underWay ? null : reasonToDelete(machine);
             if (reason != null) {
-                condemned.put(m.name, reason);
+                condemned.put(machine.name, reason);
             }
         }
         return condemned;
     }
 
-    private String reasonToDelete(Machine m) {
+    private String reasonToDelete(Machine machine) {
         long patience = patienceMs();
-        if (!m.failedJobs.isEmpty() && machines.faulty(m)) {
+        if (!machine.failedJobs.isEmpty() && machines.isFaulty(machine)) {
             return "faulty";
         }
-        if (silentFor(m) <= patience) {
+        if (silentFor(machine) <= patience) {
             return null;
         }
         // Where most are silent, or just were, it is more likely that this controller cannot hear or is not heard.
-        boolean trusts = context.now() - mostSilentAt > context.settings().heardMs();
-        if (known(m) && (trusts || silentFor(m) > UNTRUSTED_PATIENCE * patience)) {
-            return m.sequence > 0 && m.reachability.isSuspected() ? "out of reach" : "silent";
+        boolean trusts = context.nowMs() - mostSilentAt > context.settings().heartbeatTimeoutMs();
+        if (known(machine) && (trusts || silentFor(machine) > UNTRUSTED_PATIENCE * patience)) {
+            return machine.sequence > 0 && machine.reachability.isSuspected() ? "out of reach" : "silent";
         }
         // A hanging machine keeps a cancelled task; only its deletion ends that in time.
-        return hasCancelled(m, CONDEMN) ? "silent with a cancelled task" : null;
+        return hasCancelled(machine, CONDEMN) ? "silent with a cancelled task" : null;
     }
 
     /** Not one returned, nor one of which there is only a report: that may be a late copy from a machine long gone. */
-    private static boolean known(Machine m) {
-        return m.reachability.everConfirmed() && !m.returned || !m.live.isEmpty();
+    private static boolean known(Machine machine) {
+        return machine.reachability.everConfirmed() && !machine.scaleInExpected || !machine.attempts.isEmpty();
     }
 
     /** True if a task on the machine has been cancelled for longer than the part of {@code cancel_s}. */
-    private boolean hasCancelled(Machine m, double share) {
-        double longMs = context.settings().cancelS() * 1000 * share;
-        return m.live.values().stream().anyMatch(l -> !l.over && cancellations.cancelledForMs(l.job) > longMs);
+    private boolean hasCancelled(Machine machine, double share) {
+        double longMs = context.settings().cancellationDeadlineS() * 1000 * share;
+        return machine.attempts.values().stream()
+                .anyMatch(assigned -> !assigned.ended && cancellations.cancelledForMs(assigned.job) > longMs);
     }
 
     /**
@@ -179,42 +181,43 @@
      * for all or refuses the leader. Its deletion by the cloud needs no record: the machine then is as silent as
      * before, the record and the proof follow once they can be written, and a name that was deleted already is ignored.
      */
-    private void endCancelled() {
-        if (context.now() - endedAt < DELETE_AGAIN_MS) {
+    private void deleteWithCancelledTasks() {
+        if (context.nowMs() - endedAt < DELETE_AGAIN_MS) {
             return;
         }
         // There is less time left than for others: one that missed its reports is as good as silent.
-        long patience = context.settings().heardMs();
-        double share = membership.reachesState() ? DELETE : DELETE_WITHOUT_STATE;
+        long patience = context.settings().heartbeatTimeoutMs();
+        double share = membership.reachesStore() ? DELETE : DELETE_WITHOUT_STATE;
         List<String> late = new ArrayList<>();
-        for (Machine m : machines.own()) {
-            if (silentFor(m) > patience && late.size() < MOST_AT_ONCE && hasCancelled(m, share)) {
-                late.add(m.name);
+        for (Machine machine : machines.owned()) {
+            if (silentFor(machine) > patience && late.size() < MAX_DELETED_AT_ONCE && hasCancelled(machine, share)) {
+                late.add(machine.name);
             }
         }
         if (!late.isEmpty()) {
-            endedAt = context.now();
+            endedAt = context.nowMs();
             context.info("deleting at once, as they are silent with cancelled tasks: " + late);
             context.emit(new Effect.DeleteInstances(late));
         }
     }
 
-    private long silentFor(Machine m) {
-        return m.reachability.silentForMs(context.now());
+    private long silentFor(Machine machine) {
+        return machine.reachability.silentForMs(context.nowMs());
     }
 
     /**
      * One record says it of all, since many may be lost at once. It is conditional on the map: nobody else launches on
      * them under it, and one that was cut off must not condemn what others have taken over and hear.
      */
-    private void condemn(List<String> names, String reason) {
+    private void decommission(List<String> names, String reason) {
         asking.addAll(names);
-        String key = StoreKeys.machines(context.settings().node(), incarnation, ++records);
-        Transaction txn = new Transaction.Builder()
-                .when(key, 0)
-                .when(StoreKeys.MAP, replica.mapVersion())
-                .set(key, new DecommissionRecord(DecommissionState.DELETE, reason, names))
+        String key = StoreKeys.decommissionBatch(context.settings().controllerName(), incarnation, ++records);
+        Transaction transaction = new Transaction.Builder()
+                .require(key, 0)
+                .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
+                .put(key, new DecommissionRecord(DecommissionState.DELETE, reason, names))
                 .build();
-        transactions.submit(TransactionQueue.Urgency.OUTCOME, txn, (status, revision) -> asking.removeAll(names));
+        transactions.submit(
+                TransactionQueue.Urgency.OUTCOME, transaction, (status, revision) -> asking.removeAll(names));
     }
 }
--- a/src/main/java/dewlane/core/worker/HeartbeatHandler.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -76,7 +76,7 @@
         this.placement = placement;
         this.standing = standing;
         this.counters = counters;
-        this.self = context.settings().node();
+        this.self = context.settings().controllerName();
         this.orderLog = new CommandLog(context, replica);
         this.planner = new CommandPlanner(context, replica, machines, cancellations, standing, counters, orderLog);
     }
@@ -87,40 +87,41 @@
      * <p>A controller whose view is stale may miss a cancellation. It lets its workers' leases run out while there is
      * still time for that: see {@link Authority} and {@link CancellationTracker}.
      */
-    public void report(long id, Heartbeat r) {
-        counters.reports++;
-        if (!standing.now().mayAnswerWorkers()) {
-            counters.reportsRefused++;
-            refuse(id);
+    public void onHeartbeat(long id, Heartbeat heartbeat) {
+        counters.heartbeats++;
+        if (!standing.current().mayRenewWorkerLeases()) {
+            counters.heartbeatsRejected++;
+            reject(id);
             return;
         }
-        if (machines.isGone(r.machine())) {
-            refuse(id);
+        if (machines.isTerminated(heartbeat.machine())) {
+            reject(id);
             return;
         }
-        Machine m = machines.of(r.machine());
-        if (!self.equals(m.owner)) {
-            if (id != 0 && cannotReachOwner(m, r)) {
-                membership.claim(m.name);
-                refuse(id);
+        Machine machine = machines.getOrCreate(heartbeat.machine());
+        if (!self.equals(machine.owner)) {
+            if (id != 0 && cannotReachOwner(machine, heartbeat)) {
+                membership.claimMachine(machine.name);
+                reject(id);
             } else if (id != 0) {
-                context.emit(new Effect.RedirectHeartbeat(id, m.owner));
+                context.emit(new Effect.RedirectHeartbeat(id, machine.owner));
             }
             return;
         }
         // Copies come late: one that is no newer than what was taken says nothing, whatever it says.
-        if (r.token() > m.token() || !r.newerThan(m.session, m.sequence)) {
-            refuse(id);
+        if (heartbeat.fencingToken() > machine.fencingToken()
+                || !heartbeat.isNewerThan(machine.incarnation, machine.sequence)) {
+            reject(id);
             return;
         }
-        take(m, r, id == 0);
+        apply(machine, heartbeat, id == 0);
         if (id != 0) {
-            m.reachability.reported(context.now());
-            m.channel.answerSettled();
-            List<WorkerCommand> orders = planner.orders(m, true);
-            m.channel.answerSent(launches(orders));
-            orderLog.answered(m, orders);
-            context.emit(new Effect.AnswerHeartbeat(id, m.token(), orders));
+            machine.reachability.reported(context.nowMs());
+            machine.commandChannel.answerSettled();
+            List<WorkerCommand> orders = planner.plan(machine, true);
+            machine.commandChannel.answerSent(launches(orders));
+            orderLog.answered(machine, orders);
+            context.emit(new Effect.AnswerHeartbeat(id, machine.fencingToken(), orders));
         }
     }
 
@@ -129,69 +130,75 @@
      * come back. Without this, a cut between them lasts until its lease has run out. The second report must be newer
      * than the first and than what the owner has: late copies of old reports move no machine.
      */
-    private boolean cannotReachOwner(Machine m, Heartbeat r) {
-        machines.learn(r.machine(), r.address(), r.type(), r.zone(), r.spot());
-        if (!membership.reachesState() || m.address == null || !r.newerThan(m.session, m.sequence)) {
+    private boolean cannotReachOwner(Machine machine, Heartbeat heartbeat) {
+        machines.discover(
+                heartbeat.machine(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+        if (!membership.reachesStore()
+                || machine.address == null
+                || !heartbeat.isNewerThan(machine.incarnation, machine.sequence)) {
             return false;
         }
         // Workers of one that died wander until the map says who has them, and those of one that has just come have yet
         // to get there. Each take-over is a new map, which undoes every launch under way.
-        if (!peers.heard(m.owner, OWNER_HEARD_MS) || context.now() - m.ownerSince < SETTLE_MS) {
-            m.strayReports.forget();
+        if (!peers.heardWithin(machine.owner, OWNER_HEARD_MS) || context.nowMs() - machine.ownerSince < SETTLE_MS) {
+            machine.misroutedHeartbeats.reset();
             return false;
         }
-        long strayedMs = m.strayReports.take(r, context.now(), STRAY_MS);
-        return strayedMs > (machines.listedByOwner(m) ? LISTED_STRAY_MS : LEAST_STRAY_MS);
+        long strayedMs = machine.misroutedHeartbeats.record(heartbeat, context.nowMs(), STRAY_MS);
+        return strayedMs > (machines.isListedByOwner(machine) ? LISTED_STRAY_MS : LEAST_STRAY_MS);
     }
 
     private static Set<AttemptId> launches(List<WorkerCommand> orders) {
         Set<AttemptId> launches = new HashSet<>();
-        for (WorkerCommand o : orders) {
-            if (o.kind() == WorkerCommand.Action.LAUNCH) {
-                launches.add(new AttemptId(o.job(), o.task(), o.attempt()));
+        for (WorkerCommand command : orders) {
+            if (command.action() == WorkerCommand.Action.LAUNCH) {
+                launches.add(new AttemptId(command.job(), command.task(), command.attempt()));
             }
         }
         return launches;
     }
 
-    private void refuse(long id) {
+    private void reject(long id) {
         if (id != 0) {
             context.emit(new Effect.RejectHeartbeat(id));
         }
     }
 
-    private void take(Machine m, Heartbeat r, boolean answer) {
-        if (m.tokenSeen == 0 && m.sequence == 0) {
-            context.debug("machine " + m.name + " reports: " + r.type() + " " + r.zone() + (r.spot() ? " spot" : ""));
+    private void apply(Machine machine, Heartbeat heartbeat, boolean answer) {
+        if (machine.highestTokenSeen == 0 && machine.sequence == 0) {
+            context.debug("machine " + machine.name + " reports: " + heartbeat.type() + " " + heartbeat.zone()
+                    + (heartbeat.spot() ? " spot" : ""));
         }
-        if (r.session() != m.session) {
-            m.forgetCommands();
-            m.channel.sessionBegan();
+        if (heartbeat.incarnation() != machine.incarnation) {
+            machine.forgetCommands();
+            machine.commandChannel.incarnationBegan();
         }
-        m.address = r.address();
-        m.isOf(r.type(), r.zone(), r.spot());
-        m.session = r.session();
-        m.sequence = r.sequence();
-        m.tokenSeen = r.token();
+        machine.address = heartbeat.address();
+        machine.describe(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+        machine.incarnation = heartbeat.incarnation();
+        machine.sequence = heartbeat.sequence();
+        machine.highestTokenSeen = heartbeat.fencingToken();
         Map<AttemptId, TaskStatus> reported = new HashMap<>();
-        for (TaskStatus t : r.tasks()) {
-            reported.put(new AttemptId(t.job(), t.task(), t.attempt()), t);
+        for (TaskStatus status : heartbeat.tasks()) {
+            reported.put(new AttemptId(status.job(), status.task(), status.attempt()), status);
         }
-        m.reported = reported;
-        hear(m, r, answer);
-        MachineType type = machines.type(m);
-        for (AssignedAttempt l : m.live.values()) {
-            TaskStatus t = reported.get(l.key);
-            Outcome outcome = t == null ? goneBy(l.attempt, r) : endOf(t);
-            if (t != null && t.phase() != Phase.EXITED && type != null && l.job.job() != null) {
-                m.fetched(l.job.job().image(), l.job.job().imageGb(), type.cacheGb());
+        machine.reportedTasks = reported;
+        assessReachability(machine, heartbeat, answer);
+        MachineType type = machines.type(machine);
+        for (AssignedAttempt assigned : machine.attempts.values()) {
+            TaskStatus status = reported.get(assigned.id);
+            Outcome outcome = status == null ? outcomeIfLost(assigned.attempt, heartbeat) : outcomeOf(status);
+            if (status != null && status.phase() != Phase.EXITED && type != null && assigned.job.job() != null) {
+                machine.imageFetched(
+                        assigned.job.job().image(), assigned.job.job().imageGb(), type.imageCacheGb());
             }
-            if (outcome != null && placement.record(machines.progress().of(l.job.id), l, outcome)) {
-                machines.over(m, l);
-                judge(m, l, outcome);
+            if (outcome != null
+                    && placement.recordOutcome(machines.progress().getOrCreate(assigned.job.id), assigned, outcome)) {
+                machines.attemptEnded(machine, assigned);
+                attributeFailure(machine, assigned, outcome);
             }
         }
-        machines.touch(m);
+        machines.markChanged(machine);
     }
 
     /**
@@ -199,39 +206,42 @@
      * report shows it as long as they come in time and each shows what the answer to the last one gave; else the
      * machine is suspected, gets no further tasks, and is asked.
      */
-    private void hear(Machine m, Heartbeat r, boolean answer) {
-        long now = context.now();
-        boolean missed = m.channel.answerToken() > r.token();
-        for (AttemptId k : m.channel.answerLaunches()) {
-            AssignedAttempt l = m.live.get(k);
-            missed |= l != null && l.attempt.session() == r.session() && !m.reported.containsKey(k);
+    private void assessReachability(Machine machine, Heartbeat heartbeat, boolean answer) {
+        long now = context.nowMs();
+        boolean missed = machine.commandChannel.answerToken() > heartbeat.fencingToken();
+        for (AttemptId id : machine.commandChannel.answerLaunches()) {
+            AssignedAttempt assigned = machine.attempts.get(id);
+            missed |= assigned != null
+                    && assigned.attempt.incarnation() == heartbeat.incarnation()
+                    && !machine.reportedTasks.containsKey(id);
         }
         boolean sure = answer
-                || (m.reachability.isSuspected()
-                        ? m.reachability.endsSuspicion(r.token())
+                || (machine.reachability.isSuspected()
+                        ? machine.reachability.endsSuspicion(heartbeat.fencingToken())
                         : !missed
-                                && m.reachability.confirmedWithin(
-                                        now, context.settings().heardMs()));
+                                && machine.reachability.confirmedWithin(
+                                        now, context.settings().heartbeatTimeoutMs()));
         if (sure) {
-            m.reachability.confirmed(now);
-            m.returned &= replica.machines().containsKey(m.name);
-            notice(m, r);
-        } else if (!m.reachability.isSuspected()) {
+            machine.reachability.confirmed(now);
+            machine.scaleInExpected &= replica.decommissionsByMachine().containsKey(machine.name);
+            applyTerminationNotice(machine, heartbeat);
+        } else if (!machine.reachability.isSuspected()) {
             counters.suspicions++;
-            context.debug("machine " + m.name + " is heard but may not hear: "
+            context.debug("machine " + machine.name + " is heard but may not hear: "
                     + (missed ? "missed an answer" : "was silent"));
-            m.suspect(now);
+            machine.suspect(now);
         }
     }
 
-    private void notice(Machine m, Heartbeat r) {
-        if (Double.isNaN(r.noticeS())) {
-            m.takenAt = 0;
+    private void applyTerminationNotice(Machine machine, Heartbeat heartbeat) {
+        if (Double.isNaN(heartbeat.terminationNoticeS())) {
+            machine.terminationAtMs = 0;
         } else {
-            if (m.takenAt == 0) {
-                context.info("machine " + m.name + " is to be taken away in " + r.noticeS() + " s");
+            if (machine.terminationAtMs == 0) {
+                context.info(
+                        "machine " + machine.name + " is to be taken away in " + heartbeat.terminationNoticeS() + " s");
             }
-            m.takenAt = context.now() + (long) (r.noticeS() * 1000);
+            machine.terminationAtMs = context.nowMs() + (long) (heartbeat.terminationNoticeS() * 1000);
         }
     }
 
@@ -239,18 +249,20 @@
      * A report that lacks an attempt proves it gone only if it is from a later session than the launch, or if the
      * worker had by then seen a token above the launch's, so that a late copy of the launch is refused.
      */
-    private static Outcome goneBy(Attempt a, Heartbeat r) {
-        if (r.session() > a.session() || (r.session() == a.session() && r.token() > a.token())) {
+    private static Outcome outcomeIfLost(Attempt attempt, Heartbeat heartbeat) {
+        if (heartbeat.incarnation() > attempt.incarnation()
+                || (heartbeat.incarnation() == attempt.incarnation()
+                        && heartbeat.fencingToken() > attempt.fencingToken())) {
             return Outcome.GONE;
         }
         return null;
     }
 
-    private static Outcome endOf(TaskStatus t) {
-        if (t.phase() != Phase.EXITED) {
+    private static Outcome outcomeOf(TaskStatus status) {
+        if (status.phase() != Phase.EXITED) {
             return null;
         }
-        return switch (t.end()) {
+        return switch (status.exitReason()) {
             case DONE -> Outcome.DONE;
             case STOPPED -> Outcome.STOPPED;
             case ERROR -> Outcome.ERROR;
@@ -259,54 +271,58 @@
     }
 
     /** Tells faulty machines from faulty jobs: a machine is to blame once tasks of two jobs failed on it in a row. */
-    private void judge(Machine m, AssignedAttempt l, Outcome outcome) {
-        context.debug(l.job.id + "/" + l.attempt.task() + " #" + l.attempt.number() + " on " + m.name + ": " + outcome);
+    private void attributeFailure(Machine machine, AssignedAttempt assigned, Outcome outcome) {
+        context.debug(assigned.job.id + "/" + assigned.attempt.task() + " #" + assigned.attempt.number() + " on "
+                + machine.name + ": " + outcome);
         if (outcome == Outcome.DONE) {
-            m.failedJobs.clear();
+            machine.failedJobs.clear();
         } else if (outcome == Outcome.ERROR) {
-            m.failedJobs.add(l.job.id);
-            JobProgress work = machines.progress().of(l.job.id);
-            work.errors++;
-            work.failedOn.add(m.name);
-            work.notBefore = context.now() + Math.min(30_000, 250L << Math.min(work.errors, 7));
-            context.info("task " + l.job.id + "/" + l.attempt.task() + " failed on " + m.name + " (" + work.errors
-                    + " failures of the job, " + m.failedJobs.size() + " jobs on the machine)");
+            machine.failedJobs.add(assigned.job.id);
+            JobProgress work = machines.progress().getOrCreate(assigned.job.id);
+            work.failureCount++;
+            work.failedMachines.add(machine.name);
+            work.retryAtMs = context.nowMs() + Math.min(30_000, 250L << Math.min(work.failureCount, 7));
+            context.info("task " + assigned.job.id + "/" + assigned.attempt.task() + " failed on " + machine.name + " ("
+                    + work.failureCount + " failures of the job, " + machine.failedJobs.size()
+                    + " jobs on the machine)");
         } else if (outcome == Outcome.REFUSED) {
-            machines.progress().of(l.job.id).notBefore = context.now() + 1000;
+            machines.progress().getOrCreate(assigned.job.id).retryAtMs = context.nowMs() + 1000;
         }
     }
 
     /** Sends what is new straight to the workers; the answers to their reports repeat it. */
-    public void command() {
-        if (!membership.joined() || machines.changed().isEmpty()) {
+    public void sendCommands() {
+        if (!membership.isMember() || machines.changed().isEmpty()) {
             return;
         }
         List<Machine> later = new ArrayList<>();
-        for (Machine m : machines.changed()) {
-            if (m.address == null || m.session == 0) {
+        for (Machine machine : machines.changed()) {
+            if (machine.address == null || machine.incarnation == 0) {
                 continue;
             }
-            if (m.channel.busy()) {
-                later.add(m);
+            if (machine.commandChannel.isCommandInFlight()) {
+                later.add(machine);
                 continue;
             }
-            List<WorkerCommand> orders = planner.orders(m, false);
-            boolean urgent = orders.stream().anyMatch(o -> o.kind() != WorkerCommand.Action.FORGET);
-            boolean probe = m.reachability.probeDue(context.now(), PROBE_MS)
-                    && (!m.reachability.tokenTold() && !m.live.isEmpty() || m.sequence > 0);
+            List<WorkerCommand> orders = planner.plan(machine, false);
+            boolean urgent = orders.stream().anyMatch(command -> command.action() != WorkerCommand.Action.FORGET);
+            boolean probe = machine.reachability.probeDue(context.nowMs(), PROBE_MS)
+                    && (!machine.reachability.tokenTold() && !machine.attempts.isEmpty() || machine.sequence > 0);
             if (urgent || probe) {
                 counters.commands++;
                 counters.probes += probe ? 1 : 0;
                 if (probe) {
-                    m.reachability.probed(context.now());
+                    machine.reachability.probed(context.nowMs());
                 }
-                m.reachability.tokenSent();
-                for (WorkerCommand o : orders) {
-                    m.commanded.put(new AttemptId(o.job(), o.task(), o.attempt()), context.now());
+                machine.reachability.tokenSent();
+                for (WorkerCommand command : orders) {
+                    machine.commandedAt.put(
+                            new AttemptId(command.job(), command.task(), command.attempt()), context.nowMs());
                 }
-                m.channel.commandSent(launches(orders), context.now());
-                orderLog.commanded(m, orders);
-                context.emit(new Effect.SendCommands(m.name, m.address, m.session, m.token(), orders));
+                machine.commandChannel.commandSent(launches(orders), context.nowMs());
+                orderLog.commanded(machine, orders);
+                context.emit(new Effect.SendCommands(
+                        machine.name, machine.address, machine.incarnation, machine.fencingToken(), orders));
             }
         }
         machines.changed().clear();
@@ -315,28 +331,29 @@
 
     /** Looks again at suspected machines, or ones with tasks that are still to show: an order may have been lost. */
     public void tick() {
-        for (Machine m : machines.own()) {
-            if (m.reachability.isSuspected()
-                    || !m.stops.isEmpty()
-                    || m.live.values().stream().anyMatch(l -> !l.over && !m.reported.containsKey(l.key))) {
-                machines.touch(m);
+        for (Machine machine : machines.owned()) {
+            if (machine.reachability.isSuspected()
+                    || !machine.preemptions.isEmpty()
+                    || machine.attempts.values().stream()
+                            .anyMatch(assigned -> !assigned.ended && !machine.reportedTasks.containsKey(assigned.id))) {
+                machines.markChanged(machine);
             }
         }
     }
 
-    public void answered(Input.CommandCompleted in) {
-        Machine m = machines.get(in.machine());
-        if (m == null) {
+    public void onCommandCompleted(Input.CommandCompleted in) {
+        Machine machine = machines.get(in.machine());
+        if (machine == null) {
             return;
         }
-        orderLog.settled(m, in);
-        if (in.report() != null) {
-            m.channel.commandSettled();
-            report(0, in.report());
-        } else if (in.sent()) {
-            counters.launchesGivenUp += m.channel.commandGivenUp() ? 1 : 0;
+        orderLog.commandCompleted(machine, in);
+        if (in.heartbeat() != null) {
+            machine.commandChannel.commandSettled();
+            onHeartbeat(0, in.heartbeat());
+        } else if (in.delivered()) {
+            counters.launchesAbandoned += machine.commandChannel.commandAbandoned() ? 1 : 0;
         } else {
-            m.channel.commandSettled();
+            machine.commandChannel.commandSettled();
         }
     }
 }
--- a/src/main/java/dewlane/io/CloudClient.java
+++ b/src/main/java/dewlane/io/CloudClient.java
@@ -79,7 +79,7 @@
 
     /** The same request under the same name rents nothing twice, so it is repeated until it is answered. */
     private void rent(Effect.CreateInstances rent, int attempt) {
-        byte[] request = CloudProtocol.rent(rent.request(), rent.type(), rent.zone(), rent.spot(), rent.count());
+        byte[] request = CloudProtocol.rent(rent.requestId(), rent.type(), rent.zone(), rent.spot(), rent.count());
         calls.send(Methods.POST, CloudProtocol.MACHINES, request, CALL_MS, (status, body) -> {
             if (status == 200) {
                 List<String> names = List.of();
@@ -88,16 +88,16 @@
                 } catch (IOException e) {
                     LOG.error("unreadable rental: {}", e.getMessage());
                 }
-                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.RENTED, names));
+                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.CREATED, names));
             } else if (status == 503 && CloudProtocol.noCapacity(body)) {
-                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.NO_CAPACITY, List.of()));
+                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.NO_CAPACITY, List.of()));
             } else if (status == 400) {
                 LOG.error("the cloud calls a rental malformed: {}", rent);
-                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.INVALID, List.of()));
+                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.INVALID, List.of()));
             } else if (attempt < RENT_TRIES) {
                 thread.executeAfter(() -> rent(rent, attempt + 1), 1000L * attempt, TimeUnit.MILLISECONDS);
             } else {
-                core.accept(new Input.InstancesCreated(rent.request(), Input.CreateStatus.UNKNOWN, List.of()));
+                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.UNKNOWN, List.of()));
             }
         });
     }
--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -74,7 +74,7 @@
         this.settings = settings;
         this.endpoints = endpoints;
         this.controller = new Controller(settings, seed, value -> StoredValueCodec.bytes(value).length);
-        this.controller.logOrders(CORE.isDebugEnabled());
+        this.controller.logCommands(CORE.isDebugEnabled());
         this.worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -88,7 +88,7 @@
                 thread,
                 buffers,
                 endpoints.state(),
-                settings.stateRps(),
+                settings.storeRequestsPerS(),
                 settings.peers().size() + 1,
                 this::accept);
         this.cloud = new CloudClient(thread, buffers, endpoints.cloud(), this::accept);
@@ -113,7 +113,7 @@
                 .addListener(listener(endpoints.peerListen(), this::servePeer))
                 .build();
         server.start();
-        LOG.info("{} listens on {} and {}", settings.node(), endpoints.listen(), endpoints.peerListen());
+        LOG.info("{} listens on {} and {}", settings.controllerName(), endpoints.listen(), endpoints.peerListen());
         thread.execute(this::tick);
         thread.executeAfter(this::summarise, SUMMARY_MS, TimeUnit.MILLISECONDS);
     }
@@ -157,7 +157,7 @@
         }
         thread.executeAfter(this::summarise, SUMMARY_MS, TimeUnit.MILLISECONDS);
         workers.closeIdle();
-        LOG.info("since the start: {}; connections to {} workers", controller.counts(), workers.size());
+        LOG.info("since the start: {}; connections to {} workers", controller.countersSummary(), workers.size());
         if (userMs.getTotalCount() > 0) {
             LOG.info(
                     "answered {} user requests in the last minute: p50 {} ms, p99 {} ms, longest {} ms",
@@ -181,17 +181,17 @@
 
     private void act(Effect effect) {
         if (effect instanceof Effect.AnswerHeartbeat e) {
-            reply(e.id(), 200, WorkerProtocol.answer(e.token(), e.orders()));
+            reply(e.id(), 200, WorkerProtocol.answer(e.fencingToken(), e.commands()));
         } else if (effect instanceof Effect.RedirectHeartbeat e) {
-            reply(e.id(), 421, WorkerProtocol.redirect(e.node()));
+            reply(e.id(), 421, WorkerProtocol.redirect(e.controller()));
         } else if (effect instanceof Effect.RejectHeartbeat e) {
             reply(e.id(), 503, UserProtocol.error("not entitled now"));
         } else if (effect instanceof Effect.AnswerUser e) {
             answerUser(e);
         } else if (effect instanceof Effect.CommitTransaction e) {
-            state.txn(e.id(), e.txn());
+            state.txn(e.id(), e.transaction());
         } else if (effect instanceof Effect.Watch e) {
-            state.watch(e.since());
+            state.watch(e.afterRevision());
         } else if (effect instanceof Effect.ReadValue e) {
             state.read(e.id(), e.key());
         } else if (effect instanceof Effect.ReadRevision) {
@@ -231,7 +231,7 @@
         if (answer.status() == 503) {
             exchange.getResponseHeaders().put(RETRY_AFTER, answer.retryAfterS());
         }
-        byte[] body = answer.state() != null ? UserProtocol.state(answer.state()) : UserProtocol.error(answer.reason());
+        byte[] body = answer.job() != null ? UserProtocol.state(answer.job()) : UserProtocol.error(answer.reason());
         HttpExchanges.send(exchange, answer.status(), body);
     }
 
@@ -241,7 +241,7 @@
         if (path.equals("/healthz")) {
             if (!method.equals(Methods.GET)) {
                 HttpExchanges.send(exchange, 405, UserProtocol.error("use GET"));
-            } else if (controller.healthy()) {
+            } else if (controller.isHealthy()) {
                 HttpExchanges.send(exchange, 200, UserProtocol.error("none"));
             } else {
                 HttpExchanges.send(exchange, 503, UserProtocol.error("not ready"));
@@ -299,20 +299,20 @@
     }
 
     private void report(HttpServerExchange exchange, byte[] body) {
-        Heartbeat report;
+        Heartbeat heartbeat;
         try {
-            report = WorkerProtocol.report(body);
+            heartbeat = WorkerProtocol.report(body);
         } catch (IOException | NumberFormatException e) {
             HttpExchanges.send(exchange, 400, UserProtocol.error("not a report"));
             return;
         }
-        if (controller.machines() > endpoints.keptReportConnections()) {
+        if (controller.ownedMachineCount() > endpoints.keptReportConnections()) {
             // A controller that is alone with all machines has no connection for each: they take turns.
             exchange.setPersistent(false);
         }
         long id = nextId++;
         pending.put(id, exchange);
-        accept(new Input.HeartbeatReceived(id, report));
+        accept(new Input.HeartbeatReceived(id, heartbeat));
         reply(id, 503, UserProtocol.error("not entitled now"));
     }
 
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -51,7 +51,7 @@
     }
 
     void list() {
-        page(StoreKeys.AFTER_FINALS, new ArrayList<>(), 0);
+        page(StoreKeys.AFTER_JOB_RESULTS, new ArrayList<>(), 0);
     }
 
     private void page(String after, List<Input.StoreRow> rows, long first) {
@@ -102,15 +102,15 @@
                 });
     }
 
-    void txn(long id, Transaction txn) {
-        calls.send(Methods.POST, StoreProtocol.TXN, StoreProtocol.txn(txn), CALL_MS, (status, body) -> {
+    void txn(long id, Transaction transaction) {
+        calls.send(Methods.POST, StoreProtocol.TXN, StoreProtocol.txn(transaction), CALL_MS, (status, body) -> {
             Transaction.Status outcome =
                     switch (status) {
                         case 200 -> Transaction.Status.COMMITTED;
                         case 409 -> Transaction.Status.CONFLICT;
                         case 400 -> Transaction.Status.INVALID;
-                        case 429 -> Transaction.Status.OVER_RATE;
-                        case 503 -> Transaction.Status.REFUSED;
+                        case 429 -> Transaction.Status.RATE_LIMITED;
+                        case 503 -> Transaction.Status.UNAVAILABLE;
                         default -> Transaction.Status.UNKNOWN;
                     };
             long revision = 0;
@@ -134,7 +134,7 @@
             try {
                 if (status == 200) {
                     Input.StoreRow row = StoreProtocol.row(key, body);
-                    core.accept(new Input.ValueRead(id, true, row.value(), row.version()));
+                    core.accept(new Input.ValueRead(id, true, row.value(), row.revision()));
                     return;
                 }
             } catch (IOException e) {
@@ -146,7 +146,7 @@
 
     /** Reads a key that never exists: the answer names the latest revision. */
     void readRevision() {
-        calls.send(Methods.GET, StoreProtocol.get(StoreKeys.NONE), null, CALL_MS, (status, body) -> {
+        calls.send(Methods.GET, StoreProtocol.get(StoreKeys.NEVER_SET), null, CALL_MS, (status, body) -> {
             Input.RevisionRead read = new Input.RevisionRead(false, 0);
             try {
                 if (status == 404) {
--- a/src/main/java/dewlane/io/WorkerCommandClient.java
+++ b/src/main/java/dewlane/io/WorkerCommandClient.java
@@ -22,16 +22,16 @@
     }
 
     void send(Effect.SendCommands command) {
-        byte[] body = WorkerProtocol.command(command.session(), command.token(), command.orders());
+        byte[] body = WorkerProtocol.command(command.incarnation(), command.fencingToken(), command.commands());
         boolean sent = workers.send(
                 command.address(),
                 WorkerProtocol.COMMAND,
                 body,
                 (status, answer) -> core.accept(new Input.CommandCompleted(
-                        command.machine(), command.token(), true, report(command.machine(), status, answer))));
+                        command.machine(), command.fencingToken(), true, report(command.machine(), status, answer))));
         if (!sent) {
             // Nothing went out, so nothing can arrive late: the answers to the machine's reports say the same.
-            core.accept(new Input.CommandCompleted(command.machine(), command.token(), false, null));
+            core.accept(new Input.CommandCompleted(command.machine(), command.fencingToken(), false, null));
         }
     }
 
