--- a/src/main/java/dewlane/wire/JobRecordCodec.java
+++ b/src/main/java/dewlane/wire/JobRecordCodec.java
@@ -37,35 +37,35 @@
 
     private JobRecordCodec() {}
 
-    static void write(JsonGenerator out, Job j) throws IOException {
-        out.writeStringField("id", j.id());
-        out.writeStringField("lot", j.lot());
-        out.writeStringField("team", j.team());
-        out.writeStringField("priority", StoredWords.word(j.priority()));
-        out.writeNumberField("tasks", j.tasks());
-        out.writeNumberField("cpus", j.cpus());
-        out.writeNumberField("gpus", j.gpus());
-        out.writeNumberField("memory", j.memoryGb());
-        out.writeStringField("image", j.image());
-        out.writeNumberField("imageGb", j.imageGb());
+    static void write(JsonGenerator out, Job job) throws IOException {
+        out.writeStringField("id", job.id());
+        out.writeStringField("lot", job.jobClass());
+        out.writeStringField("team", job.team());
+        out.writeStringField("priority", StoredWords.word(job.priority()));
+        out.writeNumberField("tasks", job.tasks());
+        out.writeNumberField("cpus", job.cpus());
+        out.writeNumberField("gpus", job.gpus());
+        out.writeNumberField("memory", job.memoryGb());
+        out.writeStringField("image", job.image());
+        out.writeNumberField("imageGb", job.imageGb());
         out.writeArrayFieldStart("types");
-        for (String t : j.types()) {
+        for (String t : job.types()) {
             out.writeString(t);
         }
         out.writeEndArray();
-        if (j.zone() != null) {
-            out.writeStringField("zone", j.zone());
+        if (job.zone() != null) {
+            out.writeStringField("zone", job.zone());
         }
-        out.writeBooleanField("oneZone", j.oneZone());
-        out.writeBooleanField("spread", j.spread());
-        out.writeBooleanField("spot", j.spot());
-        out.writeNumberField("estimate", j.estimateS());
-        out.writeNumberField("checkpoint", j.checkpointS());
-        out.writeNumberField("save", j.saveS());
-        out.writeNumberField("deadline", j.deadlineS());
-        out.writeNumberField("accepted", j.acceptedMs());
-        if (!j.awaits().isEmpty()) {
-            out.writeStringField("awaits", JobIdListCodec.write(j.awaits()));
+        out.writeBooleanField("oneZone", job.sameZone());
+        out.writeBooleanField("spread", job.spreadZones());
+        out.writeBooleanField("spot", job.spotAllowed());
+        out.writeNumberField("estimate", job.expectedRunS());
+        out.writeNumberField("checkpoint", job.checkpointIntervalS());
+        out.writeNumberField("save", job.checkpointDurationS());
+        out.writeNumberField("deadline", job.deadlineS());
+        out.writeNumberField("accepted", job.acceptedAtMs());
+        if (!job.dependencies().isEmpty()) {
+            out.writeStringField("awaits", JobIdListCodec.write(job.dependencies()));
         }
     }
 
--- a/src/main/java/dewlane/wire/PeerProtocol.java
+++ b/src/main/java/dewlane/wire/PeerProtocol.java
@@ -16,22 +16,22 @@
     private PeerProtocol() {}
 
     /** Encodes what a controller tells its peers. */
-    public static byte[] status(PeerStatus s) throws IOException {
+    public static byte[] status(PeerStatus status) throws IOException {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            out.packString(s.node()).packLong(s.epoch()).packBoolean(s.stateReachable());
-            out.packArrayHeader(s.cancelled().size());
-            for (String job : s.cancelled()) {
+            out.packString(status.controller()).packLong(status.epoch()).packBoolean(status.storeReachable());
+            out.packArrayHeader(status.cancelledJobs().size());
+            for (String job : status.cancelledJobs()) {
                 out.packString(job);
             }
-            out.packArrayHeader(s.machines().size());
-            for (MachineStatus m : s.machines()) {
-                out.packString(m.name())
-                        .packString(m.address())
-                        .packString(m.type())
-                        .packString(m.zone())
-                        .packBoolean(m.spot())
-                        .packLong(m.session())
-                        .packLong(m.sequence());
+            out.packArrayHeader(status.machines().size());
+            for (MachineStatus machine : status.machines()) {
+                out.packString(machine.name())
+                        .packString(machine.address())
+                        .packString(machine.type())
+                        .packString(machine.zone())
+                        .packBoolean(machine.spot())
+                        .packLong(machine.incarnation())
+                        .packLong(machine.sequence());
             }
             return out.toByteArray();
         }
--- a/src/main/java/dewlane/wire/StoreProtocol.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -84,7 +84,7 @@
             Map<String, Object> row = Json.object(o);
             String key = Json.string(row, "key");
             last = key;
-            if (StoreKeys.known(key)) {
+            if (StoreKeys.isKnown(key)) {
                 rows.add(row(key, row));
             }
         }
@@ -99,7 +99,7 @@
             Map<String, Object> e = Json.object(o);
             String set = Json.string(e, "set");
             String key = set == null ? Json.string(e, "delete") : set;
-            if (StoreKeys.known(key)) {
+            if (StoreKeys.isKnown(key)) {
                 StoredValue value = set == null ? null : StoredValueCodec.decode(key, Json.object(e.get("value")));
                 changes.add(new KeyChange(key, value, Json.whole(e, "entry")));
             }
@@ -108,11 +108,11 @@
     }
 
     /** The body of a conditional transaction. */
-    public static byte[] txn(Transaction txn) {
+    public static byte[] txn(Transaction transaction) {
         return Json.write(out -> {
             out.writeStartObject();
             out.writeArrayFieldStart("when");
-            for (Transaction.Precondition g : txn.when()) {
+            for (Transaction.Precondition g : transaction.preconditions()) {
                 out.writeStartObject();
                 out.writeStringField("key", g.key());
                 out.writeNumberField("entry", g.version());
@@ -120,7 +120,7 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("apply");
-            for (Transaction.Write w : txn.apply()) {
+            for (Transaction.Write w : transaction.writes()) {
                 out.writeStartObject();
                 if (w.value() == null) {
                     out.writeStringField("delete", w.key());
--- a/src/main/java/dewlane/wire/StoredValueCodec.java
+++ b/src/main/java/dewlane/wire/StoredValueCodec.java
@@ -37,15 +37,15 @@
         if (value instanceof StoredValue.JobRecord v) {
             jobRecord(out, v);
         } else if (value instanceof StoredValue.JobResult v) {
-            out.writeBooleanField("aborted", v.aborted());
-            out.writeNumberField("at", v.atMs());
+            out.writeBooleanField("aborted", v.cancelled());
+            out.writeNumberField("at", v.endedAtMs());
         } else if (value instanceof StoredValue.Slice v) {
             slice(out, v);
         } else if (value instanceof StoredValue.PartitionMap v) {
             clusterMap(out, v);
         } else if (value instanceof StoredValue.Presence v) {
             out.writeNumberField("incarnation", v.incarnation());
-            out.writeNumberField("format", v.format());
+            out.writeNumberField("format", v.schemaVersion());
         } else if (value instanceof StoredValue.TeamUsageRecord v) {
             out.writeNumberField("cpus", v.cpus());
             out.writeNumberField("gpus", v.gpus());
@@ -60,14 +60,14 @@
     private static void jobRecord(JsonGenerator out, StoredValue.JobRecord record) throws IOException {
         JobRecordCodec.write(out, record.job());
         out.writeArrayFieldStart("deals");
-        for (StoredValue.SliceAssignment deal : record.deals()) {
+        for (StoredValue.SliceAssignment deal : record.assignments()) {
             out.writeString(deal.owner());
             out.writeNumber(deal.first());
             out.writeNumber(deal.count());
         }
         out.writeEndArray();
-        if (record.aborted()) {
-            out.writeNumberField("aborted", record.abortedMs());
+        if (record.isCancelled()) {
+            out.writeNumberField("aborted", record.cancelledAtMs());
         }
         unknownFields(out, record.unknown());
     }
@@ -80,23 +80,23 @@
         }
         out.writeEndObject();
         out.writeObjectFieldStart("moved");
-        for (Map.Entry<String, String> moved : map.moved().entrySet()) {
+        for (Map.Entry<String, String> moved : map.reassignedMachines().entrySet()) {
             out.writeStringField(moved.getKey(), moved.getValue());
         }
         out.writeEndObject();
-        if (!map.loans().isEmpty()) {
+        if (!map.quotaTransfers().isEmpty()) {
             out.writeArrayFieldStart("loans");
-            for (StoredValue.QuotaTransfer loan : map.loans()) {
+            for (StoredValue.QuotaTransfer loan : map.quotaTransfers()) {
                 out.writeString(loan.team());
-                out.writeString(loan.node());
+                out.writeString(loan.controller());
                 out.writeNumber(loan.cpus());
                 out.writeNumber(loan.gpus());
             }
             out.writeEndArray();
         }
-        if (!map.formats().isEmpty()) {
+        if (!map.schemaVersions().isEmpty()) {
             out.writeObjectFieldStart("formats");
-            for (Map.Entry<String, Integer> format : map.formats().entrySet()) {
+            for (Map.Entry<String, Integer> format : map.schemaVersions().entrySet()) {
                 out.writeNumberField(format.getKey(), format.getValue());
             }
             out.writeEndObject();
@@ -105,11 +105,11 @@
     }
 
     private static void machineRecord(JsonGenerator out, StoredValue.DecommissionRecord record) throws IOException {
-        out.writeStringField("fate", StoredWords.word(record.fate()));
+        out.writeStringField("fate", StoredWords.word(record.state()));
         out.writeStringField("reason", record.reason());
-        if (!record.names().isEmpty()) {
+        if (!record.machines().isEmpty()) {
             out.writeArrayFieldStart("names");
-            for (String name : record.names()) {
+            for (String name : record.machines()) {
                 out.writeString(name);
             }
             out.writeEndArray();
@@ -140,17 +140,19 @@
      * Attempts of one launch on one machine are one entry, and what a launch's entries share is written once: the value
      * is written anew at each change and read by every controller.
      */
-    private static void slice(JsonGenerator out, StoredValue.Slice s) throws IOException {
-        out.writeStringField("owner", s.owner());
-        out.writeNumberField("first", s.first());
-        out.writeNumberField("count", s.count());
-        out.writeNumberField("launches", s.launches());
-        out.writeStringField("done", TaskRangeCodec.write(s.done()));
+    private static void slice(JsonGenerator out, StoredValue.Slice slice) throws IOException {
+        out.writeStringField("owner", slice.owner());
+        out.writeNumberField("first", slice.first());
+        out.writeNumberField("count", slice.count());
+        out.writeNumberField("launches", slice.launchCount());
+        out.writeStringField("done", TaskRangeCodec.write(slice.done()));
         Map<Launch, Map<Place, BitSet>> launches = new LinkedHashMap<>();
-        for (Attempt a : s.attempts()) {
-            launches.computeIfAbsent(new Launch(a.number(), a.launchedMs()), l -> new LinkedHashMap<>())
-                    .computeIfAbsent(new Place(a.machine(), a.session(), a.token()), p -> new BitSet())
-                    .set(a.task() - s.first());
+        for (Attempt attempt : slice.attempts()) {
+            launches.computeIfAbsent(new Launch(attempt.number(), attempt.launchedAtMs()), l -> new LinkedHashMap<>())
+                    .computeIfAbsent(
+                            new Place(attempt.machine(), attempt.incarnation(), attempt.fencingToken()),
+                            p -> new BitSet())
+                    .set(attempt.task() - slice.first());
         }
         out.writeArrayFieldStart("live");
         for (Map.Entry<Launch, Map<Place, BitSet>> launch : launches.entrySet()) {
@@ -168,7 +170,7 @@
             out.writeEndArray();
         }
         out.writeEndArray();
-        unknownFields(out, s.unknown());
+        unknownFields(out, slice.unknown());
     }
 
     /** What attempts of one launch share. */
@@ -188,19 +190,19 @@
                         deals(Json.list(in, "deals")),
                         Json.whole(in, "aborted"),
                         unknownFields(in, JobRecordCodec.FIELDS));
-            } else if (key.startsWith(StoreKeys.FINALS)) {
+            } else if (key.startsWith(StoreKeys.JOB_RESULTS)) {
                 return finalRecord(in);
-            } else if (key.startsWith(StoreKeys.MACHINES)) {
+            } else if (key.startsWith(StoreKeys.DECOMMISSIONS)) {
                 return new StoredValue.DecommissionRecord(
                         StoredWords.machineFate(Json.string(in, "fate")),
                         Json.string(in, "reason"),
                         List.copyOf(Json.strings(in, "names")),
                         unknownFields(in, MACHINE_FIELDS));
-            } else if (key.startsWith(StoreKeys.PRESENCE)) {
+            } else if (key.startsWith(StoreKeys.PRESENCES)) {
                 long format = Json.whole(in, "format");
                 return new StoredValue.Presence(
                         Json.whole(in, "incarnation"), format == 0 ? SchemaVersion.FIRST : (int) format);
-            } else if (key.startsWith(StoreKeys.TEAMS)) {
+            } else if (key.startsWith(StoreKeys.TEAM_USAGES)) {
                 return new StoredValue.TeamUsageRecord(Json.number(in, "cpus"), Json.number(in, "gpus"));
             }
             return clusterMap(in);
--- a/src/main/java/dewlane/wire/StoredWords.java
+++ b/src/main/java/dewlane/wire/StoredWords.java
@@ -41,18 +41,18 @@
 
     static String word(DecommissionState fate) {
         return switch (fate) {
-            case RETURN -> RETURN;
+            case SCALE_IN -> RETURN;
             case DELETE -> DELETE;
-            case GONE -> GONE;
+            case TERMINATED -> GONE;
         };
     }
 
     /** The fate that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
     static DecommissionState machineFate(String word) {
         return switch (String.valueOf(word)) {
-            case RETURN -> DecommissionState.RETURN;
+            case RETURN -> DecommissionState.SCALE_IN;
             case DELETE -> DecommissionState.DELETE;
-            case GONE -> DecommissionState.GONE;
+            case GONE -> DecommissionState.TERMINATED;
             default -> throw new IllegalArgumentException("unknown fate of a machine " + word);
         };
     }
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -169,7 +169,7 @@
             case PENDING -> "pending";
             case RUNNING -> "running";
             case DONE -> "done";
-            case ABORTED -> "aborted";
+            case CANCELLED -> "aborted";
         };
     }
 
--- a/src/main/java/dewlane/wire/WorkerProtocol.java
+++ b/src/main/java/dewlane/wire/WorkerProtocol.java
@@ -118,19 +118,19 @@
 
     private static void orders(JsonGenerator out, List<WorkerCommand> orders) throws IOException {
         out.writeArrayFieldStart("orders");
-        for (WorkerCommand o : orders) {
+        for (WorkerCommand command : orders) {
             out.writeStartObject();
             out.writeStringField(
                     "order",
-                    switch (o.kind()) {
+                    switch (command.action()) {
                         case LAUNCH -> "launch";
                         case STOP -> "stop";
                         case FORGET -> "forget";
                     });
-            out.writeStringField("bottle", o.job() + "/" + o.task());
-            out.writeNumberField("try", o.attempt());
-            if (o.kind() == WorkerCommand.Action.STOP) {
-                out.writeNumberField("restS", o.graceS());
+            out.writeStringField("bottle", command.job() + "/" + command.task());
+            out.writeNumberField("try", command.attempt());
+            if (command.action() == WorkerCommand.Action.STOP) {
+                out.writeNumberField("restS", command.graceS());
             }
             out.writeEndObject();
         }
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -31,12 +31,12 @@
     @Test
     void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
         DeployFile file = DeployFile.read(GOOD.toString(), null);
-        assertEquals("node-0", file.settings().node());
+        assertEquals("node-0", file.settings().controllerName());
         assertEquals("127.0.0.1:18085", file.endpoints().state());
-        assertEquals(16_384, file.settings().valueBytes());
-        assertEquals(10, file.settings().within("guarantee", "any"));
-        assertTrue(file.settings().teams().get("blue").limited());
-        assertFalse(new Settings.TeamQuota("none", 0, 0, 0, 0).limited());
+        assertEquals(16_384, file.settings().maxValueBytes());
+        assertEquals(10, file.settings().objectiveS("guarantee", "any"));
+        assertTrue(file.settings().teams().get("blue").hasLimit());
+        assertFalse(new Settings.TeamQuota("none", 0, 0, 0, 0).hasLimit());
     }
 
     @ParameterizedTest
@@ -83,14 +83,14 @@
     void sizesKeepWithinTheSmallerOfBothLimits() throws IOException, SettingsException {
         String file = with("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
         Settings settings = DeployFile.read(file, null).settings();
-        assertEquals(2048, settings.valueBytes());
-        assertEquals(16, settings.txnOps());
-        assertEquals(64, settings.txnGuards());
-        assertEquals(100, settings.stateRps());
-        assertEquals(30, settings.state().present().writeRps());
-        assertEquals(21, settings.state().reducedWriteRps());
+        assertEquals(2048, settings.maxValueBytes());
+        assertEquals(16, settings.maxTransactionWrites());
+        assertEquals(64, settings.maxTransactionPreconditions());
+        assertEquals(100, settings.storeRequestsPerS());
+        assertEquals(30, settings.store().present().writesPerS());
+        assertEquals(21, settings.store().reducedWritesPerS());
         Settings without = DeployFile.read(GOOD.toString(), null).settings();
-        assertEquals(without.state().present(), without.state().next());
+        assertEquals(without.store().present(), without.store().next());
     }
 
     @Test
@@ -111,8 +111,8 @@
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 20\n").toString();
         Settings.Tuning tuning =
                 DeployFile.read(GOOD.toString(), own).settings().tuning();
-        assertEquals(20, tuning.silentS());
-        assertEquals(Settings.Tuning.defaults().idleS(), tuning.idleS());
+        assertEquals(20, tuning.machineTimeoutS());
+        assertEquals(Settings.Tuning.defaults().scaleInIdleS(), tuning.scaleInIdleS());
         String bad =
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 1\n").toString();
         assertEquals(
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -91,12 +91,12 @@
                 new Input.WatchEvents(
                         List.of(
                                 new Input.KeyChange(
-                                        StoreKeys.MAP,
+                                        StoreKeys.PARTITION_MAP,
                                         new PartitionMap(1, List.of(new Member("n0", 1)), Map.of()),
                                         revision),
                                 new Input.KeyChange(StoreKeys.presence("n0"), new Presence(1), revision)),
                         revision));
-        assertTrue(controller.ready());
+        assertTrue(controller.isReady());
         effects.clear();
     }
 }
--- a/src/test/java/dewlane/core/controller/ControllerTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerTest.java
@@ -35,17 +35,18 @@
         assertTrue(effects.stream()
                 .filter(Effect.SendCommands.class::isInstance)
                 .map(Effect.SendCommands.class::cast)
-                .allMatch(c -> c.orders().isEmpty()));
-        Transaction txn = take(Effect.CommitTransaction.class).get(0).txn();
-        List<String> guards =
-                txn.when().stream().map(Transaction.Precondition::key).toList();
+                .allMatch(c -> c.commands().isEmpty()));
+        Transaction transaction = take(Effect.CommitTransaction.class).get(0).transaction();
+        List<String> guards = transaction.preconditions().stream()
+                .map(Transaction.Precondition::key)
+                .toList();
         assertTrue(
                 guards.containsAll(List.of(
                         StoreKeys.job("wk-1"),
                         StoreKeys.slice("wk-1", 0),
-                        StoreKeys.MAP,
-                        StoreKeys.machine("m1"),
-                        StoreKeys.team("blue"))),
+                        StoreKeys.PARTITION_MAP,
+                        StoreKeys.decommission("m1"),
+                        StoreKeys.teamUsage("blue"))),
                 guards.toString());
     }
 
@@ -55,8 +56,8 @@
         change(StoreKeys.job("wk-1"), new JobRecord(job(9, 3), List.of(), 0));
         change(StoreKeys.slice("wk-1", 0), new Slice("n0", 0, 9, 0, new BitSet(), List.of()));
         hear(100, new Input.Tick());
-        Transaction txn = take(Effect.CommitTransaction.class).get(0).txn();
-        Slice written = (Slice) txn.apply().stream()
+        Transaction transaction = take(Effect.CommitTransaction.class).get(0).transaction();
+        Slice written = (Slice) transaction.writes().stream()
                 .filter(w -> w.key().startsWith(StoreKeys.SLICES))
                 .findFirst()
                 .orElseThrow()
@@ -85,12 +86,12 @@
         hear(100, new Input.Tick());
         List<Effect.CommitTransaction> written = take(Effect.CommitTransaction.class);
         assertEquals(1, written.size(), "the worker's later session does");
-        Slice after = (Slice) written.get(0).txn().apply().stream()
+        Slice after = (Slice) written.get(0).transaction().writes().stream()
                 .filter(w -> w.key().startsWith(StoreKeys.SLICES))
                 .findFirst()
                 .orElseThrow()
                 .value();
-        assertTrue(after.attempts().stream().noneMatch(a -> a.number() == 1));
+        assertTrue(after.attempts().stream().noneMatch(attempt -> attempt.number() == 1));
     }
 
     @Test
@@ -104,8 +105,8 @@
         effects.clear();
         hear(3000, new Input.HeartbeatReceived(2, report(1, 2, token)));
         Effect.AnswerHeartbeat answer = take(Effect.AnswerHeartbeat.class).get(0);
-        assertTrue(answer.token() > token);
-        assertEquals(List.of(), answer.orders());
+        assertTrue(answer.fencingToken() > token);
+        assertEquals(List.of(), answer.commands());
     }
 
     /** Found by the test above once passes came later: the index lagged behind the replica. */
@@ -148,7 +149,7 @@
                                 Double.NaN,
                                 List.of(new Heartbeat.TaskStatus(
                                         "wk-1", 0, 1, Heartbeat.Phase.EXITED, Heartbeat.ExitReason.DONE, false)))));
-        assertEquals(List.of(), take(Effect.AnswerHeartbeat.class).get(0).orders());
+        assertEquals(List.of(), take(Effect.AnswerHeartbeat.class).get(0).commands());
     }
 
     @Test
@@ -189,12 +190,12 @@
         hear(10, new Input.GetJobStatus(5, "wk-1"));
         assertEquals(1, take(Effect.ReadRevision.class).size());
         long asked = revision;
-        change(StoreKeys.fin("wk-1"), new StoredValue.JobResult(true, now));
+        change(StoreKeys.jobResult("wk-1"), new StoredValue.JobResult(true, now));
         effects.clear();
         hear(10, new Input.RevisionRead(true, asked));
         assertEquals(
-                Effect.JobCondition.ABORTED,
-                take(Effect.AnswerUser.class).get(0).state().condition());
+                Effect.JobCondition.CANCELLED,
+                take(Effect.AnswerUser.class).get(0).job().condition());
     }
 
     /** Found in a hunt: a read for each of hundreds of polls used up the request rate, and leases were lost with it. */
@@ -215,11 +216,11 @@
         effects.clear();
         hear(1, new Input.RevisionRead(true, revision + 1));
         assertEquals(List.of(), answered(), "the replica may lack what others were told");
-        change(StoreKeys.fin("wk-1"), new StoredValue.JobResult(true, now));
+        change(StoreKeys.jobResult("wk-1"), new StoredValue.JobResult(true, now));
         List<Effect.AnswerUser> answers = take(Effect.AnswerUser.class);
         assertEquals(100, answers.size());
         for (Effect.AnswerUser answer : answers) {
-            assertEquals(Effect.JobCondition.ABORTED, answer.state().condition());
+            assertEquals(Effect.JobCondition.CANCELLED, answer.job().condition());
         }
     }
 
@@ -230,7 +231,7 @@
     /** What a job awaits may have been cancelled long ago: until that is known its user is told to come back. */
     @Test
     void aJobIsNotCalledPendingBeforeItIsKnownWhatBecameOfWhatItAwaits() {
-        change(StoreKeys.job("wk-2"), new JobRecord(job("wk-2", 2, 1).withAwaits(List.of("wk-9")), List.of(), 0));
+        change(StoreKeys.job("wk-2"), new JobRecord(job("wk-2", 2, 1).withDependencies(List.of("wk-9")), List.of(), 0));
         effects.clear();
         hear(300, new Input.GetJobStatus(7, "wk-2"));
         hear(5, new Input.RevisionRead(true, revision));
@@ -240,8 +241,8 @@
         hear(300, new Input.GetJobStatus(8, "wk-2"));
         hear(5, new Input.RevisionRead(true, revision));
         assertEquals(
-                Effect.JobCondition.ABORTED,
-                take(Effect.AnswerUser.class).get(0).state().condition());
+                Effect.JobCondition.CANCELLED,
+                take(Effect.AnswerUser.class).get(0).job().condition());
     }
 
     /** When the state is read anew all records vanish for a moment: what awaits others does not start for that. */
@@ -249,7 +250,7 @@
     void readingTheStateAnewReleasesNothing() {
         meet();
         JobRecord first = new JobRecord(job(2, 5), List.of(new StoredValue.SliceAssignment("n0", 0, 2)), 0);
-        Job second = job("wk-2", 2, 1).withAwaits(List.of("wk-1"));
+        Job second = job("wk-2", 2, 1).withDependencies(List.of("wk-1"));
         JobRecord waiting = new JobRecord(second, List.of(new StoredValue.SliceAssignment("n0", 0, 2)), 0);
         change(StoreKeys.job("wk-1"), first);
         change(StoreKeys.job("wk-2"), waiting);
@@ -262,13 +263,13 @@
                         List.of(
                                 new Input.StoreRow(StoreKeys.job("wk-2"), waiting, revision),
                                 new Input.StoreRow(StoreKeys.job("wk-1"), first, revision - 1),
-                                new Input.StoreRow(StoreKeys.MAP, map, 11),
+                                new Input.StoreRow(StoreKeys.PARTITION_MAP, map, 11),
                                 new Input.StoreRow(StoreKeys.presence("n0"), new Presence(1), 11)),
                         revision,
                         revision));
         effects.clear();
         hear(60, new Input.HeartbeatReceived(3, report(1, 3, 0)));
-        long token = take(Effect.AnswerHeartbeat.class).get(0).token();
+        long token = take(Effect.AnswerHeartbeat.class).get(0).fencingToken();
         hear(500, new Input.HeartbeatReceived(4, report(1, 4, token)));
         change(
                 StoreKeys.job("wk-3"),
@@ -277,7 +278,7 @@
             hear(100, new Input.Tick());
         }
         List<String> written = take(Effect.CommitTransaction.class).stream()
-                .flatMap(t -> t.txn().apply().stream())
+                .flatMap(t -> t.transaction().writes().stream())
                 .map(Transaction.Write::key)
                 .toList();
         assertTrue(written.contains(StoreKeys.slice("wk-3", 0)), "what awaits nothing is launched");
@@ -288,7 +289,7 @@
     @Test
     void afterTheStateIsReadAnewTokensOnlyGrow() {
         hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
-        long token = take(Effect.AnswerHeartbeat.class).get(0).token();
+        long token = take(Effect.AnswerHeartbeat.class).get(0).fencingToken();
         hear(10, new Input.WatchFailed(true));
         hear(600, new Input.Tick());
         hear(
@@ -296,14 +297,14 @@
                 new Input.StoreListed(
                         List.of(
                                 new Input.StoreRow(
-                                        StoreKeys.MAP,
+                                        StoreKeys.PARTITION_MAP,
                                         new PartitionMap(1, List.of(new Member("n0", 1)), Map.of()),
                                         revision),
                                 new Input.StoreRow(StoreKeys.presence("n0"), new Presence(1), revision)),
                         revision,
                         revision));
         hear(500, new Input.HeartbeatReceived(2, report(1, 2, token)));
-        assertTrue(take(Effect.AnswerHeartbeat.class).get(0).token() > token);
+        assertTrue(take(Effect.AnswerHeartbeat.class).get(0).fencingToken() > token);
     }
 
     /**
@@ -350,7 +351,7 @@
             for (Effect.CommitTransaction sent : take(Effect.CommitTransaction.class)) {
                 writes++;
                 hear(5, new Input.TransactionCompleted(sent.id(), Transaction.Status.COMMITTED, revision + 1));
-                shown.addAll(sent.txn().apply());
+                shown.addAll(sent.transaction().writes());
             }
         }
         assertTrue(writes >= 1 && writes <= tasks / 2, writes + " writes for " + (tasks - 1) + " outcomes over 3.5 s");
--- a/src/test/java/dewlane/core/controller/ForgetTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetTest.java
@@ -36,9 +36,9 @@
         return new Heartbeat("m1", "h:1", "box", "east", true, 1, ++sequence, token, Double.NaN, List.of(tasks));
     }
 
-    private Effect.AnswerHeartbeat answerTo(Heartbeat report) {
+    private Effect.AnswerHeartbeat answerTo(Heartbeat heartbeat) {
         effects.clear();
-        hear(300, new Input.HeartbeatReceived(100 + sequence, report));
+        hear(300, new Input.HeartbeatReceived(100 + sequence, heartbeat));
         return take(Effect.AnswerHeartbeat.class).get(0);
     }
 
@@ -54,8 +54,8 @@
         effects.clear();
         attemptIs(new Attempt(0, 1, "m1", 1, TOKEN, 1));
         Effect.SendCommands command = take(Effect.SendCommands.class).get(0);
-        assertEquals(List.of(LAUNCH), command.orders());
-        assertEquals(TOKEN, command.token());
+        assertEquals(List.of(LAUNCH), command.commands());
+        assertEquals(TOKEN, command.fencingToken());
         return command;
     }
 
@@ -66,17 +66,17 @@
     @Test
     void notWhileADirectLaunchIsUnderWay() {
         launchDirectly();
-        assertTrue(answerTo(reportOf(TOKEN)).orders().contains(LAUNCH), "the answer to a report launches it too");
+        assertTrue(answerTo(reportOf(TOKEN)).commands().contains(LAUNCH), "the answer to a report launches it too");
         answerTo(reportOf(TOKEN, FAILED));
         attemptIs();
         Effect.AnswerHeartbeat answer = answerTo(reportOf(TOKEN, FAILED));
         assertFalse(
-                answer.token() == TOKEN && answer.orders().contains(FORGET),
+                answer.fencingToken() == TOKEN && answer.commands().contains(FORGET),
                 "forgotten while the command that launches it may still arrive");
         giveUpOnCommand();
         answer = answerTo(reportOf(TOKEN, FAILED));
-        assertTrue(answer.orders().contains(FORGET), "the held back order follows");
-        assertTrue(answer.token() > TOKEN, "and what was given up on is fenced off");
+        assertTrue(answer.commands().contains(FORGET), "the held back order follows");
+        assertTrue(answer.fencingToken() > TOKEN, "and what was given up on is fenced off");
     }
 
     @Test
@@ -86,14 +86,14 @@
         hear(10, new Input.CommandCompleted("m1", TOKEN, true, reportOf(TOKEN, FAILED)));
         attemptIs();
         Effect.AnswerHeartbeat answer = answerTo(reportOf(TOKEN, FAILED));
-        assertTrue(answer.orders().contains(FORGET));
-        assertEquals(TOKEN, answer.token(), "no other launch is given up on for it");
+        assertTrue(answer.commands().contains(FORGET));
+        assertEquals(TOKEN, answer.fencingToken(), "no other launch is given up on for it");
     }
 
     @Test
     void notByCommandWhileTheAnswerToAReportIsUnderWay() {
         launchDirectly();
-        assertTrue(answerTo(reportOf(TOKEN)).orders().contains(LAUNCH));
+        assertTrue(answerTo(reportOf(TOKEN)).commands().contains(LAUNCH));
         hear(10, new Input.CommandCompleted("m1", TOKEN, true, reportOf(TOKEN, FAILED)));
         attemptIs();
         effects.clear();
@@ -101,7 +101,7 @@
         Effect.SendCommands command = take(Effect.SendCommands.class).get(0);
         assertEquals(
                 List.of(new WorkerCommand(WorkerCommand.Action.LAUNCH, "wk-1", 1, 3, 0)),
-                command.orders(),
+                command.commands(),
                 "the worker may be handed its answer up to 4 s after it was sent");
     }
 
@@ -112,12 +112,15 @@
         answerTo(reportOf(TOKEN));
         giveUpOnCommand();
         for (int i = 0; i < 10; i++) {
-            assertEquals(TOKEN, answerTo(reportOf(TOKEN, RUNNING)).token(), "its copy harms nothing while it is held");
+            assertEquals(
+                    TOKEN,
+                    answerTo(reportOf(TOKEN, RUNNING)).fencingToken(),
+                    "its copy harms nothing while it is held");
         }
         answerTo(reportOf(TOKEN, FAILED));
         attemptIs();
         Effect.AnswerHeartbeat answer = answerTo(reportOf(TOKEN, FAILED));
-        assertTrue(answer.orders().contains(FORGET));
-        assertTrue(answer.token() > TOKEN);
+        assertTrue(answer.commands().contains(FORGET));
+        assertTrue(answer.fencingToken() > TOKEN);
     }
 }
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -123,11 +123,11 @@
         text.append(recorded).append(worker).append(reported).append(commands).append(controllerWaits);
         text.append(awaited == null ? -1 : commands.indexOf(awaited));
         text.append(describe(report)).append(answer).append(workerWaits).append(describe(lateReport));
-        text.append(tokenSeen).append(fences).append(channel.token()).append(channel.busy());
+        text.append(tokenSeen).append(fences).append(channel.fencingToken()).append(channel.isCommandInFlight());
         for (Task task : Task.values()) {
-            text.append(channel.launchAbandoned(task.key()))
-                    .append(withoutCommand.launchUnderWay(task.key()))
-                    .append(withoutAnswer.launchUnderWay(task.key()));
+            text.append(channel.isLaunchAbandoned(task.key()))
+                    .append(withoutCommand.isLaunchInFlight(task.key()))
+                    .append(withoutAnswer.isLaunchInFlight(task.key()));
         }
         return text.toString();
     }
@@ -150,23 +150,25 @@
             }
         }
         CommandChannel before = channel();
-        if (forgets.stream().anyMatch(task -> before.launchAbandoned(task.key()))) {
+        if (forgets.stream().anyMatch(task -> before.isLaunchAbandoned(task.key()))) {
             step(CommandChannel::raiseFence);
         }
         CommandChannel channel = channel();
-        forgets.removeIf(task -> channel.launchUnderWay(task.key()));
+        forgets.removeIf(task -> channel.isLaunchInFlight(task.key()));
         for (Task task : Task.values()) {
-            if (channel.token() == firstToken() && recorded.get(task) == Recorded.LIVE && !reported.containsKey(task)) {
+            if (channel.fencingToken() == firstToken()
+                    && recorded.get(task) == Recorded.LIVE
+                    && !reported.containsKey(task)) {
                 launches.add(task);
             }
         }
-        return new Message(channel.token(), launches, forgets);
+        return new Message(channel.fencingToken(), launches, forgets);
     }
 
     private static long firstToken() {
         CommandChannel channel = new CommandChannel();
         channel.acquire(1);
-        return channel.token();
+        return channel.fencingToken();
     }
 
     /** The worker carries out orders; a task that they launch runs, or ends at once. */
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -123,7 +123,7 @@
             ChannelModel next = new ChannelModel(at);
             next.controllerWaits = false;
             next.awaited = null;
-            next.step(CommandChannel::commandGivenUp);
+            next.step(CommandChannel::commandAbandoned);
             add(next);
         }
     }
--- a/src/test/java/dewlane/core/fleet/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -44,13 +44,13 @@
     @Test
     void aWorkerStraysOnceItComesBackWithANewerReport() {
         MisroutedHeartbeats strays = new MisroutedHeartbeats();
-        assertEquals(-1, strays.take(report(1, 5), 1000, 30_000));
-        assertEquals(-1, strays.take(report(1, 5), 2000, 30_000), "a copy");
-        assertEquals(1500, strays.take(report(1, 6), 2500, 30_000));
-        assertEquals(2000, strays.take(report(2, 1), 3000, 30_000), "a later session is newer, too");
-        assertEquals(-1, strays.take(report(2, 9), 31_001, 30_000), "too long ago to have to do with it");
-        strays.forget();
-        assertEquals(-1, strays.take(report(2, 10), 31_500, 30_000));
+        assertEquals(-1, strays.record(report(1, 5), 1000, 30_000));
+        assertEquals(-1, strays.record(report(1, 5), 2000, 30_000), "a copy");
+        assertEquals(1500, strays.record(report(1, 6), 2500, 30_000));
+        assertEquals(2000, strays.record(report(2, 1), 3000, 30_000), "a later session is newer, too");
+        assertEquals(-1, strays.record(report(2, 9), 31_001, 30_000), "too long ago to have to do with it");
+        strays.reset();
+        assertEquals(-1, strays.record(report(2, 10), 31_500, 30_000));
     }
 
     private static Heartbeat report(long session, long sequence) {
--- a/src/test/java/dewlane/core/job/DependencyTrackerTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -25,7 +25,7 @@
     private final ControllerContext context = new ControllerContext(TestSettings.alone(), 1);
     private final DependencyGraph release = new DependencyGraph();
     private DependencyTracker dependencies;
-    private final StoreReplica replica = new StoreReplica(delta -> dependencies.follow(delta));
+    private final StoreReplica replica = new StoreReplica(delta -> dependencies.onReplicaChange(delta));
     private long revision;
 
     @BeforeEach
@@ -40,7 +40,7 @@
                 .deadlineS(deadlineS)
                 .acceptedMs(1000)
                 .build();
-        return new JobRecord(job.withAwaits(List.of(awaits)), List.of(), 0);
+        return new JobRecord(job.withDependencies(List.of(awaits)), List.of(), 0);
     }
 
     private void store(JobRecord record) {
@@ -61,7 +61,7 @@
         assertEquals(101_000, replica.job("last").deadlineMs());
         assertTrue(second.deadlineMs() <= 91_000, second.deadlineMs() + " leaves the last job its time");
         assertTrue(first.deadlineMs() <= second.deadlineMs() - 10_000, first.deadlineMs() + " leaves both their time");
-        store(last.cancelled(5000, value -> 0, 1));
+        store(last.asCancelled(5000, value -> 0, 1));
         assertEquals(Priority.STANDARD, first.priority());
         assertEquals(JobEntry.NO_DEADLINE, first.deadlineMs());
         assertEquals(JobEntry.NO_DEADLINE, second.deadlineMs());
@@ -72,11 +72,11 @@
         store(record("one", Priority.HIGH, 0));
         store(record("other", Priority.HIGH, 0));
         store(record("both", Priority.HIGH, 60, "one", "other"));
-        replica.apply(new Input.KeyChange(StoreKeys.fin("other"), new JobResult(false, 70_000), ++revision));
+        replica.apply(new Input.KeyChange(StoreKeys.jobResult("other"), new JobResult(false, 70_000), ++revision));
         assertFalse(release.isReady("both"));
-        replica.apply(new Input.KeyChange(StoreKeys.fin("one"), new JobResult(false, 40_000), ++revision));
+        replica.apply(new Input.KeyChange(StoreKeys.jobResult("one"), new JobResult(false, 40_000), ++revision));
         assertTrue(release.isReady("both"));
-        assertEquals(70_000, replica.job("both").waitsSinceMs());
+        assertEquals(70_000, replica.job("both").waitingSinceMs());
         assertEquals(61_000, replica.job("both").deadlineMs(), "the deadline counts from the submission");
     }
 
@@ -84,10 +84,10 @@
     void whatIsNotKnownOfAnAwaitedJobIsNotKnownOfAllThatNeedIt() {
         store(record("second", Priority.HIGH, 0, "gone"));
         store(record("third", Priority.HIGH, 0, "second"));
-        assertFalse(dependencies.resolved("second"));
-        assertFalse(dependencies.resolved("third"));
-        replica.rememberFinal("gone", new JobResult(true, 500));
-        assertTrue(dependencies.resolved("third"));
-        assertTrue(dependencies.cancelled(replica.job("second")) && dependencies.cancelled(replica.job("third")));
+        assertFalse(dependencies.isResolved("second"));
+        assertFalse(dependencies.isResolved("third"));
+        replica.recordResult("gone", new JobResult(true, 500));
+        assertTrue(dependencies.isResolved("third"));
+        assertTrue(dependencies.isCancelled(replica.job("second")) && dependencies.isCancelled(replica.job("third")));
     }
 }
--- a/src/test/java/dewlane/core/job/SliceSizes.java
+++ b/src/test/java/dewlane/core/job/SliceSizes.java
@@ -9,7 +9,7 @@
 
     /** The most bytes that the slice may come to take. */
     public static int bound(Slice slice) {
-        return SliceSizeBound.bound(slice);
+        return SliceSizeBound.ofSlice(slice);
     }
 
     /** The slice in runs within the limit. */
--- a/src/test/java/dewlane/core/membership/AuthorityTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -28,16 +28,16 @@
     void everyLimitTakesAwayWhatItSays() {
         for (int bits = 0; bits < 64; bits++) {
             Authority standing = standing(bits);
-            Restriction limit = standing.limit();
+            Restriction limit = standing.restriction();
             boolean keepsWorkers = limit == Restriction.NONE
-                    || limit == Restriction.VIEW_OLD
-                    || limit == Restriction.STATE_OUT_OF_REACH;
-            assertEquals(keepsWorkers, standing.mayAnswerWorkers(), standing.toString());
+                    || limit == Restriction.VIEW_STALE
+                    || limit == Restriction.STORE_UNREACHABLE;
+            assertEquals(keepsWorkers, standing.mayRenewWorkerLeases(), standing.toString());
             if (limit == Restriction.NONE) {
                 assertTrue(standing.mayDecide() && standing.maySendLaunches(), standing.toString());
-            } else if (limit == Restriction.VIEW_OLD) {
+            } else if (limit == Restriction.VIEW_STALE) {
                 assertFalse(standing.maySendLaunches(), standing.toString());
-            } else if (limit == Restriction.STATE_OUT_OF_REACH || limit == Restriction.NOT_JOINED) {
+            } else if (limit == Restriction.STORE_UNREACHABLE || limit == Restriction.NOT_A_MEMBER) {
                 assertFalse(standing.mayDecide(), standing.toString());
             }
         }
@@ -54,29 +54,29 @@
     @Test
     void theLogSaysWhichCaseItIsIn() {
         hear(1000, new Input.Tick());
-        assertEquals(List.of(Restriction.NONE.meaning()), said());
+        assertEquals(List.of(Restriction.NONE.description()), said());
         hear(2300, new Input.Tick());
-        assertEquals(List.of(Restriction.STATE_OUT_OF_REACH.meaning()), said());
+        assertEquals(List.of(Restriction.STORE_UNREACHABLE.description()), said());
         for (int i = 0; i < 10; i++) {
             hear(1000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
             hear(0, new Input.Tick());
         }
         assertEquals(List.of(), said(), "an outage for all changes nothing more");
         hear(5500, new Input.Tick());
-        assertEquals(List.of(Restriction.ISOLATED.meaning()), said());
+        assertEquals(List.of(Restriction.ISOLATED.description()), said());
         hear(10, new Input.HeartbeatReceived(1, report(1, 1, TOKEN)));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
         hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
         hear(40_000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
         hear(0, new Input.Tick());
-        assertEquals(List.of(Restriction.VIEW_EXPIRED.meaning()), said());
+        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), said());
         hear(10, new Input.WatchEvents(List.of(), revision));
         hear(10, new Input.WatchEvents(List.of(), revision));
         hear(1000, new Input.Tick());
-        assertEquals(List.of(Restriction.NONE.meaning()), said());
+        assertEquals(List.of(Restriction.NONE.description()), said());
         hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 9, true, List.of(), List.of())));
         hear(1100, new Input.Tick());
-        assertEquals(List.of(Restriction.SUPERSEDED.meaning()), said());
+        assertEquals(List.of(Restriction.SUPERSEDED.description()), said());
         hear(10, new Input.HeartbeatReceived(2, report(1, 2, TOKEN)));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
     }
@@ -84,11 +84,11 @@
     /** Seen in a recorded incident: users stayed with a controller that the state service refused. */
     @Test
     void aControllerThatAloneCannotReachTheStateServiceIsNotHealthy() {
-        assertTrue(controller.healthy());
+        assertTrue(controller.isHealthy());
         hear(6000, new Input.Tick());
-        assertTrue(controller.healthy(), "in an outage for all, no other would serve better");
+        assertTrue(controller.isHealthy(), "in an outage for all, no other would serve better");
         hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, true, List.of(), List.of())));
-        assertFalse(controller.healthy());
+        assertFalse(controller.isHealthy());
     }
 
     @Test
--- a/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
+++ b/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
@@ -40,7 +40,7 @@
     }
 
     private Set<String> guaranteed() {
-        return new QuotaEnforcer(settings, replica, null).guaranteed(ready);
+        return new QuotaEnforcer(settings, replica, null).withinGuarantee(ready);
     }
 
     /** Counted on a day: an idle backlog, always the oldest, took the whole guarantee before work with a deadline. */
--- a/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
+++ b/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
@@ -30,7 +30,7 @@
         int done = 0;
         for (int i = 0; i < seconds * 10; i++) {
             now += 100;
-            context.at(now, now);
+            context.startMessage(now, now);
             left = Math.min(allowed, left + allowed / 10);
             while (budget.tokens() >= 1) {
                 budget.spend(1);
@@ -38,7 +38,7 @@
                     left -= CONTROLLERS;
                     done += CONTROLLERS;
                 } else {
-                    budget.refused(true);
+                    budget.onRefused(true);
                 }
             }
         }
@@ -69,8 +69,8 @@
         spend(30, 10);
         for (int i = 0; i < 100; i++) {
             now += 20;
-            context.at(now, now);
-            budget.refused(false);
+            context.startMessage(now, now);
+            budget.onRefused(false);
         }
         double later = spend(30, 30);
         assertTrue(later > 0.8 * 30, later + " a second later");
--- a/src/test/java/dewlane/sim/Checker.java
+++ b/src/test/java/dewlane/sim/Checker.java
@@ -71,7 +71,7 @@
 
     void started(SimWorker on, SimTask task) {
         starts++;
-        if (finals.get(task.job) == JobCondition.ABORTED) {
+        if (finals.get(task.job) == JobCondition.CANCELLED) {
             startsInFlight++;
             if (task.orderedAt - finalsAt.get(task.job) > VIEW_MS) {
                 broken(
@@ -84,7 +84,7 @@
         Job job = world.users.job(task.job);
         String name = task.job + "/" + task.number;
         everStarted.add(task.job);
-        for (String awaited : job.awaits()) {
+        for (String awaited : job.dependencies()) {
             if (!allTasksDone(awaited)) {
                 broken("too_early", name + " started before " + awaited + " was done");
             }
@@ -107,12 +107,13 @@
                             name + " on " + on.name + " #" + task.attempt + " and " + m.name + " #" + t.attempt);
                 }
                 sameZone += m.zone.equals(on.zone) ? 1 : 0;
-                if (job.oneZone() && !m.zone.equals(on.zone)) {
+                if (job.sameZone() && !m.zone.equals(on.zone)) {
                     broken("wrong_place", name + " not in the zone of its job");
                 }
             }
         }
-        if (!job.allows(on.type.name(), on.zone, on.spot) || (job.spread() && sameZone + 1 > (job.tasks() + 1) / 2)) {
+        if (!job.allows(on.type.name(), on.zone, on.spot)
+                || (job.spreadZones() && sameZone + 1 > (job.tasks() + 1) / 2)) {
             broken("wrong_place", name + " on " + on.name);
         }
     }
@@ -126,7 +127,7 @@
                 used += t.on() && other.team().equals(team.name()) ? other.cpus() : 0;
             }
         }
-        if (team.cpusMax() > 0 && used > team.cpusMax() + 1e-9) {
+        if (team.maxCpus() > 0 && used > team.maxCpus() + 1e-9) {
             broken("quota", name + " takes " + team.name() + " to " + used);
         }
     }
@@ -145,10 +146,10 @@
                 && condition != known
                 && (askedAt > finalsAt.get(job) && askedAt != Long.MAX_VALUE
                         || condition == JobCondition.DONE
-                        || condition == JobCondition.ABORTED)) {
+                        || condition == JobCondition.CANCELLED)) {
             broken("went_back", job + " was called " + known + ", then " + condition);
         }
-        if (known == null && (condition == JobCondition.DONE || condition == JobCondition.ABORTED)) {
+        if (known == null && (condition == JobCondition.DONE || condition == JobCondition.CANCELLED)) {
             finals.put(job, condition);
             finalsAt.put(job, world.now());
             last.put(job, condition);
@@ -158,7 +159,7 @@
     /** Cancellations pass down to all jobs that need the cancelled one, within the time they have, and to no others. */
     private void checkCancellation(String job, JobCondition condition, long askedAt) {
         boolean askedSelf = asked.contains(job);
-        if (condition == JobCondition.ABORTED && !askedSelf) {
+        if (condition == JobCondition.CANCELLED && !askedSelf) {
             boolean through =
                     needs(job).stream().anyMatch(a -> asked.contains(a) && finals.get(a) != JobCondition.DONE);
             if (!through) {
@@ -171,9 +172,9 @@
         if (condition == JobCondition.PENDING || condition == JobCondition.RUNNING) {
             for (String ancestor : needs(job)) {
                 long toldAt = finalsAt.getOrDefault(ancestor, Long.MAX_VALUE);
-                if (finals.get(ancestor) == JobCondition.ABORTED
+                if (finals.get(ancestor) == JobCondition.CANCELLED
                         && askedAt != Long.MAX_VALUE
-                        && askedAt - toldAt > world.settings.cancelS() * 1000) {
+                        && askedAt - toldAt > world.settings.cancellationDeadlineS() * 1000) {
                     broken(
                             "orphaned",
                             job + " is called " + condition + ", " + ancestor + " was cancelled at " + toldAt);
@@ -185,11 +186,11 @@
     /** All jobs that the job needs, directly or through others. */
     private Set<String> needs(String job) {
         Set<String> needed = new HashSet<>();
-        Deque<String> queue = new ArrayDeque<>(world.users.job(job).awaits());
+        Deque<String> queue = new ArrayDeque<>(world.users.job(job).dependencies());
         while (!queue.isEmpty()) {
             String id = queue.poll();
             if (needed.add(id)) {
-                queue.addAll(world.users.job(id).awaits());
+                queue.addAll(world.users.job(id).dependencies());
             }
         }
         return needed;
@@ -203,7 +204,7 @@
         world.every(1000, () -> {
             for (String id : world.users.accepted()) {
                 Job job = world.users.job(id);
-                boolean waits = !world.users.isOver(id) && !job.placesLinked() && waits(job) && underLimit(job);
+                boolean waits = !world.users.isOver(id) && !job.hasZoneConstraint() && waits(job) && underLimit(job);
                 Map<String, Long> beside = waitsBeside.computeIfAbsent(id, k -> new HashMap<>());
                 beside.keySet().removeIf(name -> !waits || !world.cloud.machines.containsKey(name));
                 for (SimWorker m : waits ? world.cloud.machines.values() : List.<SimWorker>of()) {
@@ -213,9 +214,9 @@
                         broken(
                                 "left_waiting",
                                 id + " waits beside room on " + m.name + " of "
-                                        + dewlane.core.schema.Partitioner.owner(
+                                        + dewlane.core.schema.Partitioner.ownerOf(
                                                 (dewlane.core.schema.StoredValue.PartitionMap)
-                                                        world.state.get(dewlane.core.schema.StoreKeys.MAP),
+                                                        world.state.get(dewlane.core.schema.StoreKeys.PARTITION_MAP),
                                                 m.name)
                                         + "\n" + world.lately(m.name) + world.describe(id));
                     }
@@ -225,7 +226,7 @@
     }
 
     private boolean waits(Job job) {
-        if (!job.awaits().stream().allMatch(this::allTasksDone)) {
+        if (!job.dependencies().stream().allMatch(this::allTasksDone)) {
             return false;
         }
         long held = done.getOrDefault(job.id(), Set.of()).size();
@@ -248,7 +249,7 @@
                         : 0;
             }
         }
-        double most = world.settings.teams().get(job.team()).cpusMax();
+        double most = world.settings.teams().get(job.team()).maxCpus();
         return most <= 0 || used <= most + 1e-9;
     }
 
@@ -258,14 +259,14 @@
 
     /** Checked after every step of the world. */
     void check() {
-        if (!finals.containsValue(JobCondition.ABORTED)) {
+        if (!finals.containsValue(JobCondition.CANCELLED)) {
             return;
         }
         for (SimWorker m : world.cloud.machines.values()) {
             for (SimTask t : m.tasks.values()) {
                 if (t.on()
-                        && finals.get(t.job) == JobCondition.ABORTED
-                        && world.now() - finalsAt.get(t.job) > world.settings.cancelS() * 1000) {
+                        && finals.get(t.job) == JobCondition.CANCELLED
+                        && world.now() - finalsAt.get(t.job) > world.settings.cancellationDeadlineS() * 1000) {
                     broken(
                             "ran_cancelled",
                             t.job + "/" + t.number + " on " + m.name + "\n" + world.lately(m.name)
--- a/src/test/java/dewlane/sim/CombinedFailuresTest.java
+++ b/src/test/java/dewlane/sim/CombinedFailuresTest.java
@@ -70,7 +70,7 @@
         }
         world.run(40_000);
         long aborted = world.users.accepted().stream()
-                .filter(id -> world.checker.lastTold(id) == JobCondition.ABORTED)
+                .filter(id -> world.checker.lastTold(id) == JobCondition.CANCELLED)
                 .count();
         assertTrue(aborted >= 8, aborted + " cancelled");
         assertEquals(30, world.users.accepted().size());
@@ -97,7 +97,7 @@
         world.run(30_000);
         assertTrue(map(world).epoch() >= epoch + 2, "the part was taken over and given back");
         for (int i = 1; i <= 8; i++) {
-            assertEquals(JobCondition.ABORTED, world.checker.lastTold(id(i)));
+            assertEquals(JobCondition.CANCELLED, world.checker.lastTold(id(i)));
         }
         calm(world, 120_000);
     }
@@ -220,6 +220,6 @@
         world.run(world.now() + 15_000);
         assertEquals(starts, world.checker.starts, "no task was begun again");
         calm(world, 200_000);
-        assertNotNull(world.state.get(StoreKeys.fin(id(1))));
+        assertNotNull(world.state.get(StoreKeys.jobResult(id(1))));
     }
 }
--- a/src/test/java/dewlane/sim/MeetingsTest.java
+++ b/src/test/java/dewlane/sim/MeetingsTest.java
@@ -61,16 +61,16 @@
         world.run(world.now() + afterMs);
         SimNode confirming = other(world, leader);
         world.users.cancelAt(confirming, JOB);
-        for (int step = 0; step < 200 && world.checker.lastTold(JOB) != JobCondition.ABORTED; step++) {
+        for (int step = 0; step < 200 && world.checker.lastTold(JOB) != JobCondition.CANCELLED; step++) {
             world.run(world.now() + 5);
         }
         if (untold) {
             confirming.crash(50_000);
         }
         world.run(world.now() + 700);
-        assertEquals(JobCondition.ABORTED, world.checker.lastTold(JOB), "another controller confirmed it");
+        assertEquals(JobCondition.CANCELLED, world.checker.lastTold(JOB), "another controller confirmed it");
         long confirmed = world.now();
-        world.state.outage((long) (world.settings.cancelS() * 1000) + 12_000);
+        world.state.outage((long) (world.settings.cancellationDeadlineS() * 1000) + 12_000);
         return confirmed;
     }
 
@@ -93,7 +93,7 @@
                 "tasks run on machines that report to the one that was refused");
         world.run(confirmed + 10_000);
         assertTrue(running(world, JOB) > 0, "it cannot know yet");
-        world.run(confirmed + (long) (world.settings.cancelS() * 1000));
+        world.run(confirmed + (long) (world.settings.cancellationDeadlineS() * 1000));
         assertEquals(0, running(world, JOB));
         world.state.refused.clear();
         calm(world, 200_000);
@@ -232,7 +232,7 @@
         assertTrue(west > 0, "tasks run in the zone");
         world.users.cancelAt(world.nodes.get("n1"), JOB);
         world.users.submit(job(2, Priority.HIGH, 6, 2, 5));
-        world.run(25_000 + 1000 * (long) world.settings.leaseS() + 25_000);
+        world.run(25_000 + 1000 * (long) world.settings.workerLeaseS() + 25_000);
         inside.cutFromState = false;
         inside.cutFromPeers = false;
         world.cloud.machines.values().forEach(m -> m.cutFrom.clear());
@@ -401,8 +401,8 @@
             world.after(i * 800L, () -> world.users.submit(job));
         }
         calm(world, 100_000);
-        long cancelled = world.state.all(StoreKeys.FINALS).values().stream()
-                .filter(f -> ((StoredValue.JobResult) f).aborted())
+        long cancelled = world.state.all(StoreKeys.JOB_RESULTS).values().stream()
+                .filter(f -> ((StoredValue.JobResult) f).cancelled())
                 .count();
         assertTrue(cancelled > 0 && cancelled < 30, cancelled + " of 30 were cancelled before their end was written");
     }
@@ -445,7 +445,7 @@
         world.run(41_000);
         world.users.cancel(JOB);
         world.run(52_000);
-        assertEquals(JobCondition.ABORTED, world.checker.lastTold(JOB));
+        assertEquals(JobCondition.CANCELLED, world.checker.lastTold(JOB));
         assertTrue(lost.stream().anyMatch(m -> m.running(JOB) > 0), "what cannot be asked still runs");
         world.run(65_000);
         lost.forEach(m -> m.cut = false);
@@ -468,7 +468,7 @@
         world.state.refused.add(leader.name);
         world.users.cancelAt(other(world, leader), JOB);
         world.run(35_500);
-        assertEquals(JobCondition.ABORTED, world.checker.lastTold(JOB));
+        assertEquals(JobCondition.CANCELLED, world.checker.lastTold(JOB));
         world.state.outage(70_000);
         world.run(106_500);
         world.state.refused.clear();
@@ -515,7 +515,7 @@
         world.users.cancelAt(other(world, leader), JOB);
         world.every(500, () -> world.users.pollAt(leader, JOB));
         world.run(100_000);
-        assertNotEquals(leader.name, Partitioner.leader(map(world)), "another leads");
+        assertNotEquals(leader.name, Partitioner.leaderOf(map(world)), "another leads");
         leader.cutFromState = false;
         leader.cutFromPeers = false;
         calm(world, 200_000);
--- a/src/test/java/dewlane/sim/PipelinesTest.java
+++ b/src/test/java/dewlane/sim/PipelinesTest.java
@@ -30,7 +30,8 @@
 /** Jobs that await others, with the checker looking at the rules after each step. */
 class PipelinesTest {
     private static Job after(Job job, int... awaited) {
-        return job.withAwaits(IntStream.of(awaited).mapToObj(Scenarios::id).toList());
+        return job.withDependencies(
+                IntStream.of(awaited).mapToObj(Scenarios::id).toList());
     }
 
     private static Job small(int number, int... awaited) {
@@ -52,7 +53,7 @@
         node.poll(job, answer::set);
         world.run(world.now() + 3000);
         assertNotNull(answer.get(), job + " got no answer");
-        return answer.get().state() == null ? null : answer.get().state().condition();
+        return answer.get().job() == null ? null : answer.get().job().condition();
     }
 
     private static SimNode node(World world, int number) {
@@ -60,11 +61,13 @@
     }
 
     private static boolean done(World world, int job) {
-        return world.state.get(StoreKeys.fin(id(job))) instanceof StoredValue.JobResult result && !result.aborted();
+        return world.state.get(StoreKeys.jobResult(id(job))) instanceof StoredValue.JobResult result
+                && !result.cancelled();
     }
 
     private static boolean cancelled(World world, int job) {
-        return world.state.get(StoreKeys.fin(id(job))) instanceof StoredValue.JobResult result && result.aborted();
+        return world.state.get(StoreKeys.jobResult(id(job))) instanceof StoredValue.JobResult result
+                && result.cancelled();
     }
 
     @ParameterizedTest
@@ -104,7 +107,7 @@
         assertEquals(201, submitAt(world, node(world, 2), small(3, 1)).status());
         Effect.AnswerUser late = submitAt(world, node(world, 2), small(4, 1, 2));
         assertEquals(201, late.status());
-        assertEquals(JobCondition.ABORTED, told(world, node(world, 0), id(4)));
+        assertEquals(JobCondition.CANCELLED, told(world, node(world, 0), id(4)));
         calm(world, 60_000);
         assertTrue(done(world, 3));
     }
@@ -161,7 +164,7 @@
         world.run(world.now() + 1500);
         for (int number : new int[] {1, 2, 3, 5}) {
             for (SimNode node : world.nodes.values()) {
-                assertEquals(JobCondition.ABORTED, told(world, node, id(number)), id(number));
+                assertEquals(JobCondition.CANCELLED, told(world, node, id(number)), id(number));
             }
         }
         calm(world, 90_000);
@@ -227,8 +230,8 @@
         world.every(10, () -> {
             if (!struck[0] && done(world, 1)) {
                 struck[0] = true;
-                StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.MAP);
-                SimNode owner = world.nodes.get(Partitioner.owner(map, StoreKeys.job(id(2))));
+                StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP);
+                SimNode owner = world.nodes.get(Partitioner.ownerOf(map, StoreKeys.job(id(2))));
                 if (seed % 2 == 0) {
                     world.nodes.values().forEach(n -> n.crash(world.between(200, 4000)));
                 } else {
--- a/src/test/java/dewlane/sim/RandomRunsTest.java
+++ b/src/test/java/dewlane/sim/RandomRunsTest.java
@@ -129,7 +129,7 @@
                     "seed " + seed + ": " + world.users.accepted().size() + " accepted");
             for (String id : world.users.accepted()) {
                 assertNotNull(
-                        world.state.get(StoreKeys.fin(id)),
+                        world.state.get(StoreKeys.jobResult(id)),
                         "seed " + seed + ": " + id + " never ended\n" + world.lately(id) + world.describe(id));
             }
             assertEquals(
@@ -149,7 +149,7 @@
             assertTrue(world.checker.starts > 50, "seed " + seed + ": only " + world.checker.starts + " starts");
             for (String id : world.users.accepted()) {
                 assertNotNull(
-                        world.state.get(StoreKeys.fin(id)),
+                        world.state.get(StoreKeys.jobResult(id)),
                         "seed " + seed + ": " + id + " never ended\n" + world.lately(id) + world.describe(id));
             }
             assertEquals(Map.of(), world.state.all(StoreKeys.JOBS), "seed " + seed);
--- a/src/test/java/dewlane/sim/ScaleTest.java
+++ b/src/test/java/dewlane/sim/ScaleTest.java
@@ -85,7 +85,7 @@
         double perJob = (double) (world.state.changes - before) / JOBS;
         for (int i = 0; i < JOBS; i++) {
             String id = String.format("wk-%06d", i);
-            assertTrue(world.state.get(StoreKeys.fin(id)) != null, id + " never ended\n" + world.lately(id));
+            assertTrue(world.state.get(StoreKeys.jobResult(id)) != null, id + " never ended\n" + world.lately(id));
         }
         assertTrue(world.checker.starts < tasks * 1.05, world.checker.starts + " starts for " + tasks + " tasks");
         assertTrue(perJob <= 20, perJob + " changes a job");
@@ -108,10 +108,10 @@
         }
         world.run(120_000);
         for (int i = 0; i < 30; i++) {
-            assertTrue(world.state.get(StoreKeys.fin(job(i, 60).id())) != null, i + " never ended");
+            assertTrue(world.state.get(StoreKeys.jobResult(job(i, 60).id())) != null, i + " never ended");
         }
         assertEquals(MACHINES, world.cloud.machines.size(), "no machine was deleted for its silence");
-        long maps = ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP)).epoch();
+        long maps = ((StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP)).epoch();
         assertTrue(maps <= 3 * CONTROLLERS, maps + " maps for one crash of all but one");
     }
 
@@ -130,7 +130,7 @@
         world.nodes.values().stream().skip(1).forEach(n -> n.crash(20_000));
         world.run(15_000 + JOBS * ARRIVE_MS + 60_000);
         for (int i = 0; i < JOBS; i++) {
-            assertTrue(world.state.get(StoreKeys.fin(job(i, 60).id())) != null, i + " never ended");
+            assertTrue(world.state.get(StoreKeys.jobResult(job(i, 60).id())) != null, i + " never ended");
         }
         double perJob = (double) (world.state.changes - before) / JOBS;
         assertTrue(perJob <= 20, perJob + " changes a job");
--- a/src/test/java/dewlane/sim/ScenarioTest.java
+++ b/src/test/java/dewlane/sim/ScenarioTest.java
@@ -43,7 +43,7 @@
         World world = quietWorld(3);
         world.users.submit(job(1, 1, List.of("large"), false, 1));
         world.run(120_000);
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     /**
@@ -62,17 +62,17 @@
         for (int i = 0; i < 12_000; i++) {
             world.after(5L * i, world.users::pollSome);
         }
-        StoredValue map = world.state.get(StoreKeys.MAP);
+        StoredValue map = world.state.get(StoreKeys.PARTITION_MAP);
         world.run(70_000);
-        int done = world.state.all(StoreKeys.FINALS).size();
+        int done = world.state.all(StoreKeys.JOB_RESULTS).size();
         assertTrue(done >= 300, done + " of " + jobs + " jobs were done while they came");
-        assertEquals(map, world.state.get(StoreKeys.MAP), "no controller lost its lease");
+        assertEquals(map, world.state.get(StoreKeys.PARTITION_MAP), "no controller lost its lease");
         assertTrue(
                 world.state.requestsRefused < world.state.requests / 10,
                 world.state.requestsRefused + " of " + world.state.requests + " requests refused");
         world.run(400_000);
         for (String id : world.users.accepted) {
-            assertNotNull(world.state.get(StoreKeys.fin(id)), id);
+            assertNotNull(world.state.get(StoreKeys.jobResult(id)), id);
         }
     }
 
@@ -108,7 +108,7 @@
         world.run(200_000);
         assertEquals(18, world.checker.starts, "every task ran on where it was");
         assertEquals(9, world.cloud.machines.size(), "no machine was deleted for its silence");
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
@@ -124,7 +124,7 @@
         node.cutFromState = false;
         node.cutFromWorkers = false;
         world.run(90_000);
-        assertEquals(Map.of(), world.state.all(StoreKeys.MACHINES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.DECOMMISSIONS));
         assertEquals(18, world.checker.starts);
     }
 
@@ -141,7 +141,7 @@
         world.state.outage(45_000);
         world.nodes.get("n0").freeze(44_000);
         world.run(200_000);
-        assertEquals(Map.of(), world.state.all(StoreKeys.MACHINES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.DECOMMISSIONS));
         for (int i = 1; i <= 9; i++) {
             assertTrue(world.cloud.machines.containsKey("vm-00000" + i), "machine " + i + " was not deleted");
         }
@@ -157,7 +157,7 @@
         world.cloud.room = 9;
         world.users.submit(job(600, 1, List.of(), true, 5));
         world.run(400_000);
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
         assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 
@@ -183,7 +183,7 @@
         world.users.know(job(4, 1, List.of(), true, 2));
         world.run(60_000);
         assertTrue(accepted[0]);
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     @Test
@@ -195,7 +195,7 @@
         world.run(21_000);
         world.users.cancel("wk-000001");
         world.run(100_000);
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
         assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
     }
 
@@ -227,19 +227,20 @@
                         .anyMatch(e -> !e.getKey().contains("wk-000001")
                                 && ((StoredValue.Slice) e.getValue())
                                         .attempts().stream()
-                                                .anyMatch(a ->
-                                                        a.machine().equals(deaf.name) && a.launchedMs() > 1_023_500));
+                                                .anyMatch(attempt ->
+                                                        attempt.machine().equals(deaf.name)
+                                                                && attempt.launchedAtMs() > 1_023_500));
                 assertFalse(launched && world.now() < 28_000, "launched at " + world.now());
             }
         }
         assertTrue(
-                ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP))
-                        .moved()
+                ((StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP))
+                        .reassignedMachines()
                         .containsKey(deaf.name),
                 "one that it hears has it");
         world.run(200_000);
         assertEquals(1, world.lately("start wk-000001/").lines().count(), "and lost nothing");
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     @Test
@@ -267,7 +268,7 @@
         world.run(150_000);
         assertEquals(6, world.cloud.machines.size(), "none was deleted");
         assertEquals(12, world.checker.starts, "and every task ran to its end where it was");
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     /** A trouble the users named: copies of reports come late, to whichever controller. */
@@ -281,8 +282,8 @@
         world.run(50_000);
         world.nodes.values().forEach(n -> n.crash(300));
         world.run(60_000);
-        StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.MAP);
-        Map<String, StoredValue> records = world.state.all(StoreKeys.MACHINES);
+        StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP);
+        Map<String, StoredValue> records = world.state.all(StoreKeys.DECOMMISSIONS);
         for (int i = 0; i < copies.size(); i++) {
             for (SimNode node : world.nodes.values()) {
                 machine.copyLate(copies.get(i), node, 1 + 4000L * i);
@@ -290,10 +291,10 @@
         }
         submitOn(world, 14, 5);
         world.run(140_000);
-        assertEquals(map, world.state.get(StoreKeys.MAP), "no machine was moved");
+        assertEquals(map, world.state.get(StoreKeys.PARTITION_MAP), "no machine was moved");
         assertEquals(
                 Map.of(),
-                world.state.all(StoreKeys.MACHINES).entrySet().stream()
+                world.state.all(StoreKeys.DECOMMISSIONS).entrySet().stream()
                         .filter(e -> !records.containsKey(e.getKey()))
                         .collect(java.util.stream.Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue)),
                 "none was condemned");
@@ -313,12 +314,12 @@
         world.run(45_000);
         world.users.submit(JobBuilder.job("wk-000002").tasks(18).estimateS(5).build());
         world.run(120_000);
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000002")), "its machines serve others");
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000002")), "its machines serve others");
         node.cutFromState = false;
         node.cutFromPeers = false;
         world.run(160_000);
         assertEquals(36, world.checker.starts, "no task was lost");
-        assertEquals(Map.of(), world.state.all(StoreKeys.MACHINES));
+        assertEquals(Map.of(), world.state.all(StoreKeys.DECOMMISSIONS));
     }
 
     @Test
@@ -334,7 +335,7 @@
         world.run(200_000);
         assertEquals(18, world.checker.starts);
         assertEquals(9, world.cloud.machines.size());
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
@@ -345,12 +346,12 @@
         world.run(10_150);
         world.nodes.get("n2").crash(20_000);
         world.run(200_000);
-        StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.MAP);
+        StoredValue.PartitionMap map = (StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP);
         assertTrue(map.epoch() >= 5, "n2 left and came back");
         assertTrue(
                 world.cloud.machines.values().stream().anyMatch(m -> m.seal() >> 20 < map.epoch() - 1),
                 "some kept their token");
-        assertNotNull(world.state.get(StoreKeys.fin("wk-000001")));
+        assertNotNull(world.state.get(StoreKeys.jobResult("wk-000001")));
     }
 
     /**
@@ -361,10 +362,10 @@
         World world = quietWorld(30);
         submitOn(world, 60, 60);
         world.run(25_000);
-        long before = ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP)).epoch();
+        long before = ((StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP)).epoch();
         world.nodes.get("n1").crash(8000);
         world.run(60_000);
-        assertEquals(before + 2, ((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP)).epoch());
+        assertEquals(before + 2, ((StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP)).epoch());
         assertEquals(60, world.checker.starts);
     }
 
@@ -384,7 +385,7 @@
             world.users.submit(JobBuilder.job(id).tasks(10).estimateS(300).build());
             world.run(world.now() + 1000);
             ((StoredValue.JobRecord) world.state.get(StoreKeys.job(id)))
-                    .deals()
+                    .assignments()
                     .forEach(d -> waiting.merge(d.owner(), d.count(), Integer::sum));
         }
         assertEquals(Map.of("n0", 30, "n1", 30, "n2", 30), waiting);
@@ -397,7 +398,8 @@
         SimWorker large = world.cloud.create("large", "east", true);
         large.boot();
         world.run(15_000);
-        String has = Partitioner.owner((StoredValue.PartitionMap) world.state.get(StoreKeys.MAP), large.name);
+        String has =
+                Partitioner.ownerOf((StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP), large.name);
         String hasNot = world.nodes.keySet().stream()
                 .filter(n -> !n.equals(has))
                 .findFirst()
@@ -407,9 +409,10 @@
         Job job = job(3, 4, List.of("large"), true, 5);
         world.users.know(job);
         world.checker.finished(job.id(), 2);
-        world.state.put(StoreKeys.job(job.id()), new StoredValue.JobRecord(job.withAccepted(1_000_000), List.of(), 0));
+        world.state.put(
+                StoreKeys.job(job.id()), new StoredValue.JobRecord(job.withAcceptedAt(1_000_000), List.of(), 0));
         world.state.put(StoreKeys.slice(job.id(), 0), new StoredValue.Slice(hasNot, 0, 3, 1, done, List.of()));
         world.run(90_000);
-        assertNotNull(world.state.get(StoreKeys.fin(job.id())));
+        assertNotNull(world.state.get(StoreKeys.jobResult(job.id())));
     }
 }
--- a/src/test/java/dewlane/sim/Scenarios.java
+++ b/src/test/java/dewlane/sim/Scenarios.java
@@ -47,7 +47,7 @@
     }
 
     static PartitionMap map(World world) {
-        return (PartitionMap) world.state.get(StoreKeys.MAP);
+        return (PartitionMap) world.state.get(StoreKeys.PARTITION_MAP);
     }
 
     static long running(World world, String job) {
@@ -70,7 +70,8 @@
         world.run(world.now() + ms);
         for (String id : world.users.accepted()) {
             assertNotNull(
-                    world.state.get(StoreKeys.fin(id)), id + " never ended\n" + world.lately(id) + world.describe(id));
+                    world.state.get(StoreKeys.jobResult(id)),
+                    id + " never ended\n" + world.lately(id) + world.describe(id));
         }
         assertEquals(Map.of(), world.state.all(StoreKeys.JOBS));
         assertEquals(Map.of(), world.state.all(StoreKeys.SLICES));
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -34,7 +34,10 @@
     }
 
     MachineType type(String name) {
-        return types.stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow();
+        return types.stream()
+                .filter(type -> type.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     SimWorker create(String type, String zone, boolean spot) {
@@ -72,9 +75,9 @@
                 () -> true,
                 () -> {
                     if (out) {
-                        return new Input.InstancesCreated(e.request(), Input.CreateStatus.UNKNOWN, List.of());
+                        return new Input.InstancesCreated(e.requestId(), Input.CreateStatus.UNKNOWN, List.of());
                     }
-                    List<String> names = requests.get(e.request());
+                    List<String> names = requests.get(e.requestId());
                     if (names == null) {
                         names = new ArrayList<>();
                         long there =
@@ -87,13 +90,13 @@
                             }
                         }
                         if (names.isEmpty()) {
-                            return new Input.InstancesCreated(e.request(), Input.CreateStatus.NO_CAPACITY, List.of());
+                            return new Input.InstancesCreated(e.requestId(), Input.CreateStatus.NO_CAPACITY, List.of());
                         }
-                        requests.put(e.request(), names);
+                        requests.put(e.requestId(), names);
                     }
-                    return new Input.InstancesCreated(e.request(), Input.CreateStatus.RENTED, names);
+                    return new Input.InstancesCreated(e.requestId(), Input.CreateStatus.CREATED, names);
                 },
-                new Input.InstancesCreated(e.request(), Input.CreateStatus.UNKNOWN, List.of()),
+                new Input.InstancesCreated(e.requestId(), Input.CreateStatus.UNKNOWN, List.of()),
                 5000);
     }
 
@@ -121,12 +124,12 @@
         WorkerCommand launch =
                 new WorkerCommand(WorkerCommand.Action.LAUNCH, order.job(), order.task(), order.attempt(), 0);
         return heldCommands.stream()
-                .anyMatch(c -> c.machine().equals(machine) && c.orders().contains(launch));
+                .anyMatch(c -> c.machine().equals(machine) && c.commands().contains(launch));
     }
 
     void command(SimNode node, Effect.SendCommands e) {
         SimWorker m = machines.get(e.machine());
-        Input silence = new Input.CommandCompleted(e.machine(), e.token(), true, null);
+        Input silence = new Input.CommandCompleted(e.machine(), e.fencingToken(), true, null);
         if (m == null) {
             world.after(2500, () -> node.hear(node.life, silence));
             return;
@@ -158,7 +161,7 @@
                 () -> world.deliver(() -> {
                     if (!heard[0] && !node.cutFromWorkers) {
                         heard[0] = true;
-                        node.hear(of, new Input.CommandCompleted(e.machine(), e.token(), true, m.report()));
+                        node.hear(of, new Input.CommandCompleted(e.machine(), e.fencingToken(), true, m.report()));
                     }
                 }),
                 () -> m.command(e, sentAt)));
--- a/src/test/java/dewlane/sim/SimLimits.java
+++ b/src/test/java/dewlane/sim/SimLimits.java
@@ -17,7 +17,7 @@
 
     SimLimits(World world) {
         this.world = world;
-        this.now = world.settings.state().present();
+        this.now = world.settings.store().present();
     }
 
     StoreLimits.Limits now() {
@@ -26,15 +26,15 @@
 
     /** From now on the limits are those that the settings name as the next ones. */
     void shrink() {
-        now = world.settings.state().next();
+        now = world.settings.store().next();
     }
 
     /** True, and counted, if the transaction is larger than the limits in force. */
-    boolean exceededBy(Transaction txn) {
-        boolean tooLarge = txn.apply().size() > now.txnOps()
-                || txn.when().size() > 4 * now.txnOps()
-                || StoreProtocol.txn(txn).length > MOST_TXN_BYTES
-                || txn.apply().stream().anyMatch(w -> bytes(w.value()) > now.valueBytes());
+    boolean exceededBy(Transaction transaction) {
+        boolean tooLarge = transaction.writes().size() > now.maxTransactionWrites()
+                || transaction.preconditions().size() > 4 * now.maxTransactionWrites()
+                || StoreProtocol.txn(transaction).length > MOST_TXN_BYTES
+                || transaction.writes().stream().anyMatch(w -> bytes(w.value()) > now.maxValueBytes());
         exceeded += tooLarge ? 1 : 0;
         return tooLarge;
     }
@@ -47,22 +47,23 @@
      * A controller that knows the coming limits keeps within them from its start. Only what is stored already may stay
      * larger for a while, and only become smaller.
      */
-    void check(SimNode node, Transaction txn) {
+    void check(SimNode node, Transaction transaction) {
         if (node.production) {
             return;
         }
-        int ops = world.settings.txnOps();
-        if (txn.apply().size() > ops || txn.when().size() > 4 * ops) {
+        int ops = world.settings.maxTransactionWrites();
+        if (transaction.writes().size() > ops || transaction.preconditions().size() > 4 * ops) {
             throw new AssertionError(node.name + " sends a transaction of "
-                    + txn.apply().size() + " changes and " + txn.when().size() + " conditions");
+                    + transaction.writes().size() + " changes and "
+                    + transaction.preconditions().size() + " conditions");
         }
-        for (Transaction.Write w : txn.apply()) {
+        for (Transaction.Write w : transaction.writes()) {
             int bytes = bytes(w.value());
-            if (bytes > world.settings.valueBytes() && bytes > bytes(world.state.get(w.key()))) {
+            if (bytes > world.settings.maxValueBytes() && bytes > bytes(world.state.get(w.key()))) {
                 throw new AssertionError(node.name + " sends a value of " + bytes + " bytes for " + w.key());
             }
         }
-        if (StoreProtocol.txn(txn).length > MOST_TXN_BYTES) {
+        if (StoreProtocol.txn(transaction).length > MOST_TXN_BYTES) {
             throw new AssertionError(node.name + " sends a transaction of more than 64 KiB");
         }
     }
--- a/src/test/java/dewlane/sim/SimNode.java
+++ b/src/test/java/dewlane/sim/SimNode.java
@@ -61,7 +61,7 @@
         slept.clear();
         frozenUntil = 0;
         core = new Controller(settingsOf(name), world.random.nextLong(), value -> StoredValueCodec.bytes(value).length);
-        core.logOrders(true);
+        core.logCommands(true);
         ticks(life);
     }
 
@@ -73,12 +73,12 @@
                 s.teams(),
                 s.objectives(),
                 s.zones(),
-                s.reportS(),
-                s.leaseS(),
-                s.cancelS(),
-                production ? new StoreLimits(s.state().present(), s.state().present()) : s.state(),
-                s.cloudRps(),
-                s.listLagS(),
+                s.heartbeatIntervalS(),
+                s.workerLeaseS(),
+                s.cancellationDeadlineS(),
+                production ? new StoreLimits(s.store().present(), s.store().present()) : s.store(),
+                s.cloudRequestsPerS(),
+                s.cloudListLagS(),
                 s.tuning());
     }
 
@@ -118,11 +118,11 @@
 
     /** How many jobs a pass looked at on average. */
     double jobsPerPass() {
-        return core.jobsPerPass();
+        return core.jobsPerCycle();
     }
 
     boolean ready() {
-        return alive && core.ready();
+        return alive && core.isReady();
     }
 
     boolean stateReachable() {
@@ -208,10 +208,10 @@
         hear(life, input.apply(id));
     }
 
-    void report(Heartbeat report, Consumer<ReportAnswer> then) {
+    void report(Heartbeat heartbeat, Consumer<ReportAnswer> then) {
         long id = nextId++;
         reports.put(id, then);
-        hear(life, new Input.HeartbeatReceived(id, report));
+        hear(life, new Input.HeartbeatReceived(id, heartbeat));
     }
 
     private void answerReport(long id, ReportAnswer answer) {
@@ -240,15 +240,15 @@
                 then.accept(e);
             }
         } else if (effect instanceof Effect.AnswerHeartbeat e) {
-            answerReport(e.id(), new ReportAnswer(200, e.token(), e.orders(), null));
+            answerReport(e.id(), new ReportAnswer(200, e.fencingToken(), e.commands(), null));
         } else if (effect instanceof Effect.RedirectHeartbeat e) {
-            answerReport(e.id(), new ReportAnswer(421, 0, null, e.node()));
+            answerReport(e.id(), new ReportAnswer(421, 0, null, e.controller()));
         } else if (effect instanceof Effect.RejectHeartbeat e) {
             answerReport(e.id(), new ReportAnswer(503, 0, null, null));
         } else if (effect instanceof Effect.CommitTransaction e) {
-            world.state.txn(this, e.id(), production ? ProductionView.written(e.txn()) : e.txn());
+            world.state.txn(this, e.id(), production ? ProductionView.written(e.transaction()) : e.transaction());
         } else if (effect instanceof Effect.Watch e) {
-            world.state.watch(this, e.since());
+            world.state.watch(this, e.afterRevision());
         } else if (effect instanceof Effect.ReadValue e) {
             world.state.read(this, e.id(), e.key());
         } else if (effect instanceof Effect.ReadRevision) {
@@ -258,7 +258,7 @@
         } else if (effect instanceof Effect.GrantLease e) {
             world.state.grant(this, e.ttlMs());
         } else if (effect instanceof Effect.RenewLease e) {
-            world.state.touch(this, e.lease(), world.settings.tuning().memberTtlMs());
+            world.state.touch(this, e.lease(), world.settings.tuning().memberLeaseTtlMs());
         } else if (effect instanceof Effect.SendCommands e) {
             world.cloud.command(this, e);
         } else if (effect instanceof Effect.ListMachineTypes) {
--- a/src/test/java/dewlane/sim/SimState.java
+++ b/src/test/java/dewlane/sim/SimState.java
@@ -102,7 +102,7 @@
                     }
                     List<Input.StoreRow> rows = new ArrayList<>();
                     keys.forEach((k, v) -> {
-                        if (!k.startsWith(StoreKeys.FINALS)) {
+                        if (!k.startsWith(StoreKeys.JOB_RESULTS)) {
                             rows.add(new Input.StoreRow(k, v.value, v.version));
                         }
                     });
@@ -144,7 +144,7 @@
                 continue;
             }
             List<Input.KeyChange> changes =
-                    log.stream().filter(c -> c.version() > w.since).toList();
+                    log.stream().filter(c -> c.revision() > w.since).toList();
             long at = revision;
             world.after(
                     world.between(1, 6) + watchLagMs, () -> w.node.hear(w.life, new Input.WatchEvents(changes, at)));
@@ -153,14 +153,14 @@
         watches.addAll(left);
     }
 
-    void txn(SimNode node, long id, Transaction txn) {
-        limits.check(node, txn);
+    void txn(SimNode node, long id, Transaction transaction) {
+        limits.check(node, transaction);
         if (lateWrites > 0 && world.chance(lateWrites) && node.stateReachable()) {
             int of = node.life;
             world.after(world.between(2000, 12_000), () -> {
                 if (!out) {
                     lateTried++;
-                    Input answer = apply(id, txn);
+                    Input answer = apply(id, transaction);
                     lateApplied +=
                             answer instanceof Input.TransactionCompleted a && a.status() == Transaction.Status.COMMITTED
                                     ? 1
@@ -173,7 +173,7 @@
         if (lostAnswers > 0 && world.chance(lostAnswers) && node.stateReachable()) {
             int of = node.life;
             world.deliver(() -> {
-                if (serves(node) && apply(id, txn) instanceof Input.TransactionCompleted a) {
+                if (serves(node) && apply(id, transaction) instanceof Input.TransactionCompleted a) {
                     answersLost += a.status() == Transaction.Status.COMMITTED ? 1 : 0;
                 }
             });
@@ -182,8 +182,8 @@
         }
         node.callState(
                 () -> serves(node) && withinRequests()
-                        ? apply(id, txn)
-                        : new Input.TransactionCompleted(id, Transaction.Status.REFUSED, 0),
+                        ? apply(id, transaction)
+                        : new Input.TransactionCompleted(id, Transaction.Status.UNAVAILABLE, 0),
                 new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0),
                 1500);
     }
@@ -191,41 +191,41 @@
     /** True if a request is within the rate. */
     private boolean withinRequests() {
         requests++;
-        boolean within = requestRate.take(1, world.settings.stateRps(), world.now());
+        boolean within = requestRate.take(1, world.settings.storeRequestsPerS(), world.now());
         requestsRefused += within ? 0 : 1;
         return within;
     }
 
-    private Input apply(long id, Transaction txn) {
-        if (!writeRate.take(txn.apply().size(), limits.now().writeRps(), world.now())) {
-            return new Input.TransactionCompleted(id, Transaction.Status.OVER_RATE, 0);
+    private Input apply(long id, Transaction transaction) {
+        if (!writeRate.take(transaction.writes().size(), limits.now().writesPerS(), world.now())) {
+            return new Input.TransactionCompleted(id, Transaction.Status.RATE_LIMITED, 0);
         }
-        if (limits.exceededBy(txn)) {
+        if (limits.exceededBy(transaction)) {
             return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
         }
-        for (Transaction.Write w : txn.apply()) {
+        for (Transaction.Write w : transaction.writes()) {
             if (w.lease() != 0 && !leases.containsKey(w.lease())) {
                 return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
             }
         }
-        for (Transaction.Precondition g : txn.when()) {
+        for (Transaction.Precondition g : transaction.preconditions()) {
             Held held = keys.get(g.key());
             if ((held == null ? 0 : held.version) != g.version() && !unguarded(g.key())) {
                 return new Input.TransactionCompleted(id, Transaction.Status.CONFLICT, revision);
             }
         }
-        int bytes = StoreProtocol.txn(txn).length;
-        machineChanges += txn.apply().stream()
-                .filter(w -> w.key().startsWith(StoreKeys.MACHINES))
+        int bytes = StoreProtocol.txn(transaction).length;
+        machineChanges += transaction.writes().stream()
+                .filter(w -> w.key().startsWith(StoreKeys.DECOMMISSIONS))
                 .count();
-        changes += txn.apply().stream()
-                .filter(w -> !w.key().startsWith(StoreKeys.MACHINES))
+        changes += transaction.writes().stream()
+                .filter(w -> !w.key().startsWith(StoreKeys.DECOMMISSIONS))
                 .count();
         longestTxn = Math.max(longestTxn, bytes);
-        if (!txn.apply().isEmpty()) {
+        if (!transaction.writes().isEmpty()) {
             revision++;
         }
-        for (Transaction.Write w : txn.apply()) {
+        for (Transaction.Write w : transaction.writes()) {
             int length = w.value() == null ? 0 : StoredValueCodec.bytes(w.value()).length;
             longestValue = Math.max(longestValue, length);
             if (w.value() == null) {
@@ -244,7 +244,7 @@
     /** The conditions that a test has removed. */
     private boolean unguarded(String key) {
         return switch (world.broken) {
-            case TEAM_GUARD -> key.startsWith(StoreKeys.TEAMS);
+            case TEAM_GUARD -> key.startsWith(StoreKeys.TEAM_USAGES);
             case SLICE_GUARD -> key.startsWith(StoreKeys.SLICES);
             case JOB_GUARD -> key.startsWith(StoreKeys.JOBS);
             default -> false;
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -58,7 +58,7 @@
                 .saveS(world.chance(0.5) ? 2 : 0)
                 .deadlineS(world.chance(pipelines) ? 60 : 0)
                 .build();
-        submit(world.chance(pipelines) ? job.withAwaits(someAccepted()) : job);
+        submit(world.chance(pipelines) ? job.withDependencies(someAccepted()) : job);
         if (world.chance(0.25)) {
             world.after(world.between(50, 25_000), () -> abort(id, 0));
         }
@@ -151,7 +151,7 @@
             }
             case 4 -> {
                 Job stranger =
-                        Scenarios.job(900_000 + next, Priority.HIGH, 1, 1, 1).withAwaits(List.of("wk-999999"));
+                        Scenarios.job(900_000 + next, Priority.HIGH, 1, 1, 1).withDependencies(List.of("wk-999999"));
                 node.submit(stranger, a -> expect(a, 422, "a job that awaits one that was never accepted"));
             }
             case 1 -> node.submitMalformed(id, a -> expect(a, 400, "a job that lacks a field"));
@@ -264,7 +264,7 @@
             accepted.add(id);
         }
         answeredAt.put(id, world.now());
-        world.checker.told(id, a.state().condition(), askedAt);
+        world.checker.told(id, a.job().condition(), askedAt);
     }
 
     /**
@@ -295,6 +295,6 @@
 
     boolean isOver(String id) {
         JobCondition c = world.checker.lastTold(id);
-        return c == JobCondition.DONE || c == JobCondition.ABORTED;
+        return c == JobCondition.DONE || c == JobCondition.CANCELLED;
     }
 }
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -163,7 +163,7 @@
         if (!awake()) {
             return;
         }
-        if (world.now() - leaseFrom > world.settings.leaseS() * 1000) {
+        if (world.now() - leaseFrom > world.settings.workerLeaseS() * 1000) {
             tasks.clear();
             forgotten.clear();
             session++;
@@ -195,7 +195,8 @@
             return;
         }
         t.phase = Phase.RUNNING;
-        t.until = world.now() + (sick ? 200 : (long) (world.users.job(t.job).estimateS() * world.between(500, 1500)));
+        t.until =
+                world.now() + (sick ? 200 : (long) (world.users.job(t.job).expectedRunS() * world.between(500, 1500)));
         world.trace("start " + t.job + "/" + t.number + " #" + t.attempt + " on " + name);
         world.checker.started(this, t);
         changed();
@@ -225,7 +226,7 @@
     }
 
     private void sendReport() {
-        nextReport = world.now() + (long) (world.settings.reportS() * world.between(750, 1250));
+        nextReport = world.now() + (long) (world.settings.heartbeatIntervalS() * world.between(750, 1250));
         List<SimNode> nodes = List.copyOf(world.nodes.values());
         if (reportTo == null) {
             reportTo = nodes.get(world.random.nextInt(nodes.size())).name;
@@ -287,7 +288,7 @@
     int releaseReports(SimNode at) {
         List<Heartbeat> late = withheld;
         withheld = null;
-        late.forEach(r -> copyLate(r, at, 1));
+        late.forEach(heartbeat -> copyLate(heartbeat, at, 1));
         return late.size();
     }
 
@@ -321,7 +322,7 @@
         }
         leaseFrom = Math.max(leaseFrom, sentAt);
         see(answer.token());
-        answer.orders().forEach(o -> execute(o, answeredAt));
+        answer.orders().forEach(command -> execute(command, answeredAt));
     }
 
     private void see(long token) {
@@ -332,30 +333,30 @@
     }
 
     void command(Effect.SendCommands e, long sentAt) {
-        boolean fits = e.token() >= seal || world.broken == World.Broken.WORKER_TOKEN;
-        if (gone || !fits || e.session() != session) {
+        boolean fits = e.fencingToken() >= seal || world.broken == World.Broken.WORKER_TOKEN;
+        if (gone || !fits || e.incarnation() != session) {
             return;
         }
-        see(e.token());
-        e.orders().forEach(o -> execute(o, sentAt));
+        see(e.fencingToken());
+        e.commands().forEach(command -> execute(command, sentAt));
     }
 
-    private void execute(WorkerCommand o, long sentAt) {
-        String key = o.job() + "/" + o.task() + "#" + o.attempt();
+    private void execute(WorkerCommand command, long sentAt) {
+        String key = command.job() + "/" + command.task() + "#" + command.attempt();
         SimTask t = tasks.get(key);
-        switch (o.kind()) {
+        switch (command.action()) {
             case LAUNCH -> {
                 if (t == null) {
-                    launch(o, key, sentAt);
+                    launch(command, key, sentAt);
                 }
             }
             case STOP -> {
                 if (t != null && t.phase != Phase.EXITED) {
-                    double save = world.users.job(o.job()).saveS();
-                    if (t.phase == Phase.RUNNING && save > 0 && o.graceS() >= save) {
+                    double save = world.users.job(command.job()).checkpointDurationS();
+                    if (t.phase == Phase.RUNNING && save > 0 && command.graceS() >= save) {
                         t.phase = Phase.SAVING;
                         t.until = world.now() + (long) (save * 1000);
-                    } else if (t.phase != Phase.SAVING || o.graceS() == 0) {
+                    } else if (t.phase != Phase.SAVING || command.graceS() == 0) {
                         exit(t, ExitReason.STOPPED);
                     }
                 }
@@ -364,26 +365,26 @@
                 if (t != null && t.phase == Phase.EXITED) {
                     tasks.remove(key);
                     forgotten.add(key);
-                    forgottenBeforeHeldLaunch += world.cloud.holdsLaunch(name, o) ? 1 : 0;
+                    forgottenBeforeHeldLaunch += world.cloud.holdsLaunch(name, command) ? 1 : 0;
                 }
             }
         }
         changed();
     }
 
-    private void launch(WorkerCommand o, String key, long sentAt) {
+    private void launch(WorkerCommand command, String key, long sentAt) {
         if (forgotten.contains(key)) {
             world.checker.broken("launched_again", key + " on " + name + ", which was told to forget it");
         }
-        SimTask t = new SimTask(o.job(), o.task(), o.attempt(), sentAt);
+        SimTask t = new SimTask(command.job(), command.task(), command.attempt(), sentAt);
         boolean busy = tasks.values().stream()
-                .anyMatch(x -> x.phase != Phase.EXITED && x.job.equals(o.job()) && x.number == o.task());
+                .anyMatch(x -> x.phase != Phase.EXITED && x.job.equals(command.job()) && x.number == command.task());
         double used = 0;
         for (SimTask x : tasks.values()) {
             used += x.phase == Phase.EXITED ? 0 : world.users.job(x.job).cpus();
         }
         tasks.put(key, t);
-        if (busy || used + world.users.job(o.job()).cpus() > type.cpus() + 1e-9) {
+        if (busy || used + world.users.job(command.job()).cpus() > type.cpus() + 1e-9) {
             t.phase = Phase.EXITED;
             t.end = busy ? ExitReason.BUSY : ExitReason.NO_ROOM;
         } else {
--- a/src/test/java/dewlane/sim/Troubles.java
+++ b/src/test/java/dewlane/sim/Troubles.java
@@ -61,7 +61,8 @@
                 }
             }
             case 37 ->
-                nodes.forEach(n -> crash(world, n, world.between(0, 3000) + (long) (world.settings.leaseS() * 1000)));
+                nodes.forEach(
+                        n -> crash(world, n, world.between(0, 3000) + (long) (world.settings.workerLeaseS() * 1000)));
             default -> throw new IllegalArgumentException("no such trouble: " + which);
         }
     }
@@ -213,7 +214,7 @@
                 world.after(
                         2000,
                         () -> world.state.outage(
-                                (long) (world.settings.cancelS() * 1000) + world.between(2000, 12_000)));
+                                (long) (world.settings.cancellationDeadlineS() * 1000) + world.between(2000, 12_000)));
                 world.after(14_000, () -> world.state.refused.remove(leader.name));
             }
             default -> {
@@ -236,8 +237,8 @@
 
     /** The controller that leads the fleet, or another if there is none. */
     static SimNode leader(World world, SimNode other) {
-        String name = dewlane.core.schema.Partitioner.leader(
-                (dewlane.core.schema.StoredValue.PartitionMap) world.state.get(StoreKeys.MAP));
+        String name = dewlane.core.schema.Partitioner.leaderOf(
+                (dewlane.core.schema.StoredValue.PartitionMap) world.state.get(StoreKeys.PARTITION_MAP));
         return name == null ? other : world.nodes.get(name);
     }
 
--- a/src/test/java/dewlane/sim/UpgradeTest.java
+++ b/src/test/java/dewlane/sim/UpgradeTest.java
@@ -117,7 +117,7 @@
         world.run(15_000);
         world.nodes.get("n0").upgrade(1000);
         world.run(22_000);
-        Job waiting = job(2, Priority.HIGH, 2, 1, 5).withAwaits(List.of(id(1)));
+        Job waiting = job(2, Priority.HIGH, 2, 1, 5).withDependencies(List.of(id(1)));
         world.users.know(waiting);
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         world.nodes.get("n0").submit(waiting, answer::set);
@@ -148,7 +148,7 @@
         assertEquals(List.of("n0", "n1"), members(world), "the map knows no controller of the version before");
         world.users.submit(job(1, Priority.HIGH, 2, 1, 100));
         world.run(22_000);
-        Job waiting = job(2, Priority.HIGH, 8, 1, 5).withAwaits(List.of(id(1)));
+        Job waiting = job(2, Priority.HIGH, 8, 1, 5).withDependencies(List.of(id(1)));
         world.users.submit(waiting);
         world.run(40_000);
         assertEquals(3, members(world).size(), "it is back");
@@ -182,13 +182,13 @@
         Job held = job(1, Priority.HIGH, 2, 1, 5);
         world.users.know(held);
         world.state.put(StoreKeys.job(id(1)), new StoredValue.Unreadable("a priority from tomorrow"));
-        world.users.submit(job(2, Priority.HIGH, 2, 1, 5).withAwaits(List.of(id(1))));
+        world.users.submit(job(2, Priority.HIGH, 2, 1, 5).withDependencies(List.of(id(1))));
         world.users.submit(job(3, Priority.HIGH, 2, 1, 5));
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         world.after(3000, () -> world.nodes.get("n1").poll(id(1), answer::set));
         world.run(30_000);
         assertEquals(503, answer.get().status());
-        assertNotNull(world.state.get(StoreKeys.fin(id(3))));
+        assertNotNull(world.state.get(StoreKeys.jobResult(id(3))));
         assertEquals(2, world.checker.starts);
         world.state.put(
                 StoreKeys.job(id(1)),
--- a/src/test/java/dewlane/sim/World.java
+++ b/src/test/java/dewlane/sim/World.java
@@ -139,9 +139,9 @@
         StringBuilder text = new StringBuilder(String.valueOf(state.get(dewlane.core.schema.StoreKeys.job(job))));
         state.all(dewlane.core.schema.StoreKeys.SLICES)
                 .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        state.all(dewlane.core.schema.StoreKeys.MACHINES)
+        state.all(dewlane.core.schema.StoreKeys.DECOMMISSIONS)
                 .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        text.append('\n').append(state.get(dewlane.core.schema.StoreKeys.MAP));
+        text.append('\n').append(state.get(dewlane.core.schema.StoreKeys.PARTITION_MAP));
         cloud.machines.values().forEach(m -> text.append('\n')
                 .append(m.name)
                 .append(' ')
--- a/src/test/java/dewlane/wire/SliceSizeTest.java
+++ b/src/test/java/dewlane/wire/SliceSizeTest.java
@@ -58,15 +58,15 @@
     private Slice afterSomeOutcomes(Slice slice) {
         BitSet done = (BitSet) slice.done().clone();
         List<Attempt> left = new ArrayList<>();
-        for (Attempt a : slice.attempts()) {
+        for (Attempt attempt : slice.attempts()) {
             int outcome = random.nextInt(4);
             if (outcome == 0) {
-                done.set(a.task() - slice.first());
+                done.set(attempt.task() - slice.first());
             } else if (outcome > 1) {
-                left.add(a);
+                left.add(attempt);
             }
         }
-        return new Slice(slice.owner(), slice.first(), slice.count(), slice.launches(), done, left);
+        return new Slice(slice.owner(), slice.first(), slice.count(), slice.launchCount(), done, left);
     }
 
     @Test
@@ -83,7 +83,7 @@
                 attempts.addAll(run.attempts());
                 int offset = run.first() - slice.first();
                 run.done().stream().forEach(task -> done.set(task + offset));
-                assertEquals(slice.launches(), run.launches());
+                assertEquals(slice.launchCount(), run.launchCount());
                 assertTrue(StoredValueCodec.bytes(run).length <= 2048);
             }
             assertEquals(slice.first() + slice.count(), next);
--- a/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
@@ -77,7 +77,7 @@
                 .deadlineS(900)
                 .acceptedMs(1_764_668_400_123L)
                 .build()
-                .withAwaits(List.of("wk-7", "wk-000398"));
+                .withDependencies(List.of("wk-7", "wk-000398"));
         List<StoredValue.SliceAssignment> deals = List.of(
                 new StoredValue.SliceAssignment("cask-0", 0, 10), new StoredValue.SliceAssignment("cask-1", 10, 6));
         return new StoredValue.JobRecord(job, deals, 1_764_668_500_000L, newer(List.of(1L, "two")));
@@ -111,7 +111,7 @@
     private static StoredValue.DecommissionRecord machineRecord() {
         UnknownFields unknown = new UnknownFields(Collections.singletonMap("newer", null));
         return new StoredValue.DecommissionRecord(
-                StoredValue.DecommissionState.RETURN, "idle", List.of("vm-1", "vm-2"), unknown);
+                StoredValue.DecommissionState.SCALE_IN, "idle", List.of("vm-1", "vm-2"), unknown);
     }
 
     private static Stream<Arguments> values() {
@@ -158,7 +158,7 @@
     @ParameterizedTest
     @MethodSource("values")
     void everyValueIsWritten(String key, String json, StoredValue value) {
-        Transaction transaction = new Transaction.Builder().set(key, value).build();
+        Transaction transaction = new Transaction.Builder().put(key, value).build();
         String expected = "{\"when\":[],\"apply\":[{\"set\":\"" + key + "\",\"value\":" + json + "}]}";
         Golden.assertMessage(expected, StoreProtocol.txn(transaction));
     }
@@ -166,7 +166,7 @@
     @Test
     void unreadableValueIsNeverWritten() {
         Transaction transaction = new Transaction.Builder()
-                .set("dewlane/map", new StoredValue.Unreadable("x"))
+                .put("dewlane/map", new StoredValue.Unreadable("x"))
                 .build();
         assertThrows(IllegalArgumentException.class, () -> StoreProtocol.txn(transaction));
     }
@@ -174,10 +174,10 @@
     @Test
     void transactionWithEveryKindOfGuardAndWriteIsWritten() {
         Transaction transaction = new Transaction.Builder()
-                .when("dewlane/map", 7)
-                .when("dewlane/team/vision", 0)
-                .set("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2))
-                .setLeased("dewlane/node/cask-0", new StoredValue.Presence(4, 2), 17)
+                .require("dewlane/map", 7)
+                .require("dewlane/team/vision", 0)
+                .put("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2))
+                .putWithLease("dewlane/node/cask-0", new StoredValue.Presence(4, 2), 17)
                 .delete("dewlane/job/wk-1")
                 .build();
         String expected =
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -96,10 +96,12 @@
                                 job(), List.of(new SliceAssignment("cask-0", 0, 16)), 1764668500000L)),
                 Arguments.of(
                         "final-done.json",
-                        StoreKeys.fin("wk-000412"),
+                        StoreKeys.jobResult("wk-000412"),
                         new StoredValue.JobResult(false, 1764668600001L)),
                 Arguments.of(
-                        "final-cancelled.json", StoreKeys.fin("wk-1"), new StoredValue.JobResult(true, 1764668600002L)),
+                        "final-cancelled.json",
+                        StoreKeys.jobResult("wk-1"),
+                        new StoredValue.JobResult(true, 1764668600002L)),
                 Arguments.of("slice.json", StoreKeys.slice("wk-000412", 1), slice()),
                 Arguments.of(
                         "slice-new.json",
@@ -107,24 +109,25 @@
                         new StoredValue.Slice("cask-1", 0, 20, 0, new BitSet(), List.of())),
                 Arguments.of(
                         "map.json",
-                        StoreKeys.MAP,
+                        StoreKeys.PARTITION_MAP,
                         new StoredValue.PartitionMap(5, members, Map.of("vm-000231", "cask-1"), loans)),
                 Arguments.of(
                         "map-first.json",
-                        StoreKeys.MAP,
+                        StoreKeys.PARTITION_MAP,
                         new StoredValue.PartitionMap(1, List.of(new Member("cask-0", 1)), Map.of())),
                 Arguments.of(
                         "presence.json",
                         StoreKeys.presence("cask-0"),
                         new StoredValue.Presence(4, SchemaVersion.FIRST)),
-                Arguments.of("team.json", StoreKeys.team("blue"), new StoredValue.TeamUsageRecord(12.5, 2)),
+                Arguments.of("team.json", StoreKeys.teamUsage("blue"), new StoredValue.TeamUsageRecord(12.5, 2)),
                 Arguments.of(
                         "machine.json",
-                        StoreKeys.machine("vm-000231"),
-                        new StoredValue.DecommissionRecord(StoredValue.DecommissionState.GONE, "deleted", List.of())),
+                        StoreKeys.decommission("vm-000231"),
+                        new StoredValue.DecommissionRecord(
+                                StoredValue.DecommissionState.TERMINATED, "deleted", List.of())),
                 Arguments.of(
                         "machines.json",
-                        StoreKeys.machines("cask-0", 3, 1),
+                        StoreKeys.decommissionBatch("cask-0", 3, 1),
                         new StoredValue.DecommissionRecord(
                                 StoredValue.DecommissionState.DELETE, "silent", List.of("vm-000001", "vm-000002"))));
     }
@@ -180,12 +183,12 @@
         StoredValue.JobRecord plain = new StoredValue.JobRecord(job(), List.of(), 0);
         assertTrue(!new String(StoredValueCodec.bytes(plain), StandardCharsets.UTF_8).contains("awaits"));
         StoredValue.JobRecord waiting =
-                new StoredValue.JobRecord(job().withAwaits(List.of("wk-000398", "wk-7")), List.of(), 0);
+                new StoredValue.JobRecord(job().withDependencies(List.of("wk-000398", "wk-7")), List.of(), 0);
         StoredValue read = StoredValueCodec.decode(StoreKeys.job("wk-000412"), parsed(StoredValueCodec.bytes(waiting)));
         assertEquals(
-                waiting.job().awaits().size(),
-                ((StoredValue.JobRecord) read).job().awaits().size());
-        assertTrue(((StoredValue.JobRecord) read).job().awaits().containsAll(List.of("wk-000398", "wk-7")));
+                waiting.job().dependencies().size(),
+                ((StoredValue.JobRecord) read).job().dependencies().size());
+        assertTrue(((StoredValue.JobRecord) read).job().dependencies().containsAll(List.of("wk-000398", "wk-7")));
     }
 
     private static Map<String, Object> parsed(byte[] json) {
@@ -224,7 +227,7 @@
                                 + "{\"set\":\"dewlane/final/wk-1\",\"value\":" + final1 + ",\"entry\":9}]}")
                         .getBytes(StandardCharsets.UTF_8));
         assertEquals(
-                List.of(StoreKeys.fin("wk-1")),
+                List.of(StoreKeys.jobResult("wk-1")),
                 events.changes().stream().map(Input.KeyChange::key).toList());
         StoreProtocol.Page page = StoreProtocol.page(
                 ("{\"rows\":[{\"key\":\"dewlane/newer/1\",\"value\":{},\"entry\":8}]," + "\"more\":true,\"ledger\":9}")
--- a/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
@@ -45,11 +45,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"RETURN, RETURN", "DELETE, DELETE", "GONE, GONE"})
+    @CsvSource({"RETURN, SCALE_IN", "DELETE, DELETE", "GONE, TERMINATED"})
     void fateOfAMachineHasItsWord(String word, DecommissionState fate) throws IOException {
         StoredValue.DecommissionRecord machine = new StoredValue.DecommissionRecord(fate, "silent", List.of());
         Golden.assertMessage(machineJson(word), StoredValueCodec.bytes(machine));
-        assertEquals(machine, decode(StoreKeys.machine("vm-1"), machineJson(word)));
+        assertEquals(machine, decode(StoreKeys.decommission("vm-1"), machineJson(word)));
     }
 
     @ParameterizedTest
@@ -75,6 +75,6 @@
     @CsvSource({"SOLD", "gone", "''"})
     void valueWithAnUnknownFateIsUnreadable(String word) throws IOException {
         StoredValue expected = new StoredValue.Unreadable("unknown fate of a machine " + word);
-        assertEquals(expected, decode(StoreKeys.machine("vm-1"), machineJson(word)));
+        assertEquals(expected, decode(StoreKeys.decommission("vm-1"), machineJson(word)));
     }
 }
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -53,7 +53,7 @@
                 .saveS(4)
                 .deadlineS(900)
                 .build()
-                .withAwaits(List.of("wk-000398", "wk-7"));
+                .withDependencies(List.of("wk-000398", "wk-7"));
     }
 
     private static Job minimalJob() {
@@ -152,7 +152,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"PENDING, pending", "RUNNING, running", "DONE, done", "ABORTED, aborted"})
+    @CsvSource({"PENDING, pending", "RUNNING, running", "DONE, done", "CANCELLED, aborted"})
     void stateOfAJobIsWritten(JobCondition condition, String word) {
         JobStatus state = new JobStatus("wk-000412", condition, 3, 13);
         String expected = "{\"uid\":\"wk-000412\",\"condition\":\"" + word + "\",\"done\":3,\"running\":13}";
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -106,10 +106,10 @@
     @Test
     void awaitedJobsAreReadOnceEach() {
         String some = GOOD.replace("\"cellar\":null", "\"awaits\":[\"wk-000398\",\"wk-4\",\"wk-000398\"]");
-        assertEquals(List.of("wk-000398", "wk-4"), submission(some).job().awaits());
+        assertEquals(List.of("wk-000398", "wk-4"), submission(some).job().dependencies());
         for (String none : List.of("null", "[]")) {
             String text = GOOD.replace("\"cellar\":null", "\"awaits\":" + none);
-            assertEquals(List.of(), submission(text).job().awaits());
+            assertEquals(List.of(), submission(text).job().dependencies());
         }
     }
 
@@ -127,19 +127,19 @@
 
     @Test
     void aReportIsRead() throws IOException {
-        Heartbeat report = WorkerProtocol.report(
+        Heartbeat heartbeat = WorkerProtocol.report(
                 """
                 {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":1,
                 "tally":88,"seal":41,"recallS":null,"bottles":[{"bottle":"wk-000412/3","try":2,"condition":"running"},
                 {"bottle":"wk-000398/0","try":1,"condition":"ended","fault":"done"}]}"""
                         .getBytes(StandardCharsets.UTF_8));
-        assertEquals(41, report.token());
+        assertEquals(41, heartbeat.fencingToken());
         assertEquals(
                 List.of(
                         new Heartbeat.TaskStatus("wk-000412", 3, 2, Heartbeat.Phase.RUNNING, null, false),
                         new Heartbeat.TaskStatus(
                                 "wk-000398", 0, 1, Heartbeat.Phase.EXITED, Heartbeat.ExitReason.DONE, false)),
-                report.tasks());
+                heartbeat.tasks());
         assertThrows(
                 IOException.class, () -> WorkerProtocol.report("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
     }
@@ -150,7 +150,7 @@
         done.set(0, 5);
         done.set(7);
         done.set(9, 12);
-        Job job = submission(GOOD).job().withAccepted(1234);
+        Job job = submission(GOOD).job().withAcceptedAt(1234);
         for (Map.Entry<String, StoredValue> e : Map.of(
                         StoreKeys.job("wk-1"),
                         new StoredValue.JobRecord(
@@ -159,7 +159,7 @@
                                         new StoredValue.SliceAssignment("n0", 0, 10),
                                         new StoredValue.SliceAssignment("n1", 10, 6)),
                                 99),
-                        StoreKeys.fin("wk-1"),
+                        StoreKeys.jobResult("wk-1"),
                         new StoredValue.JobResult(true, 7),
                         StoreKeys.slice("wk-1", 2),
                         new StoredValue.Slice(
@@ -171,7 +171,7 @@
                                 List.of(
                                         new Attempt(45, 3, "vm-1", 2, 77L << 20, 5_000_000_000L),
                                         new Attempt(46, 3, "vm-2", 1, (76L << 20) + 5, 5_000_000_000L))),
-                        StoreKeys.MAP,
+                        StoreKeys.PARTITION_MAP,
                         new StoredValue.PartitionMap(
                                 5,
                                 List.of(new StoredValue.Member("a", 4), new StoredValue.Member("b", 5)),
@@ -179,13 +179,14 @@
                                 List.of(
                                         new StoredValue.QuotaTransfer("blue", "a", 1.5, 0),
                                         new StoredValue.QuotaTransfer("blue", "b", -1.5, 0)),
-                                Map.of("a", SchemaVersion.PIPELINES, "gone", SchemaVersion.PIPELINES),
+                                Map.of("a", SchemaVersion.DEPENDENCIES, "gone", SchemaVersion.DEPENDENCIES),
                                 UnknownFields.NONE),
                         StoreKeys.presence("a"),
                         (StoredValue) new StoredValue.Presence(4),
-                        StoreKeys.machine("vm-1"),
-                        new StoredValue.DecommissionRecord(StoredValue.DecommissionState.GONE, "deleted", List.of()),
-                        StoreKeys.machines("a", 3, 1),
+                        StoreKeys.decommission("vm-1"),
+                        new StoredValue.DecommissionRecord(
+                                StoredValue.DecommissionState.TERMINATED, "deleted", List.of()),
+                        StoreKeys.decommissionBatch("a", 3, 1),
                         new StoredValue.DecommissionRecord(
                                 StoredValue.DecommissionState.DELETE, "silent", List.of("vm-1", "vm-2")))
                 .entrySet()) {
