--- a/src/main/java/dewlane/core/admission/JobRequestHandler.java
+++ b/src/main/java/dewlane/core/admission/JobRequestHandler.java
@@ -10,6 +10,7 @@
 import dewlane.core.schema.StoredValue.JobRecord;
 import dewlane.core.schema.StoredValue.JobResult;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.JobResultReader;
@@ -52,10 +53,12 @@
         this.size = size;
     }
 
+    /** Answers a question about a job. */
     public void onGetStatus(Input.GetJobStatus request) {
         lookUp(request.id(), request.job(), () -> replies.rejected(request.id(), 404, "no such job"));
     }
 
+    /** Cancels a job, and answers once that is durable. */
     public void onCancel(Input.CancelJob request) {
         JobResult fin = replica.result(request.job());
         if (fin != null) {
@@ -96,7 +99,7 @@
                 .put(StoreKeys.job(job), marked)
                 .put(StoreKeys.jobResult(job), fin)
                 .build();
-        transactions.submit(TransactionQueue.Urgency.SAFETY, transaction, (status, revision) -> {
+        transactions.submit(TransactionPriority.SAFETY, transaction, (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
                 context.info("job " + job + " cancelled");
                 cancellations.onConfirmed(job);
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -14,6 +14,7 @@
 import dewlane.core.schema.StoredValue.JobRecord;
 import dewlane.core.schema.StoredValue.JobResult;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.JobResultReader;
@@ -74,6 +75,7 @@
         this.size = size;
     }
 
+    /** Checks a submission, writes the job, and answers once that is durable. */
     public void onSubmit(Input.SubmitJob request) {
         if (request.jobId() == null) {
             replies.rejected(request.id(), 400, request.rejection());
@@ -254,7 +256,7 @@
     }
 
     private void write(Input.SubmitJob request, Transaction.Builder transaction, Runnable accepted) {
-        transactions.submit(TransactionQueue.Urgency.USER, transaction.build(), (status, revision) -> {
+        transactions.submit(TransactionPriority.USER, transaction.build(), (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
                 accepted.run();
             } else if (status == Transaction.Status.CONFLICT) {
--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -132,10 +132,12 @@
                         <= replica.partitionMap().members().size();
     }
 
+    /** A page of the list of instances was read. */
     public void onInstancesListed(Input.InstancesListed in) {
         inventory.onListed(in.machines());
     }
 
+    /** A deletion was answered. */
     public void onInstancesDeleted(Input.InstancesDeleted in) {
         inventory.onDeleted(in);
         if (membership.isLeader()) {
@@ -143,6 +145,7 @@
         }
     }
 
+    /** A request for instances was answered. */
     public void onInstancesCreated(Input.InstancesCreated in) {
         InstanceRequest rental = asked.remove(in.requestId());
         if (rental == null) {
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -13,6 +13,7 @@
 import dewlane.core.schema.StoredValue.DecommissionRecord;
 import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.UnknownFields;
 import dewlane.core.store.DecommissionIndex;
 import dewlane.core.store.StoreReplica;
@@ -258,9 +259,7 @@
             transaction.put(key, new DecommissionRecord(fate, reason, parts.get(i)));
         }
         transactions.submit(
-                TransactionQueue.Urgency.OUTCOME,
-                transaction.build(),
-                (status, revision) -> writing.remove(entry.key()));
+                TransactionPriority.OUTCOME, transaction.build(), (status, revision) -> writing.remove(entry.key()));
     }
 
     private void write(String key, long version, DecommissionRecord record) {
@@ -269,8 +268,7 @@
                     .require(key, version)
                     .put(key, record)
                     .build();
-            transactions.submit(
-                    TransactionQueue.Urgency.OUTCOME, transaction, (status, revision) -> writing.remove(key));
+            transactions.submit(TransactionPriority.OUTCOME, transaction, (status, revision) -> writing.remove(key));
         }
     }
 
@@ -281,7 +279,7 @@
                     .require(key, entry.revision())
                     .delete(key)
                     .build();
-            transactions.submit(TransactionQueue.Urgency.LATER, transaction, (status, revision) -> {
+            transactions.submit(TransactionPriority.LATER, transaction, (status, revision) -> {
                 writing.remove(key);
                 goneAt.remove(key);
             });
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -12,6 +12,7 @@
 import dewlane.core.schema.StoredValue.DecommissionRecord;
 import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
@@ -62,10 +63,11 @@
         this.placement = placement;
     }
 
+    /** Decommissions machines that have been idle for long enough. */
     public void tick() {
         if (!standing.current().mayDecide()
                 || context.nowMs() - returnedAt < GATHER_MS
-                || !transactions.hasCapacity(TransactionQueue.Urgency.LATER)) {
+                || !transactions.hasCapacity(TransactionPriority.LATER)) {
             return;
         }
         long idleMs = (long)
@@ -111,7 +113,7 @@
                 .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
                 .put(key, new DecommissionRecord(DecommissionState.SCALE_IN, "idle", names))
                 .build();
-        transactions.submit(TransactionQueue.Urgency.LATER, transaction, (status, revision) -> {
+        transactions.submit(TransactionPriority.LATER, transaction, (status, revision) -> {
             if (status != Transaction.Status.COMMITTED) {
                 leaving.forEach(machine -> machine.scalingIn = false);
             }
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -8,6 +8,7 @@
 import dewlane.core.autoscaling.ScaleIn;
 import dewlane.core.config.Settings;
 import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.fleet.PartitionCapacity;
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.job.DependencyGraph;
 import dewlane.core.job.DependencyTracker;
@@ -33,6 +34,8 @@
 import dewlane.core.store.JobResultReader;
 import dewlane.core.store.ReadBarrier;
 import dewlane.core.store.ReplicaChange;
+import dewlane.core.store.ReplicaFreshness;
+import dewlane.core.store.StoreConnectivity;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.StoreWatcher;
 import dewlane.core.store.TransactionQueue;
@@ -57,6 +60,7 @@
     private final ControllerCounters counters = new ControllerCounters();
     private final DependencyGraph release = new DependencyGraph();
     private final TransactionQueue transactions;
+    private final StoreConnectivity connectivity;
     private final Membership membership;
     private final CancellationTracker cancellations;
     private final AuthorityMonitor standing;
@@ -83,20 +87,23 @@
     public Controller(Settings settings, long seed, ValueSizer size) {
         context = new ControllerContext(settings, seed);
         unreadableLog = new UnreadableValueLog(context, counters);
+        connectivity = new StoreConnectivity(context);
+        ReplicaFreshness freshness = new ReplicaFreshness(context);
         cancellations = new CancellationTracker(context);
         transactions = new TransactionQueue(context, counters, size);
         peers = new PeerTable(context, replica);
         machines = new MachineRegistry(context, replica, peers);
-        membership = new Membership(context, replica, peers, transactions, size);
-        standing = new AuthorityMonitor(context, membership, cancellations);
+        membership = new Membership(context, replica, connectivity, peers, transactions, size);
+        standing = new AuthorityMonitor(context, membership, connectivity, freshness);
         finals = new JobResultReader(context, replica);
         dependencies = new DependencyTracker(context, replica, release, finals);
         QuotaEnforcer quota = new QuotaEnforcer(settings, replica, machines);
-        SliceAssigner distributor = new SliceAssigner(context, replica, machines, quota, release);
-        rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, distributor, release);
+        PartitionCapacity capacity = new PartitionCapacity(context, replica, machines);
+        SliceAssigner distributor = new SliceAssigner(context, replica, machines, capacity, quota, release);
+        rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
         placement = placement(quota, distributor, size);
-        sessions = new HeartbeatHandler(
-                context, replica, machines, peers, membership, placement, cancellations, standing, counters);
+        sessions =
+                new HeartbeatHandler(context, replica, machines, peers, membership, cancellations, standing, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
         scaleDown = new ScaleIn(context, replica, machines, membership, standing, transactions, placement, release);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
@@ -104,7 +111,7 @@
         CapacityDemand demand = new CapacityDemand(context, replica, machines, placement, quota, release);
         autoscaler = new Autoscaler(context, replica, machines, membership, inventory, demand);
         barrier = new ReadBarrier(context, replica);
-        state = new StoreWatcher(context, replica, membership, cancellations, barrier, counters);
+        state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
         users = new JobRequestHandler(
                 context, replica, transactions, cancellations, dependencies, barrier, finals, size);
         submissions = new SubmissionHandler(
@@ -183,7 +190,7 @@
      * outage for all it stays true, since no other would serve better.
      */
     public boolean isHealthy() {
-        return isReady() && (membership.storeSilenceMs() < 2500 || !peers.anyReachesStore());
+        return isReady() && (connectivity.silenceMs() < 2500 || !peers.anyReachesStore());
     }
 
     private void dispatch(Input input) {
@@ -259,7 +266,7 @@
 
     private void noteContact(boolean answered) {
         if (answered) {
-            membership.onStoreContact();
+            connectivity.onContact();
         }
     }
 
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -1,6 +1,6 @@
 package dewlane.core.fleet;
 
-import dewlane.core.fleet.Machine.AttemptId;
+import dewlane.core.model.AttemptId;
 import java.util.HashSet;
 import java.util.Set;
 
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -1,6 +1,7 @@
 package dewlane.core.fleet;
 
 import dewlane.core.model.Attempt;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +21,7 @@
         GONE
     }
 
-    public final Map<Machine.AttemptId, Outcome> outcomes = new HashMap<>();
+    public final Map<AttemptId, Outcome> outcomes = new HashMap<>();
     /** By slice, since when outcomes gather that are still to be made durable. */
     private final Map<Integer, Long> gatheringSince = new HashMap<>();
     /** Launches in the write under way, or in one that the replica does not show yet. */
@@ -49,6 +50,12 @@
         return failedMachines.size() >= 3;
     }
 
+    /** Notes an outcome that is to be made durable; true if it is the first one of the attempt. */
+    public boolean recordOutcome(AssignedAttempt attempt, Outcome outcome, long nowMs) {
+        beginGathering(attempt.slice.number, nowMs);
+        return outcomes.putIfAbsent(attempt.id, outcome) == null;
+    }
+
     /** An outcome of the slice is to be made durable. */
     public void beginGathering(int slice, long now) {
         gatheringSince.putIfAbsent(slice, now);
@@ -64,6 +71,7 @@
         gatheringSince.remove(slice);
     }
 
+    /** True while a write is in flight, its revision is not yet in the replica, or the job is paused. */
     public boolean isBusy(long revision, long now) {
         return writeInFlight || revision < settledRevision || now < pausedUntilMs;
     }
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -1,12 +1,10 @@
 package dewlane.core.fleet;
 
-import dewlane.core.model.Attempt;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.ResourceUsage;
-import dewlane.core.store.JobEntry;
-import dewlane.core.store.SliceEntry;
 import it.unimi.dsi.fastutil.objects.Object2DoubleLinkedOpenHashMap;
 import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
 import java.util.HashMap;
@@ -17,39 +15,6 @@
 
 /** What this controller knows of a machine. */
 public final class Machine {
-    /** Names one launch of one task. */
-    public record AttemptId(String job, int task, int number) {
-        // Written out, as this is the key of the busiest maps and a record's own are linked at run time and stay slow.
-        @Override
-        public boolean equals(Object o) {
-            return o instanceof AttemptId id && task == id.task && number == id.number && job.equals(id.job);
-        }
-
-        @Override
-        public int hashCode() {
-            return (job.hashCode() * 31 + task) * 31 + number;
-        }
-    }
-
-    /** An attempt that the state service holds against this machine. */
-    public static final class AssignedAttempt {
-        public final JobEntry job;
-        public final SliceEntry slice;
-        public final Attempt attempt;
-        public final AttemptId id;
-        /** The controller against whose share of the team's limit it counts. */
-        String quotaOwner;
-        /** The machine reported its end, so it needs no room there any more. */
-        public boolean ended;
-
-        AssignedAttempt(JobEntry job, SliceEntry slice, Attempt attempt) {
-            this.job = job;
-            this.slice = slice;
-            this.attempt = attempt;
-            this.id = new AttemptId(job.id, attempt.task(), attempt.number());
-        }
-    }
-
     public final String name;
     /** The controller whose part the machine belongs to under the present map. */
     public String owner;
@@ -141,6 +106,7 @@
                 : new ResourceUsage(usage).add(reserved).capacityFor(of, job);
     }
 
+    /** Reserves room for one task of the job until the next scheduling cycle. */
     public void reserve(Job job) {
         reserved = reserved == null ? new ResourceUsage() : reserved;
         reserved.add(job);
@@ -177,10 +143,12 @@
         }
     }
 
+    /** True if the image is in the machine's cache, as far as is known. */
     public boolean hasImage(String image) {
         return images.containsKey(image);
     }
 
+    /** The machine holds an image, the least recently used ones leave a full cache. */
     public void imageFetched(String image, double gb, double cacheGb) {
         if (!images.containsKey(image)) {
             imageGb += gb;
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -3,6 +3,7 @@
 import dewlane.core.membership.PeerTable;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Attempt;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.PeerStatus;
@@ -52,6 +53,7 @@
         this.progress = new JobProgressTable(context, replica, teamUsage);
     }
 
+    /** Replaces the machine types that the cloud offers. */
     public void setTypes(List<MachineType> read) {
         types.clear();
         typeContention.typesChanged();
@@ -61,6 +63,7 @@
         byName.values().forEach(machine -> machine.resolvedType = null);
     }
 
+    /** The machine types that the cloud offers. */
     public Collection<MachineType> types() {
         return types.values();
     }
@@ -70,6 +73,7 @@
         return typeContention;
     }
 
+    /** The machine type of that name, or null if the cloud offers none. */
     public MachineType type(String name) {
         return types.get(name);
     }
@@ -82,10 +86,12 @@
         return machine.resolvedType;
     }
 
+    /** The machine, or null if it is not known. */
     public Machine get(String name) {
         return byName.get(name);
     }
 
+    /** The machine, which is added if it is not known. */
     public Machine getOrCreate(String name) {
         Machine machine = byName.get(name);
         if (machine == null) {
@@ -96,6 +102,7 @@
         return machine;
     }
 
+    /** All known machines. */
     public Collection<Machine> all() {
         return byName.values();
     }
@@ -112,10 +119,12 @@
         }
     }
 
+    /** Machines of this partition for which there may be something to command; the caller clears it. */
     public Collection<Machine> changed() {
         return changed;
     }
 
+    /** True if the machine is proven terminated. */
     public boolean isTerminated(String name) {
         return terminated.contains(name);
     }
@@ -130,6 +139,7 @@
         return teamUsage;
     }
 
+    /** Follows the slices, job records, partition map and decommissions. */
     public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.SliceChanged d) {
             sliceChanged(d.job(), d.slice(), d.before(), d.after());
@@ -202,7 +212,7 @@
 
     private void add(JobEntry job, Job spec, SliceEntry slice, Attempt attempt) {
         Machine machine = getOrCreate(attempt.machine());
-        Machine.AssignedAttempt live = new Machine.AssignedAttempt(job, slice, attempt);
+        AssignedAttempt live = new AssignedAttempt(job, slice, attempt);
         machine.attempts.put(live.id, live);
         machine.usage.add(spec);
         live.quotaOwner = Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value());
@@ -212,8 +222,8 @@
 
     private void remove(JobEntry job, Job spec, Attempt attempt) {
         Machine machine = getOrCreate(attempt.machine());
-        Machine.AttemptId id = new Machine.AttemptId(job.id, attempt.task(), attempt.number());
-        Machine.AssignedAttempt live = machine.attempts.remove(id);
+        AttemptId id = new AttemptId(job.id, attempt.task(), attempt.number());
+        AssignedAttempt live = machine.attempts.remove(id);
         if (live == null) {
             return;
         }
@@ -232,7 +242,7 @@
     }
 
     /** A task's end was reported: its room is free, though its team's limit still counts it until that is durable. */
-    public void attemptEnded(Machine machine, Machine.AssignedAttempt live) {
+    public void attemptEnded(Machine machine, AssignedAttempt live) {
         if (!live.ended) {
             live.ended = true;
             machine.usage.remove(live.job.job());
@@ -258,7 +268,7 @@
     private void recount() {
         teamUsage.clearOwners();
         for (Machine machine : byName.values()) {
-            for (Machine.AssignedAttempt assigned : machine.attempts.values()) {
+            for (AssignedAttempt assigned : machine.attempts.values()) {
                 assigned.quotaOwner =
                         Partitioner.ownerOf(replica.partitionMap(), assigned.slice.key, assigned.slice.value());
                 teamUsage.addToOwner(assigned.job.job(), assigned.quotaOwner, 1);
--- a/src/main/java/dewlane/core/fleet/Reachability.java
+++ b/src/main/java/dewlane/core/fleet/Reachability.java
@@ -59,6 +59,7 @@
         challenge = endingToken;
     }
 
+    /** True while it is suspected not to hear this controller. */
     public boolean isSuspected() {
         return suspectedSince != 0;
     }
@@ -73,6 +74,7 @@
         return confirmedAt != 0;
     }
 
+    /** True if it proved within the given time that it hears this controller. */
     public boolean confirmedWithin(long now, long ms) {
         return confirmedAt != 0 && now - confirmedAt <= ms;
     }
@@ -112,6 +114,7 @@
         tokenTold = true;
     }
 
+    /** True if the worker was sent the present owner's fencing token. */
     public boolean tokenTold() {
         return tokenTold;
     }
--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -1,6 +1,5 @@
 package dewlane.core.job;
 
-import dewlane.core.config.Settings;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.ReplicaChange;
@@ -10,76 +9,29 @@
 import java.util.Map;
 
 /**
- * What this controller knows of cancellations, and how stale that knowledge may be.
- *
- * <p>A cancellation is confirmed by any controller, so one that misses it must not keep its tasks alive. The view is as
- * of the moment at which the latest answered watch, or the listing before it, was asked for: everything older is in the
- * replica. That some other request was answered, such as a lease's renewal, proves nothing about it, nor does the
- * arrival of an answer that lay in a buffer while the process stood still. A report is answered only while the view is
- * so young that the lease which the answer renews still ends within {@code cancel_s} of any cancellation that may be
- * missing from it.
+ * Which jobs this controller knows to be cancelled, and since when. How old that knowledge may be is told by
+ * {@link dewlane.core.store.ReplicaFreshness}.
  *
  * <p>Peers tell what they confirmed. That only adds speed: a task of a job that is durably cancelled may always be
  * stopped.
  */
 public final class CancellationTracker {
-    /** For the drift of two clocks, and for the time a worker takes to end what its lease no longer covers. */
-    private static final long MARGIN_MS = 1000;
-
-    private static final double DRIFT = 0.001;
-    /** A view is at least so old now and then in ordinary service, so reports are answered all the same. */
-    private static final long LEAST_RENEW_MS = 3000;
-    /** A launch is not sent, or sent again, on a view older than this. */
-    private static final long LAUNCH_MS = 2500;
     /** Cancellations that one message to a peer tells of, the latest ones. */
-    private static final int MOST_TOLD = 500;
+    private static final int MAX_ANNOUNCED = 500;
 
     private final ControllerContext context;
-    private final long renewMs;
     private final long keepMs;
     /** Jobs known to be cancelled, and since when this controller knows; those over are dropped. */
     private final Map<String, Long> knownSince = new LinkedHashMap<>();
     /** Those that this controller confirmed itself. */
     private final Map<String, Long> confirmedAt = new LinkedHashMap<>();
 
-    private long viewAt = Long.MIN_VALUE / 2;
     private boolean news;
 
+    /** Knows of no cancellation yet. */
     public CancellationTracker(ControllerContext context) {
         this.context = context;
-        Settings s = context.settings();
-        long most = (long) ((s.cancellationDeadlineS() - s.workerLeaseS()) * 1000
-                        - s.cancellationDeadlineS() * 1000 * DRIFT)
-                - MARGIN_MS;
-        renewMs = Math.max(LEAST_RENEW_MS, most);
-        keepMs = (long) (2000 * s.cancellationDeadlineS());
-        if (most < LEAST_RENEW_MS) {
-            context.info("cancel_s " + s.cancellationDeadlineS() + " is too short beside lease_s " + s.workerLeaseS()
-                    + ": while the state service is out of reach, a cancelled task may run for up to "
-                    + (LEAST_RENEW_MS + MARGIN_MS + (long) (1000 * s.workerLeaseS()))
-                    + " ms; reports are answered for only "
-                    + LEAST_RENEW_MS + " ms on an old view");
-        }
-    }
-
-    /** The replica holds all that was cancelled up to the given moment. */
-    public void viewRefreshed(long asOf) {
-        viewAt = Math.max(viewAt, asOf);
-    }
-
-    /** How old this controller's knowledge of cancellations may be. */
-    long viewAgeMs() {
-        return context.nowMs() - viewAt;
-    }
-
-    /** True if a worker's lease may be renewed on the present view. */
-    public boolean allowsLeaseRenewal() {
-        return viewAgeMs() <= renewMs;
-    }
-
-    /** True if the view is young enough to start tasks on it. */
-    public boolean allowsLaunch() {
-        return viewAgeMs() <= LAUNCH_MS;
+        this.keepMs = (long) (2000 * context.settings().cancellationDeadlineS());
     }
 
     /** True if the job is over or cancelled, so that nothing of it may run. */
@@ -96,6 +48,7 @@
         return job.isCancelled() ? Math.max(known, context.wallClockMs() - job.cancelledAtMs()) : known;
     }
 
+    /** Follows the cancellation marks in job records. */
     public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.JobChanged d && d.after() == null) {
             knownSince.remove(d.job().id);
@@ -128,6 +81,6 @@
         confirmedAt.values().removeIf(at -> context.nowMs() - at > keepMs);
         knownSince.values().removeIf(at -> context.nowMs() - at > 4 * keepMs);
         List<String> told = new ArrayList<>(confirmedAt.keySet());
-        return told.size() > MOST_TOLD ? told.subList(told.size() - MOST_TOLD, told.size()) : told;
+        return told.size() > MAX_ANNOUNCED ? told.subList(told.size() - MAX_ANNOUNCED, told.size()) : told;
     }
 }
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -59,6 +59,7 @@
         this.reader = reader;
     }
 
+    /** Follows the records and results of jobs. */
     public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.JobChanged d) {
             jobChanged(d);
--- a/src/main/java/dewlane/core/membership/AuthorityMonitor.java
+++ b/src/main/java/dewlane/core/membership/AuthorityMonitor.java
@@ -1,36 +1,43 @@
 package dewlane.core.membership;
 
-import dewlane.core.job.CancellationTracker;
 import dewlane.core.message.ControllerContext;
+import dewlane.core.store.ReplicaFreshness;
+import dewlane.core.store.StoreConnectivity;
 
 /** Tells the controller's {@link Authority} at this instant, and logs once a second whether its limit has changed. */
 public final class AuthorityMonitor {
     private final ControllerContext context;
     private final Membership membership;
-    private final CancellationTracker cancellations;
+    private final StoreConnectivity store;
+    private final ReplicaFreshness freshness;
     private Authority.Restriction logged = Authority.Restriction.NOT_A_MEMBER;
 
-    public AuthorityMonitor(ControllerContext context, Membership membership, CancellationTracker cancellations) {
+    /** Nothing is logged until the first tick. */
+    public AuthorityMonitor(
+            ControllerContext context, Membership membership, StoreConnectivity store, ReplicaFreshness freshness) {
         this.context = context;
         this.membership = membership;
-        this.cancellations = cancellations;
+        this.store = store;
+        this.freshness = freshness;
     }
 
+    /** The authority at this instant. */
     public Authority current() {
         return new Authority(
                 membership.isMember(),
                 membership.isSuperseded(),
                 membership.isIsolated(),
-                membership.reachesStore(),
-                cancellations.allowsLeaseRenewal(),
-                cancellations.allowsLaunch());
+                store.isReachable(),
+                freshness.allowsLeaseRenewal(),
+                freshness.allowsLaunch());
     }
 
+    /** Logs the restriction that holds if it is another than the one logged last. */
     public void tick() {
-        Authority.Restriction limit = current().restriction();
-        if (limit != logged) {
-            logged = limit;
-            context.info("this controller " + limit.description());
+        Authority.Restriction restriction = current().restriction();
+        if (restriction != logged) {
+            logged = restriction;
+            context.info("this controller " + restriction.description());
         }
     }
 }
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -11,7 +11,9 @@
 import dewlane.core.schema.StoredValue.Presence;
 import dewlane.core.schema.StoredValue.QuotaTransfer;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.ValueSizer;
+import dewlane.core.store.StoreConnectivity;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
@@ -31,13 +33,12 @@
  */
 public final class Membership {
     private static final long ISOLATED_MS = 2000;
-    /** Without an answer for so long the state service counts as out of reach: leases are renewed more often. */
-    private static final long REACHED_MS = 2000;
     /** Take-overs that come close together share a map. */
     private static final long CLAIM_MS = 2000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
+    private final StoreConnectivity store;
     private final PeerTable peers;
     private final TransactionQueue transactions;
     private final PartitionMapBuilder maps;
@@ -55,36 +56,28 @@
     private boolean writing;
     private long writtenAt;
     private long joinedAs;
-    private long contactAt;
     private long newerSince;
     private long claimedAt = Long.MIN_VALUE / 2;
 
     public Membership(
             ControllerContext context,
             StoreReplica replica,
+            StoreConnectivity store,
             PeerTable peers,
             TransactionQueue transactions,
             ValueSizer size) {
         this.maps = new PartitionMapBuilder(context, replica, size);
         this.context = context;
         this.replica = replica;
+        this.store = store;
         this.peers = peers;
         this.transactions = transactions;
         this.self = context.settings().controllerName();
     }
 
-    public void onStoreContact() {
-        contactAt = context.nowMs();
-    }
-
-    /** True if the state service has answered lately. */
+    /** True if the store has answered lately. */
     public boolean reachesStore() {
-        return storeSilenceMs() <= REACHED_MS;
-    }
-
-    /** Milliseconds since the state service last answered. */
-    public long storeSilenceMs() {
-        return context.nowMs() - contactAt;
+        return store.isReachable();
     }
 
     /** True while the map holds this start of this controller. */
@@ -100,7 +93,7 @@
      */
     boolean isIsolated() {
         long ms = context.settings().tuning().memberLeaseTtlMs() + ISOLATED_MS;
-        return storeSilenceMs() > ms && peers.noneHeardWithin(ms);
+        return store.silenceMs() > ms && peers.noneHeardWithin(ms);
     }
 
     /** The epoch at which this controller last joined. */
@@ -113,6 +106,7 @@
         return newerSince != 0 && context.nowMs() - newerSince > 1000;
     }
 
+    /** A peer has shown the epoch of its partition map. */
     public void onPeerEpoch(long epoch) {
         if (replica.partitionMap() == null || epoch <= replica.partitionMap().epoch()) {
             newerSince = 0;
@@ -139,10 +133,12 @@
         return format >= SchemaVersion.CURRENT;
     }
 
+    /** True if this controller is the leader, which alone scales out and deletes instances. */
     public boolean isLeader() {
         return isMember() && self.equals(Partitioner.leaderOf(replica.partitionMap()));
     }
 
+    /** The store answered a request for a lease; 0 if it granted none. */
     public void onLeaseGranted(long granted) {
         leaseAsked = false;
         if (granted != 0) {
@@ -151,6 +147,7 @@
         }
     }
 
+    /** The store answered a lease renewal. */
     public void onLeaseRenewal(Input.LeaseRenewalCompleted touched) {
         touching = false;
         if (touched.lease() == lease && touched.expired()) {
@@ -160,6 +157,7 @@
         }
     }
 
+    /** Renews the lease, joins the partition map, and evicts members whose lease expired. */
     public void tick(boolean loaded) {
         long now = context.nowMs();
         if (lease == 0) {
@@ -293,7 +291,7 @@
 
     private void write(Transaction transaction, long incarnation) {
         writing = true;
-        transactions.submit(TransactionQueue.Urgency.MEMBERSHIP, transaction, (status, revision) -> {
+        transactions.submit(TransactionPriority.MEMBERSHIP, transaction, (status, revision) -> {
             writing = false;
             writtenAt = revision;
             if (status == Transaction.Status.COMMITTED) {
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -19,6 +19,7 @@
         this.random = new SplittableRandom(seed);
     }
 
+    /** Sets the times at which the message at hand arrived. */
     public void startMessage(long nowMs, long wallMs) {
         this.nowMs = nowMs;
         this.wallClockMs = wallMs;
@@ -59,6 +60,7 @@
         logsCommands = wanted;
     }
 
+    /** True if each command to a worker is logged. */
     public boolean logsCommands() {
         return logsCommands;
     }
@@ -68,6 +70,7 @@
         effects.add(new Effect.Log(Effect.Level.DEBUG, text));
     }
 
+    /** Returns the effects so far and starts a new list. */
     public List<Effect> takeEffects() {
         List<Effect> taken = effects;
         effects = new ArrayList<>();
--- a/src/main/java/dewlane/core/message/ControllerCounters.java
+++ b/src/main/java/dewlane/core/message/ControllerCounters.java
@@ -1,6 +1,6 @@
 package dewlane.core.message;
 
-import dewlane.core.store.TransactionQueue;
+import dewlane.core.schema.TransactionPriority;
 import java.util.Locale;
 
 /** What a controller has done since it last said so; plain counts: equal runs have equal ones. */
@@ -22,13 +22,14 @@
     long writes;
     long changesWritten;
     public long tasksLaunched;
-    private final long[] changesBy = new long[TransactionQueue.Urgency.values().length];
+    private final long[] changesBy = new long[TransactionPriority.values().length];
     public long conflicts;
     public long refusedTransactions;
     public long invalidTransactions;
     public long unreadableValues;
 
-    public void countTransaction(TransactionQueue.Urgency urgency, int changes) {
+    /** Counts a transaction that is sent. */
+    public void countTransaction(TransactionPriority urgency, int changes) {
         writes++;
         changesWritten += changes;
         changesBy[urgency.ordinal()] += changes;
@@ -36,7 +37,7 @@
 
     private String byUrgency() {
         StringBuilder text = new StringBuilder();
-        for (TransactionQueue.Urgency u : TransactionQueue.Urgency.values()) {
+        for (TransactionPriority u : TransactionPriority.values()) {
             text.append(text.length() == 0 ? "" : ", ")
                     .append(u.name().toLowerCase(Locale.ROOT))
                     .append(' ')
@@ -45,6 +46,7 @@
         return text.toString();
     }
 
+    /** All counters in one line, for the log. */
     public String summary() {
         return "reports " + heartbeats + ", refused reports " + heartbeatsRejected + ", changes seen " + changesSeen
                 + " with "
--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -22,6 +22,7 @@
         return Math.round(amount * UNIT);
     }
 
+    /** Adds another usage; returns this one. */
     public ResourceUsage add(ResourceUsage other) {
         cpus += other.cpus;
         gpus += other.gpus;
@@ -29,28 +30,34 @@
         return this;
     }
 
+    /** Adds one task of the job. */
     public void add(Job job) {
         add(job, 1);
     }
 
+    /** Adds that many tasks of the job; removes them if negative. */
     public void add(Job job, int tasks) {
         cpus += tasks * units(job.cpus());
         gpus += tasks * units(job.gpus());
         memory += tasks * units(job.memoryGb());
     }
 
+    /** Removes one task of the job. */
     public void remove(Job job) {
         add(job, -1);
     }
 
+    /** CPUs in use. */
     public double cpus() {
         return cpus / UNIT;
     }
 
+    /** GPUs in use. */
     public double gpus() {
         return gpus / UNIT;
     }
 
+    /** True if nothing is in use. */
     public boolean isEmpty() {
         return cpus == 0 && gpus == 0 && memory == 0;
     }
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -87,6 +87,7 @@
         return hasLimit(job) && !isDivisible(team(job));
     }
 
+    /** True while a launch of a serialized team is in flight, so that its usage is not known. */
     public boolean isLaunchInFlight(Job job) {
         return isSerialized(job) && settledAt.getOrDefault(job.team(), 0L) > replica.revision();
     }
@@ -210,6 +211,7 @@
         }
     }
 
+    /** A launch of the job was answered at the revision. */
     public void onLaunchCompleted(Job job, long revision) {
         if (hasLimit(job)) {
             settledAt.put(job.team(), revision);
--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -1,11 +1,11 @@
 package dewlane.core.quota;
 
+import dewlane.core.fleet.PartitionCapacity;
 import dewlane.core.job.DependencyGraph;
 import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Job;
-import dewlane.core.scheduling.SliceAssigner;
 import dewlane.core.schema.StoredValue.Member;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.StoreReplica;
@@ -30,7 +30,7 @@
     private final Membership membership;
     private final AuthorityMonitor standing;
     private final QuotaEnforcer quota;
-    private final SliceAssigner distributor;
+    private final PartitionCapacity capacity;
     private final DependencyGraph release;
     private long lentAt = Long.MIN_VALUE / 2;
 
@@ -40,7 +40,7 @@
             Membership membership,
             AuthorityMonitor standing,
             QuotaEnforcer quota,
-            SliceAssigner distributor,
+            PartitionCapacity capacity,
             DependencyGraph release) {
         this.release = release;
         this.context = context;
@@ -48,9 +48,10 @@
         this.membership = membership;
         this.standing = standing;
         this.quota = quota;
-        this.distributor = distributor;
+        this.capacity = capacity;
     }
 
+    /** Transfers quota for the first job that has waited too long for it. */
     public void tick() {
         if (!standing.current().mayDecide() || context.nowMs() - lentAt < PAUSE_MS) {
             return;
@@ -73,7 +74,7 @@
         Job spec = job.job();
         String self = context.settings().controllerName();
         List<Member> members = replica.partitionMap().members();
-        int[] rooms = distributor.capacityByPartition(spec, job.requirements());
+        int[] rooms = capacity.byPartition(spec, job.requirements());
         int mine = quota.capacityFor(spec, self);
         for (int i = 0; i < rooms.length; i++) {
             if (members.get(i).name().equals(self) && rooms[i] > 0 && mine > 0) {
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -3,7 +3,6 @@
 import dewlane.core.config.Settings;
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.JobProgress.Outcome;
-import dewlane.core.fleet.Machine.AttemptId;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.job.DependencyTracker;
@@ -12,6 +11,7 @@
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
 import dewlane.core.model.Attempt;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.schema.Partitioner;
@@ -19,6 +19,7 @@
 import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
@@ -94,7 +95,7 @@
         JobProgress work = machines.progress().getOrCreate(job.id);
         if (work.isBusy(replica.revision(), context.nowMs())
                 || replica.isUnreadable(job.id)
-                || !transactions.hasCapacity(TransactionQueue.Urgency.OUTCOME)) {
+                || !transactions.hasCapacity(TransactionPriority.OUTCOME)) {
             return;
         }
         if (!job.isCancelled() && dependencies.isCancelled(job)) {
@@ -117,7 +118,7 @@
                 && !cancellations.mustNotRun(job)
                 && launches
                 && context.nowMs() >= work.retryAtMs
-                && transactions.hasCapacity(TransactionQueue.Urgency.LAUNCH)) {
+                && transactions.hasCapacity(TransactionPriority.LAUNCH)) {
             planner.plan(update);
         }
         if (!cut) {
@@ -327,8 +328,7 @@
         update.changed().keySet().forEach(slice -> work.resetGathering(slice.number));
         Job spec = update.job.job();
         int launched = update.launches.size();
-        TransactionQueue.Urgency urgency =
-                launched > 0 ? TransactionQueue.Urgency.LAUNCH : TransactionQueue.Urgency.OUTCOME;
+        TransactionPriority urgency = launched > 0 ? TransactionPriority.LAUNCH : TransactionPriority.OUTCOME;
         transactions.submit(urgency, transaction.build(), (status, revision) -> {
             work.writeInFlight = false;
             work.settledRevision = revision;
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -1,11 +1,11 @@
 package dewlane.core.scheduling;
 
 import dewlane.core.config.Settings;
+import dewlane.core.fleet.AssignedAttempt;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.AssignedAttempt;
-import dewlane.core.fleet.Machine.AttemptId;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.message.ControllerContext;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.Priority;
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -1,9 +1,9 @@
 package dewlane.core.scheduling;
 
+import dewlane.core.fleet.AssignedAttempt;
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.JobProgress.Outcome;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.AssignedAttempt;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.job.DependencyGraph;
 import dewlane.core.membership.Membership;
@@ -173,16 +173,10 @@
     /** All that was on a machine that is proven gone is gone. */
     private void recordTerminated(Machine machine) {
         for (AssignedAttempt assigned : machine.attempts.values()) {
-            recordOutcome(machines.progress().getOrCreate(assigned.job.id), assigned, Outcome.GONE);
+            machines.progress().getOrCreate(assigned.job.id).recordOutcome(assigned, Outcome.GONE, context.nowMs());
         }
     }
 
-    /** Notes an outcome that is to be made durable; true if it is the first for the attempt. */
-    public boolean recordOutcome(JobProgress work, AssignedAttempt live, Outcome outcome) {
-        work.beginGathering(live.slice.number, context.nowMs());
-        return work.outcomes.putIfAbsent(live.id, outcome) == null;
-    }
-
     /** Tasks on a machine that is soon taken away save as late as is safe. */
     private void checkpointBeforeTermination(Machine machine) {
         for (AssignedAttempt assigned : machine.attempts.values()) {
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -1,7 +1,7 @@
 package dewlane.core.scheduling;
 
-import dewlane.core.fleet.Machine;
 import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.fleet.PartitionCapacity;
 import dewlane.core.job.DependencyGraph;
 import dewlane.core.job.SliceSizeBound;
 import dewlane.core.message.ControllerContext;
@@ -31,9 +31,6 @@
     /** A part, the tasks it has room for, and that less what waits there already. */
     record Offer(String controller, int capacity, double spare) {}
 
-    /** How long a count of the parts' room is good enough. */
-    private static final long CACHE_TTL_MS = 250;
-
     /** So long a job leaves the room of a part to all that waits there, even to what cannot use it yet. */
     private static final long YIELD_PERIOD_MS = 30_000;
 
@@ -43,31 +40,35 @@
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
+    private final PartitionCapacity capacity;
     private final QuotaEnforcer quota;
     private final DependencyGraph release;
     private final Map<Asked, List<Offer>> counted = new HashMap<>();
-    /** By shape, the tasks that each part has room for. */
-    private final Map<Job.Requirements, int[]> rooms = new HashMap<>();
-
-    private long countedAt = Long.MIN_VALUE / 2;
-    private long countedFor;
+    /** The generation of the capacity that the offers were made from. */
+    private long countedGeneration;
 
     public SliceAssigner(
             ControllerContext context,
             StoreReplica replica,
             MachineRegistry machines,
+            PartitionCapacity capacity,
             QuotaEnforcer quota,
             DependencyGraph release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
         this.machines = machines;
+        this.capacity = capacity;
         this.quota = quota;
     }
 
     /** What each part offers a job, the one with the most to spare first; asked again soon, it is as it was. */
     private List<Offer> offers(Job job, Asked asked) {
-        keepFresh();
+        long generation = capacity.refresh();
+        if (generation != countedGeneration) {
+            counted.clear();
+            countedGeneration = generation;
+        }
         return counted.computeIfAbsent(asked, a -> count(job, a));
     }
 
@@ -79,37 +80,9 @@
         return new Asked(job.requirements(), job.priority(), job.job().team(), waitedLong(job));
     }
 
-    /** Tasks of the job that each part of the map has room for. */
-    public int[] capacityByPartition(Job job, Job.Requirements shape) {
-        keepFresh();
-        return rooms.computeIfAbsent(shape, k -> {
-            List<Member> members = replica.partitionMap().members();
-            int[] found = new int[members.size()];
-            for (Machine machine : machines.all()) {
-                MachineType type = machines.type(machine);
-                if (type != null
-                        && type.fits(shape)
-                        && acceptsTasks(machine)
-                        && job.allows(machine.typeName, machine.zone, machine.spot)) {
-                    found[index(members, machine.owner)] += machine.usage.capacityFor(type, job);
-                }
-            }
-            return found;
-        });
-    }
-
-    private void keepFresh() {
-        if (context.nowMs() - countedAt > CACHE_TTL_MS || replica.partitionMapRevision() != countedFor) {
-            counted.clear();
-            rooms.clear();
-            countedAt = context.nowMs();
-            countedFor = replica.partitionMapRevision();
-        }
-    }
-
     private List<Offer> count(Job job, Asked asked) {
         List<Member> members = replica.partitionMap().members();
-        int[] rooms = capacityByPartition(job, asked.shape());
+        int[] rooms = capacity.byPartition(job, asked.shape());
         double[] waiting = new double[members.size()];
         double[] taking = new double[members.size()];
         boolean waitedLong = asked.waitedLong();
@@ -122,7 +95,8 @@
             for (SliceEntry slice : other.slices()) {
                 int left = slice.value().pendingCount();
                 if (left > 0) {
-                    int part = index(members, Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value()));
+                    int part = PartitionCapacity.indexOf(
+                            members, Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value()));
                     double each = other.job().cpus() / Math.max(0.001, job.cpus());
                     waiting[part] += left * each;
                     if (waitedLong && rooms[part] > 0) {
@@ -152,7 +126,7 @@
         return Math.max(
                 0,
                 Math.min(
-                        capacityByPartition(other.job(), other.requirements())[part],
+                        capacity.byPartition(other.job(), other.requirements())[part],
                         quota.capacityFor(other.job(), node)));
     }
 
@@ -160,28 +134,6 @@
         return context.wallClockMs() - job.waitingSinceMs() > YIELD_PERIOD_MS;
     }
 
-    private static int index(List<Member> members, String name) {
-        for (int i = 0; i < members.size(); i++) {
-            if (members.get(i).name().equals(name)) {
-                return i;
-            }
-        }
-        throw new IllegalStateException(name + " is not in the map");
-    }
-
-    private boolean acceptsTasks(Machine machine) {
-        if (machine.owner == null || replica.decommissionsByMachine().containsKey(machine.name)) {
-            return false;
-        }
-        if (machine.owner.equals(context.settings().controllerName())) {
-            return machine.reachability.confirmedWithin(
-                            context.nowMs(), context.settings().heartbeatTimeoutMs())
-                    && machine.terminationAtMs == 0
-                    && !machine.reachability.isSuspected();
-        }
-        return machines.isListedByOwner(machine);
-    }
-
     /**
      * The slices of a new job: one if a part has room for all of it, or else as few as its room is spread over; what
      * finds no room waits where least does. A slice holds no more tasks than its value can tell of at once.
--- a/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -4,6 +4,7 @@
 import dewlane.core.schema.Partitioner;
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
 import dewlane.core.store.StoreReplica;
@@ -32,7 +33,7 @@
     void collect() {
         settledAt.values().removeIf(revision -> revision <= replica.revision());
         for (JobEntry job : replica.endedJobsWithSlices()) {
-            if (!transactions.hasCapacity(TransactionQueue.Urgency.LATER)) {
+            if (!transactions.hasCapacity(TransactionPriority.LATER)) {
                 return;
             }
             boolean mine = context.settings()
@@ -54,8 +55,6 @@
         }
         settledAt.put(job.id, Long.MAX_VALUE);
         transactions.submit(
-                TransactionQueue.Urgency.LATER,
-                transaction.build(),
-                (status, revision) -> settledAt.put(job.id, revision));
+                TransactionPriority.LATER, transaction.build(), (status, revision) -> settledAt.put(job.id, revision));
     }
 }
--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -38,6 +38,7 @@
 
     /** A run of a job's tasks and the controller they are dealt to. */
     record SliceAssignment(String owner, int first, int count) {
+        /** The slice as it stands until its first change is stored. */
         public Slice slice() {
             return new Slice(owner, first, count, 0, new BitSet(), List.of());
         }
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -78,6 +78,7 @@
         return job.deadlineS() > 0 ? job.acceptedAtMs() + (long) (1000 * job.deadlineS()) : NO_DEADLINE;
     }
 
+    /** Sets the priority and deadline that follow from the jobs that depend on this one. */
     public void inheritUrgency(Priority highest, long earliestDeadlineMs) {
         priority = highest;
         deadlineMs = earliestDeadlineMs;
@@ -150,6 +151,23 @@
         return slices.isEmpty() ? 0 : slices.lastKey() + 1;
     }
 
+    /**
+     * How many of its first tasks a slice still holds. One that is too large to be written in one piece is cut by
+     * slices with higher numbers, which take over its last tasks group by group: a task is always in the slice with the
+     * highest number that holds it.
+     */
+    int remainingCount(SliceEntry slice) {
+        int first = slice.stored().first();
+        int count = slice.stored().count();
+        for (SliceEntry later : slices.tailMap(slice.number, false).values()) {
+            int from = later.stored().first();
+            if (from >= first && from < first + count) {
+                count = from - first;
+            }
+        }
+        return count;
+    }
+
     /** The slice that holds a task, or null. */
     public SliceEntry sliceOf(int task) {
         for (SliceEntry slice : slices.values()) {
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -192,7 +192,7 @@
                 SliceEntry slice = new SliceEntry(entry.id, i);
                 slice.store(deals.get(i).slice(), 0);
                 entry.slicesByNumber().put(i, slice);
-                slice.restrictTo(remainingCount(entry, slice));
+                slice.restrictTo(entry.remainingCount(slice));
             }
         }
     }
@@ -239,10 +239,10 @@
         }
         Slice before = held.value();
         held.store(value, version);
-        held.restrictTo(remainingCount(entry, held));
+        held.restrictTo(entry.remainingCount(held));
         // What it takes over leaves the others first, so that no attempt is in two slices in between.
         for (SliceEntry other : entry.slicesByNumber().headMap(number).values()) {
-            int count = remainingCount(entry, other);
+            int count = entry.remainingCount(other);
             if (count != other.value().count()) {
                 Slice was = other.value();
                 other.restrictTo(count);
@@ -252,24 +252,6 @@
         listener.accept(new ReplicaChange.SliceChanged(entry, held, before, held.value()));
     }
 
-    /**
-     * How many of its first tasks a slice still holds. One that is too large to be written in one piece is cut by
-     * slices with higher numbers, which take over its last tasks group by group: a task is always in the slice with the
-     * highest number that holds it.
-     */
-    private static int remainingCount(JobEntry entry, SliceEntry slice) {
-        int first = slice.stored().first();
-        int count = slice.stored().count();
-        for (SliceEntry later :
-                entry.slicesByNumber().tailMap(slice.number, false).values()) {
-            int from = later.stored().first();
-            if (from >= first && from < first + count) {
-                count = from - first;
-            }
-        }
-        return count;
-    }
-
     private void updateEndedJob(JobEntry entry) {
         if (entry.record() != null) {
             return;
@@ -323,6 +305,7 @@
         return results.getIfPresent(id);
     }
 
+    /** Remembers the result of a job that has ended. */
     public void recordResult(String id, JobResult fin) {
         results.put(id, fin);
         listener.accept(new ReplicaChange.JobEnded(id, fin));
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -1,7 +1,5 @@
 package dewlane.core.store;
 
-import dewlane.core.job.CancellationTracker;
-import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Effect;
@@ -14,8 +12,8 @@
 
     private final ControllerContext context;
     private final StoreReplica replica;
-    private final Membership membership;
-    private final CancellationTracker cancellations;
+    private final StoreConnectivity connectivity;
+    private final ReplicaFreshness freshness;
     private final ReadBarrier barrier;
     private final ControllerCounters counters;
     private boolean listing;
@@ -29,14 +27,14 @@
     public StoreWatcher(
             ControllerContext context,
             StoreReplica replica,
-            Membership membership,
-            CancellationTracker cancellations,
+            StoreConnectivity connectivity,
+            ReplicaFreshness freshness,
             ReadBarrier barrier,
             ControllerCounters counters) {
         this.context = context;
         this.replica = replica;
-        this.membership = membership;
-        this.cancellations = cancellations;
+        this.connectivity = connectivity;
+        this.freshness = freshness;
         this.barrier = barrier;
         this.counters = counters;
     }
@@ -62,13 +60,13 @@
 
     /** The whole state was read. */
     public void onListed(Input.StoreListed in) {
-        membership.onStoreContact();
+        connectivity.onContact();
         listing = false;
         loaded = true;
         // Changes between the listing's first and last page are only complete once the watch has passed them.
         loadedFrom = in.latestRevision();
         replica.load(in.rows(), in.revision());
-        cancellations.viewRefreshed(listedAt);
+        freshness.onRefreshed(listedAt);
         barrier.onReplicaAdvanced();
         context.info("read " + replica.jobs().size() + " jobs from the state service at revision " + in.revision());
         watch(in.revision());
@@ -89,7 +87,7 @@
         if (!loaded) {
             return false;
         }
-        membership.onStoreContact();
+        connectivity.onContact();
         for (Input.KeyChange change : in.changes()) {
             replica.apply(change);
         }
@@ -97,7 +95,7 @@
         log(in);
         replica.advance(in.revision());
         barrier.onReplicaAdvanced();
-        cancellations.viewRefreshed(watchedAt);
+        freshness.onRefreshed(watchedAt);
         watch(in.revision());
         return !in.changes().isEmpty();
     }
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -5,6 +5,7 @@
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.ValueSizer;
 import it.unimi.dsi.fastutil.longs.Long2ObjectLinkedOpenHashMap;
 import java.util.ArrayList;
@@ -22,16 +23,6 @@
  * copy won: whoever sent it must look at the state as of the conflict's revision before deciding anything.
  */
 public final class TransactionQueue {
-    /** How urgent a write is, most urgent first. */
-    public enum Urgency {
-        MEMBERSHIP,
-        SAFETY,
-        USER,
-        OUTCOME,
-        LAUNCH,
-        LATER
-    }
-
     /** Told the answer. */
     public interface Listener {
         /**
@@ -43,14 +34,14 @@
 
     private static final class Entry {
         final long id;
-        final Urgency urgency;
+        final TransactionPriority urgency;
         final Transaction txn;
         final Listener listener;
         final long submittedAt;
         long notBefore;
         int tries;
 
-        Entry(long id, Urgency urgency, Transaction transaction, Listener listener, long submittedAt) {
+        Entry(long id, TransactionPriority urgency, Transaction transaction, Listener listener, long submittedAt) {
             this.submittedAt = submittedAt;
             this.id = id;
             this.urgency = urgency;
@@ -80,11 +71,11 @@
     private final ControllerContext context;
     private final ControllerCounters counters;
     private final PriorityQueue<Entry> queue = new PriorityQueue<>(
-            Comparator.<Entry, Urgency>comparing(e -> e.urgency).thenComparingLong(e -> e.id));
+            Comparator.<Entry, TransactionPriority>comparing(e -> e.urgency).thenComparingLong(e -> e.id));
     private final Long2ObjectLinkedOpenHashMap<Entry> inFlight = new Long2ObjectLinkedOpenHashMap<>();
     private long nextId = 1;
     /** Entries of the queue by urgency. */
-    private final int[] queuedByUrgency = new int[Urgency.values().length];
+    private final int[] queuedByUrgency = new int[TransactionPriority.values().length];
 
     private final WriteRateLimiter budget;
     private final ValueSizer size;
@@ -110,7 +101,8 @@
         return sizeRefused;
     }
 
-    public void submit(Urgency urgency, Transaction transaction, Listener listener) {
+    /** Queues a transaction; the listener is told its definite answer. */
+    public void submit(TransactionPriority urgency, Transaction transaction, Listener listener) {
         enqueue(new Entry(nextId++, urgency, transaction, listener, context.nowMs()));
         sendPending();
     }
@@ -119,7 +111,7 @@
      * True if a write of this urgency would be sent soon. Whoever builds writes from what is known asks first: what
      * waits unbuilt gathers, what waits in the queue only grows old.
      */
-    public boolean hasCapacity(Urgency urgency) {
+    public boolean hasCapacity(TransactionPriority urgency) {
         int before = 0;
         for (int i = 0; i <= urgency.ordinal(); i++) {
             before += queuedByUrgency[i];
@@ -132,7 +124,8 @@
      * submissions that were all tried again and again took every change there was, and nothing accepted could run.
      */
     public boolean tryAdmitSubmission() {
-        return queuedByUrgency[Urgency.USER.ordinal()] < MAX_QUEUED_SUBMISSIONS && budget.tryAdmitSubmission();
+        return queuedByUrgency[TransactionPriority.USER.ordinal()] < MAX_QUEUED_SUBMISSIONS
+                && budget.tryAdmitSubmission();
     }
 
     private void enqueue(Entry entry) {
@@ -141,7 +134,7 @@
     }
 
     /** The part of the burst that is left to more urgent writes. */
-    private static double reserve(Urgency urgency) {
+    private static double reserve(TransactionPriority urgency) {
         return switch (urgency) {
             case LAUNCH -> BURST_RESERVE;
             case LATER -> 2 * BURST_RESERVE;
@@ -154,6 +147,7 @@
         return budget.tokens() < budget.capacity() / 2;
     }
 
+    /** The store answered a transaction, or did not. */
     public void onCompleted(Input.TransactionCompleted answer) {
         Entry entry = inFlight.remove(answer.id());
         if (entry == null) {
@@ -204,14 +198,14 @@
     }
 
     private static boolean isUserRequest(Entry entry) {
-        return entry.urgency == Urgency.USER || entry.urgency == Urgency.SAFETY;
+        return entry.urgency == TransactionPriority.USER || entry.urgency == TransactionPriority.SAFETY;
     }
 
     /** What users wait for is tried again soon; the rest stays off until there is something to have. */
     private void retry(Entry entry, Transaction.Status status) {
         entry.tries++;
         long pause = RETRY_BACKOFF_MS;
-        if (entry.urgency.compareTo(Urgency.USER) <= 0) {
+        if (entry.urgency.compareTo(TransactionPriority.USER) <= 0) {
             boolean busy = status != Transaction.Status.UNKNOWN && isUserRequest(entry);
             pause = busy ? USER_REFUSED_BACKOFF_MS : USER_RETRY_BACKOFF_MS;
         }
@@ -221,6 +215,7 @@
         enqueue(entry);
     }
 
+    /** Sends what is queued, as far as the rate allows. */
     public void sendPending() {
         List<Entry> later = new ArrayList<>();
         while (!queue.isEmpty() && inFlight.size() < MAX_IN_FLIGHT) {
@@ -231,7 +226,7 @@
                 later.add(entry);
                 continue;
             }
-            if (entry.urgency.compareTo(Urgency.USER) > 0
+            if (entry.urgency.compareTo(TransactionPriority.USER) > 0
                     && budget.tokens()
                             < Math.min(cost + budget.capacity() * reserve(entry.urgency), budget.capacity())) {
                 later.add(entry);
--- a/src/main/java/dewlane/core/store/UnreadableValueLog.java
+++ b/src/main/java/dewlane/core/store/UnreadableValueLog.java
@@ -20,6 +20,7 @@
         this.counters = counters;
     }
 
+    /** Counts an unreadable value, and logs it unless there were many of late. */
     public void report(ReplicaChange.ValueUnreadable unread) {
         counters.unreadableValues++;
         if (rate.tryAcquire(context.nowMs())) {
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -1,9 +1,9 @@
 package dewlane.core.worker;
 
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.AttemptId;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Input;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.WorkerCommand;
 import dewlane.core.store.StoreReplica;
 import java.util.List;
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -1,14 +1,14 @@
 package dewlane.core.worker;
 
+import dewlane.core.fleet.AssignedAttempt;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.AssignedAttempt;
-import dewlane.core.fleet.Machine.AttemptId;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
 import dewlane.core.model.Attempt;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Heartbeat.Phase;
 import dewlane.core.model.Heartbeat.TaskStatus;
 import dewlane.core.model.WorkerCommand;
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -11,6 +11,7 @@
 import dewlane.core.schema.StoredValue.DecommissionRecord;
 import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
@@ -217,7 +218,6 @@
                 .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
                 .put(key, new DecommissionRecord(DecommissionState.DELETE, reason, names))
                 .build();
-        transactions.submit(
-                TransactionQueue.Urgency.OUTCOME, transaction, (status, revision) -> asking.removeAll(names));
+        transactions.submit(TransactionPriority.OUTCOME, transaction, (status, revision) -> asking.removeAll(names));
     }
 }
--- a/src/main/java/dewlane/core/worker/HeartbeatHandler.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -1,10 +1,9 @@
 package dewlane.core.worker;
 
+import dewlane.core.fleet.AssignedAttempt;
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.JobProgress.Outcome;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.Machine.AssignedAttempt;
-import dewlane.core.fleet.Machine.AttemptId;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.AuthorityMonitor;
@@ -14,13 +13,12 @@
 import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
-import dewlane.core.model.Attempt;
+import dewlane.core.model.AttemptId;
 import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Heartbeat.Phase;
 import dewlane.core.model.Heartbeat.TaskStatus;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.WorkerCommand;
-import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -51,7 +49,6 @@
     private final MachineRegistry machines;
     private final PeerTable peers;
     private final Membership membership;
-    private final SchedulingCycle placement;
     private final AuthorityMonitor standing;
     private final ControllerCounters counters;
     private final String self;
@@ -64,7 +61,6 @@
             MachineRegistry machines,
             PeerTable peers,
             Membership membership,
-            SchedulingCycle placement,
             CancellationTracker cancellations,
             AuthorityMonitor standing,
             ControllerCounters counters) {
@@ -73,7 +69,6 @@
         this.machines = machines;
         this.peers = peers;
         this.membership = membership;
-        this.placement = placement;
         this.standing = standing;
         this.counters = counters;
         this.self = context.settings().controllerName();
@@ -187,13 +182,17 @@
         MachineType type = machines.type(machine);
         for (AssignedAttempt assigned : machine.attempts.values()) {
             TaskStatus status = reported.get(assigned.id);
-            Outcome outcome = status == null ? outcomeIfLost(assigned.attempt, heartbeat) : outcomeOf(status);
+            Outcome outcome = status == null
+                    ? AttemptOutcomes.ifMissing(assigned.attempt, heartbeat)
+                    : AttemptOutcomes.ofStatus(status);
             if (status != null && status.phase() != Phase.EXITED && type != null && assigned.job.job() != null) {
                 machine.imageFetched(
                         assigned.job.job().image(), assigned.job.job().imageGb(), type.imageCacheGb());
             }
             if (outcome != null
-                    && placement.recordOutcome(machines.progress().getOrCreate(assigned.job.id), assigned, outcome)) {
+                    && machines.progress()
+                            .getOrCreate(assigned.job.id)
+                            .recordOutcome(assigned, outcome, context.nowMs())) {
                 machines.attemptEnded(machine, assigned);
                 attributeFailure(machine, assigned, outcome);
             }
@@ -245,31 +244,6 @@
         }
     }
 
-    /**
-     * A report that lacks an attempt proves it gone only if it is from a later session than the launch, or if the
-     * worker had by then seen a token above the launch's, so that a late copy of the launch is refused.
-     */
-    private static Outcome outcomeIfLost(Attempt attempt, Heartbeat heartbeat) {
-        if (heartbeat.incarnation() > attempt.incarnation()
-                || (heartbeat.incarnation() == attempt.incarnation()
-                        && heartbeat.fencingToken() > attempt.fencingToken())) {
-            return Outcome.GONE;
-        }
-        return null;
-    }
-
-    private static Outcome outcomeOf(TaskStatus status) {
-        if (status.phase() != Phase.EXITED) {
-            return null;
-        }
-        return switch (status.exitReason()) {
-            case DONE -> Outcome.DONE;
-            case STOPPED -> Outcome.STOPPED;
-            case ERROR -> Outcome.ERROR;
-            case NO_ROOM, BUSY, UNKNOWN -> Outcome.REFUSED;
-        };
-    }
-
     /** Tells faulty machines from faulty jobs: a machine is to blame once tasks of two jobs failed on it in a row. */
     private void attributeFailure(Machine machine, AssignedAttempt assigned, Outcome outcome) {
         context.debug(assigned.job.id + "/" + assigned.attempt.task() + " #" + assigned.attempt.number() + " on "
@@ -341,6 +315,7 @@
         }
     }
 
+    /** A direct command was answered, abandoned or never sent. */
     public void onCommandCompleted(Input.CommandCompleted in) {
         Machine machine = machines.get(in.machine());
         if (machine == null) {
--- a/src/test/java/dewlane/LayeringTest.java
+++ b/src/test/java/dewlane/LayeringTest.java
@@ -12,6 +12,8 @@
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
+import java.util.List;
 import java.util.concurrent.Executor;
 
 /** Who may use whom. */
@@ -41,6 +43,59 @@
     static final ArchRule NO_CYCLE_OF_PACKAGES =
             slices().matching("dewlane.(*)..").should().beFreeOfCycles();
 
+    @ArchTest
+    static final ArchRule NO_CYCLE_OF_SUBSYSTEMS =
+            slices().matching("dewlane.core.(*)..").should().beFreeOfCycles();
+
+    /** The subsystems of the core, lowest first: each may use those below it. */
+    private static final List<String> SUBSYSTEMS = List.of(
+            "config",
+            "model",
+            "schema",
+            "message",
+            "store",
+            "job",
+            "membership",
+            "fleet",
+            "worker",
+            "quota",
+            "scheduling",
+            "autoscaling",
+            "admission",
+            "controller");
+
+    @ArchTest
+    static final ArchRule SUBSYSTEMS_USE_LOWER_ONES = subsystemsUseLowerOnes();
+
+    private static ArchRule subsystemsUseLowerOnes() {
+        LayeredArchitecture layers = layeredArchitecture().consideringOnlyDependenciesInLayers();
+        for (String subsystem : SUBSYSTEMS) {
+            layers = layers.layer(subsystem).definedBy("dewlane.core." + subsystem + "..");
+        }
+        for (int i = 0; i < SUBSYSTEMS.size() - 1; i++) {
+            String[] higher = SUBSYSTEMS.subList(i + 1, SUBSYSTEMS.size()).toArray(String[]::new);
+            layers = layers.whereLayer(SUBSYSTEMS.get(i)).mayOnlyBeAccessedByLayers(higher);
+        }
+        return layers.whereLayer("controller").mayNotBeAccessedByAnyLayer();
+    }
+
+    /** Heartbeats are handled without a word of scheduling: what they prove is left for the next cycle. */
+    @ArchTest
+    static final ArchRule SCHEDULING_DOES_NOT_SPEAK_TO_WORKERS = noClasses()
+            .that()
+            .resideInAPackage("dewlane.core.scheduling..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAPackage("dewlane.core.worker..");
+
+    @ArchTest
+    static final ArchRule EVERY_CLASS_OF_THE_CORE_IS_IN_A_SUBSYSTEM = classes()
+            .that()
+            .resideInAPackage("dewlane.core..")
+            .should()
+            .resideInAnyPackage(
+                    SUBSYSTEMS.stream().map(name -> "dewlane.core." + name).toArray(String[]::new));
+
     /** Collections, and nothing that reads a clock, a file or a socket, starts a thread or waits. */
     @ArchTest
     static final ArchRule CORE_IS_PURE = classes()
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -41,6 +41,7 @@
     long now;
     public long revision = 10;
 
+    /** Gives the controller a message that many milliseconds after the last one. */
     public void hear(long afterMs, Input input) {
         now += afterMs;
         effects.addAll(controller.handle(now, now, input));
@@ -51,6 +52,7 @@
         hear(60, new Input.WatchEvents(List.of(new Input.KeyChange(key, value, revision)), revision));
     }
 
+    /** Returns the effects of one kind since the last call, and drops the others. */
     public <T extends Effect> List<T> take(Class<T> kind) {
         List<T> found =
                 effects.stream().filter(kind::isInstance).map(kind::cast).toList();
@@ -58,6 +60,7 @@
         return found;
     }
 
+    /** A heartbeat of the one machine, without tasks. */
     public Heartbeat report(long session, long sequence, long token) {
         return new Heartbeat("m1", "h:1", "box", "east", true, session, sequence, token, Double.NaN, List.of());
     }
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -1,6 +1,6 @@
 package dewlane.core.fleet;
 
-import dewlane.core.fleet.Machine.AttemptId;
+import dewlane.core.model.AttemptId;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashSet;
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -87,6 +87,38 @@
         List<QuotaTransfer> loans =
                 List.of(new QuotaTransfer("blue", "cask-0", 1.5, 0), new QuotaTransfer("blue", "cask-1", -1.5, 0));
         List<Member> members = List.of(new Member("cask-0", 4), new Member("cask-1", 5));
+        return Stream.concat(
+                jobValues(deals),
+                Stream.of(
+                        Arguments.of(
+                                "map.json",
+                                StoreKeys.PARTITION_MAP,
+                                new StoredValue.PartitionMap(5, members, Map.of("vm-000231", "cask-1"), loans)),
+                        Arguments.of(
+                                "map-first.json",
+                                StoreKeys.PARTITION_MAP,
+                                new StoredValue.PartitionMap(1, List.of(new Member("cask-0", 1)), Map.of())),
+                        Arguments.of(
+                                "presence.json",
+                                StoreKeys.presence("cask-0"),
+                                new StoredValue.Presence(4, SchemaVersion.FIRST)),
+                        Arguments.of(
+                                "team.json", StoreKeys.teamUsage("blue"), new StoredValue.TeamUsageRecord(12.5, 2)),
+                        Arguments.of(
+                                "machine.json",
+                                StoreKeys.decommission("vm-000231"),
+                                new StoredValue.DecommissionRecord(
+                                        StoredValue.DecommissionState.TERMINATED, "deleted", List.of())),
+                        Arguments.of(
+                                "machines.json",
+                                StoreKeys.decommissionBatch("cask-0", 3, 1),
+                                new StoredValue.DecommissionRecord(
+                                        StoredValue.DecommissionState.DELETE,
+                                        "silent",
+                                        List.of("vm-000001", "vm-000002")))));
+    }
+
+    private static Stream<Arguments> jobValues(List<SliceAssignment> deals) {
         return Stream.of(
                 Arguments.of("job.json", StoreKeys.job("wk-000412"), new StoredValue.JobRecord(job(), deals, 0)),
                 Arguments.of(
@@ -106,30 +138,7 @@
                 Arguments.of(
                         "slice-new.json",
                         StoreKeys.slice("wk-000412", 0),
-                        new StoredValue.Slice("cask-1", 0, 20, 0, new BitSet(), List.of())),
-                Arguments.of(
-                        "map.json",
-                        StoreKeys.PARTITION_MAP,
-                        new StoredValue.PartitionMap(5, members, Map.of("vm-000231", "cask-1"), loans)),
-                Arguments.of(
-                        "map-first.json",
-                        StoreKeys.PARTITION_MAP,
-                        new StoredValue.PartitionMap(1, List.of(new Member("cask-0", 1)), Map.of())),
-                Arguments.of(
-                        "presence.json",
-                        StoreKeys.presence("cask-0"),
-                        new StoredValue.Presence(4, SchemaVersion.FIRST)),
-                Arguments.of("team.json", StoreKeys.teamUsage("blue"), new StoredValue.TeamUsageRecord(12.5, 2)),
-                Arguments.of(
-                        "machine.json",
-                        StoreKeys.decommission("vm-000231"),
-                        new StoredValue.DecommissionRecord(
-                                StoredValue.DecommissionState.TERMINATED, "deleted", List.of())),
-                Arguments.of(
-                        "machines.json",
-                        StoreKeys.decommissionBatch("cask-0", 3, 1),
-                        new StoredValue.DecommissionRecord(
-                                StoredValue.DecommissionState.DELETE, "silent", List.of("vm-000001", "vm-000002"))));
+                        new StoredValue.Slice("cask-1", 0, 20, 0, new BitSet(), List.of())));
     }
 
     @ParameterizedTest
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -144,52 +144,54 @@
                 IOException.class, () -> WorkerProtocol.report("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
     }
 
-    @Test
-    void valuesComeBackFromTheStateServiceAsTheyWentIn() throws IOException {
+    private static Map<String, StoredValue> valuesByKey() {
         BitSet done = new BitSet();
         done.set(0, 5);
         done.set(7);
         done.set(9, 12);
         Job job = submission(GOOD).job().withAcceptedAt(1234);
-        for (Map.Entry<String, StoredValue> e : Map.of(
-                        StoreKeys.job("wk-1"),
-                        new StoredValue.JobRecord(
-                                job,
-                                List.of(
-                                        new StoredValue.SliceAssignment("n0", 0, 10),
-                                        new StoredValue.SliceAssignment("n1", 10, 6)),
-                                99),
-                        StoreKeys.jobResult("wk-1"),
-                        new StoredValue.JobResult(true, 7),
-                        StoreKeys.slice("wk-1", 2),
-                        new StoredValue.Slice(
-                                "n0",
-                                40,
-                                20,
-                                3,
-                                done,
-                                List.of(
-                                        new Attempt(45, 3, "vm-1", 2, 77L << 20, 5_000_000_000L),
-                                        new Attempt(46, 3, "vm-2", 1, (76L << 20) + 5, 5_000_000_000L))),
-                        StoreKeys.PARTITION_MAP,
-                        new StoredValue.PartitionMap(
-                                5,
-                                List.of(new StoredValue.Member("a", 4), new StoredValue.Member("b", 5)),
-                                Map.of("vm-1", "b"),
-                                List.of(
-                                        new StoredValue.QuotaTransfer("blue", "a", 1.5, 0),
-                                        new StoredValue.QuotaTransfer("blue", "b", -1.5, 0)),
-                                Map.of("a", SchemaVersion.DEPENDENCIES, "gone", SchemaVersion.DEPENDENCIES),
-                                UnknownFields.NONE),
-                        StoreKeys.presence("a"),
-                        (StoredValue) new StoredValue.Presence(4),
-                        StoreKeys.decommission("vm-1"),
-                        new StoredValue.DecommissionRecord(
-                                StoredValue.DecommissionState.TERMINATED, "deleted", List.of()),
-                        StoreKeys.decommissionBatch("a", 3, 1),
-                        new StoredValue.DecommissionRecord(
-                                StoredValue.DecommissionState.DELETE, "silent", List.of("vm-1", "vm-2")))
-                .entrySet()) {
+        return Map.of(
+                StoreKeys.job("wk-1"),
+                new StoredValue.JobRecord(
+                        job,
+                        List.of(
+                                new StoredValue.SliceAssignment("n0", 0, 10),
+                                new StoredValue.SliceAssignment("n1", 10, 6)),
+                        99),
+                StoreKeys.jobResult("wk-1"),
+                new StoredValue.JobResult(true, 7),
+                StoreKeys.slice("wk-1", 2),
+                new StoredValue.Slice(
+                        "n0",
+                        40,
+                        20,
+                        3,
+                        done,
+                        List.of(
+                                new Attempt(45, 3, "vm-1", 2, 77L << 20, 5_000_000_000L),
+                                new Attempt(46, 3, "vm-2", 1, (76L << 20) + 5, 5_000_000_000L))),
+                StoreKeys.PARTITION_MAP,
+                new StoredValue.PartitionMap(
+                        5,
+                        List.of(new StoredValue.Member("a", 4), new StoredValue.Member("b", 5)),
+                        Map.of("vm-1", "b"),
+                        List.of(
+                                new StoredValue.QuotaTransfer("blue", "a", 1.5, 0),
+                                new StoredValue.QuotaTransfer("blue", "b", -1.5, 0)),
+                        Map.of("a", SchemaVersion.DEPENDENCIES, "gone", SchemaVersion.DEPENDENCIES),
+                        UnknownFields.NONE),
+                StoreKeys.presence("a"),
+                (StoredValue) new StoredValue.Presence(4),
+                StoreKeys.decommission("vm-1"),
+                new StoredValue.DecommissionRecord(StoredValue.DecommissionState.TERMINATED, "deleted", List.of()),
+                StoreKeys.decommissionBatch("a", 3, 1),
+                new StoredValue.DecommissionRecord(
+                        StoredValue.DecommissionState.DELETE, "silent", List.of("vm-1", "vm-2")));
+    }
+
+    @Test
+    void valuesComeBackFromTheStateServiceAsTheyWentIn() throws IOException {
+        for (Map.Entry<String, StoredValue> e : valuesByKey().entrySet()) {
             byte[] json = StoredValueCodec.bytes(e.getValue());
             assertEquals(e.getValue(), StoredValueCodec.decode(e.getKey(), Json.object(json)));
         }
