--- a/src/main/java/dewlane/core/admission/JobRequestHandler.java
+++ b/src/main/java/dewlane/core/admission/JobRequestHandler.java
@@ -154,7 +154,7 @@
 
     private static JobStatus active(JobEntry job) {
         int live = job.liveAttemptCount();
-        return new JobStatus(job.id, live > 0 ? JobCondition.RUNNING : JobCondition.PENDING, job.doneCount(), live);
+        return new JobStatus(job.id(), live > 0 ? JobCondition.RUNNING : JobCondition.PENDING, job.doneCount(), live);
     }
 
     private void lookUpFinal(long id, String job, Runnable unknown) {
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -110,11 +110,11 @@
         Map<InstancePool, List<Bin>> bins = new LinkedHashMap<>();
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
-            if (type != null && isSchedulable(machine) && machine.usage.cpus() < type.cpus()) {
+            if (type != null && isSchedulable(machine) && machine.usage().cpus() < type.cpus()) {
                 add(
                         bins,
-                        new InstancePool(type.name(), machine.zone, machine.spot),
-                        new Bin(type, new ResourceUsage(machine.usage)));
+                        new InstancePool(type.name(), machine.zone(), machine.isSpot()),
+                        new Bin(type, new ResourceUsage(machine.usage())));
             }
         }
         booting.forEach((name, rental) -> {
@@ -142,7 +142,7 @@
     private List<JobEntry> waitingJobs() {
         List<JobEntry> jobs = new ArrayList<>();
         for (JobEntry job : replica.jobs()) {
-            if (job.job() != null && release.isReady(job.id) && !faulty(job) && job.pendingCount() > 0) {
+            if (job.job() != null && release.isReady(job.id()) && !faulty(job) && job.pendingCount() > 0) {
                 jobs.add(job);
             }
         }
@@ -151,7 +151,7 @@
     }
 
     private boolean faulty(JobEntry job) {
-        JobProgress work = machines.progress().get(job.id);
+        JobProgress work = machines.progress().get(job.id());
         return work != null && work.isFaulty();
     }
 
@@ -195,7 +195,7 @@
             MachineType type = machines.type(machine);
             if (type != null
                     && type.fits(shape)
-                    && spec.allows(machine.typeName, machine.zone, machine.spot)
+                    && spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
                     && isSchedulable(machine)) {
                 return true;
             }
@@ -211,10 +211,10 @@
     }
 
     private boolean isSchedulable(Machine machine) {
-        if (machine.owner == null || replica.decommissionsByMachine().containsKey(machine.name)) {
+        if (machine.owner() == null || replica.decommissionsByMachine().containsKey(machine.name())) {
             return false;
         }
-        return machine.owner.equals(context.settings().controllerName())
+        return machine.owner().equals(context.settings().controllerName())
                 ? placement.isSchedulable(machine)
                 : machines.isListedByOwner(machine);
     }
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -126,10 +126,10 @@
 
     private void detectBooted() {
         for (Machine machine : machines.all()) {
-            if (machine.reachability.everConfirmed()
-                    || !machine.attempts.isEmpty()
+            if (machine.reachability().everConfirmed()
+                    || !machine.attempts().isEmpty()
                     || machines.isListedByOwner(machine)) {
-                up.add(machine.name);
+                up.add(machine.name());
             }
         }
         up.removeIf(machines::isTerminated);
@@ -190,7 +190,7 @@
 
     private boolean idle(String name) {
         Machine machine = machines.get(name);
-        return machine == null || machine.attempts.isEmpty();
+        return machine == null || machine.attempts().isEmpty();
     }
 
     /** Notes what a deletion's answer proves. */
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -76,10 +76,10 @@
         for (Machine machine : machines.owned()) {
             // An ordinary machine is dearer, and goes after half the time.
             if (idle.size() < MOST_AT_ONCE
-                    && machine.attempts.isEmpty()
-                    && machine.usage.isEmpty()
+                    && machine.attempts().isEmpty()
+                    && machine.usage().isEmpty()
                     && placement.isSchedulable(machine)
-                    && context.nowMs() - machine.idleSince >= (machine.spot ? idleMs : idleMs / 2)) {
+                    && context.nowMs() - machine.idleSinceMs() >= (machine.isSpot() ? idleMs : idleMs / 2)) {
                 idle.add(machine);
             }
         }
@@ -90,7 +90,7 @@
 
     private boolean workWaits() {
         for (JobEntry job : replica.jobs()) {
-            if (job.job() != null && release.isReady(job.id) && job.pendingCount() > 0) {
+            if (job.job() != null && release.isReady(job.id()) && job.pendingCount() > 0) {
                 return true;
             }
         }
@@ -100,12 +100,12 @@
     private void decommission(List<Machine> idle) {
         returnedAt = context.nowMs();
         // What a record has no room for goes back by the next one.
-        List<String> all = idle.stream().map(machine -> machine.name).toList();
+        List<String> all = idle.stream().map(machine -> machine.name()).toList();
         List<String> names = DecommissionBatches.split(all, context.settings().maxValueBytes())
                 .get(0);
         context.info("returning idle machines " + names);
         List<Machine> leaving = idle.subList(0, names.size());
-        leaving.forEach(machine -> machine.scalingIn = true);
+        leaving.forEach(machine -> machine.lifecycle().beginScaleIn());
         String key = StoreKeys.decommissionBatch(
                 context.settings().controllerName() + "-idle", membership.incarnation(), ++records);
         Transaction transaction = new Transaction.Builder()
@@ -115,7 +115,7 @@
                 .build();
         transactions.submit(TransactionPriority.LATER, transaction, (status, revision) -> {
             if (status != Transaction.Status.COMMITTED) {
-                leaving.forEach(machine -> machine.scalingIn = false);
+                leaving.forEach(machine -> machine.lifecycle().abortScaleIn());
             }
         });
     }
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -17,6 +17,7 @@
 import dewlane.core.membership.PeerTable;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.PeerStatus;
@@ -177,7 +178,9 @@
 
     /** How many jobs a pass looked at on average. */
     public double jobsPerCycle() {
-        return counters.schedulingCycles == 0 ? 0 : (double) counters.jobsConsidered / counters.schedulingCycles;
+        return counters.get(Counter.SCHEDULING_CYCLES) == 0
+                ? 0
+                : (double) counters.get(Counter.JOBS_CONSIDERED) / counters.get(Counter.SCHEDULING_CYCLES);
     }
 
     /** True once this controller can decide about jobs. */
@@ -325,7 +328,7 @@
         cancellations.onReplicaChange(delta);
         dependencies.onReplicaChange(delta);
         if (delta instanceof ReplicaChange.SliceChanged d && d.after() != null) {
-            counters.attemptsSeen += d.after().attempts().size();
+            counters.add(Counter.ATTEMPTS_SEEN, d.after().attempts().size());
         } else if (delta instanceof ReplicaChange.PartitionMapChanged d) {
             context.info("map " + d.after().epoch() + ": " + d.after().members() + ", led by "
                     + Partitioner.leaderOf(d.after()));
--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -65,13 +65,13 @@
         List<MachineStatus> usable = new ArrayList<>();
         for (Machine machine : placement.schedulableMachines()) {
             usable.add(new MachineStatus(
-                    machine.name,
-                    machine.address,
-                    machine.typeName,
-                    machine.zone,
-                    machine.spot,
-                    machine.incarnation,
-                    machine.sequence));
+                    machine.name(),
+                    machine.address(),
+                    machine.typeName(),
+                    machine.zone(),
+                    machine.isSpot(),
+                    machine.worker().incarnation(),
+                    machine.worker().sequence()));
         }
         List<PeerStatus> pages = new ArrayList<>();
         for (int from = 0; from == 0 || from < usable.size(); from += MACHINES_A_PAGE) {
--- a/src/main/java/dewlane/core/fleet/AssignedAttempt.java
+++ b/src/main/java/dewlane/core/fleet/AssignedAttempt.java
@@ -7,19 +7,55 @@
 
 /** An attempt that the store holds against a machine. */
 public final class AssignedAttempt {
-    public final JobEntry job;
-    public final SliceEntry slice;
-    public final Attempt attempt;
-    public final AttemptId id;
-    /** The controller against whose share of the team's limit it counts. */
-    String quotaOwner;
-    /** The machine reported its end, so it needs no room there any more. */
-    public boolean ended;
+    private final JobEntry job;
+    private final SliceEntry slice;
+    private final Attempt attempt;
+    private final AttemptId id;
+    private String quotaOwner;
+    private boolean ended;
 
     AssignedAttempt(JobEntry job, SliceEntry slice, Attempt attempt) {
         this.job = job;
         this.slice = slice;
         this.attempt = attempt;
-        this.id = new AttemptId(job.id, attempt.task(), attempt.number());
+        this.id = new AttemptId(job.id(), attempt.task(), attempt.number());
+    }
+
+    /** The job of the attempt's task. */
+    public JobEntry job() {
+        return job;
+    }
+
+    /** The slice that holds the attempt. */
+    public SliceEntry slice() {
+        return slice;
+    }
+
+    /** The attempt as it is stored. */
+    public Attempt attempt() {
+        return attempt;
+    }
+
+    /** Identifies the attempt. */
+    public AttemptId id() {
+        return id;
+    }
+
+    /** The controller against whose share of the team's limit the attempt counts; null without a partition map. */
+    String quotaOwner() {
+        return quotaOwner;
+    }
+
+    void setQuotaOwner(String controller) {
+        quotaOwner = controller;
+    }
+
+    /** True once the worker reported its end, so that it needs no room on the machine any more. */
+    public boolean hasEnded() {
+        return ended;
+    }
+
+    void markEnded() {
+        ended = true;
     }
 }
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -42,7 +42,7 @@
     public void launchDecided(String job, JobProgress.Launch launch) {
         getOrCreate(job).launchesInFlight.add(launch);
         settling.add(job);
-        launch.machine().usage.add(launch.spec());
+        launch.machine().usage().add(launch.spec());
         teamUsage.add(launch.spec(), context.settings().controllerName(), 1);
     }
 
@@ -70,7 +70,7 @@
     }
 
     private void releaseLaunch(JobProgress.Launch launch) {
-        launch.machine().usage.remove(launch.spec());
+        launch.machine().usage().remove(launch.spec());
         teamUsage.add(launch.spec(), context.settings().controllerName(), -1);
         launch.machine().markIdleIfEmpty(context.nowMs());
     }
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -1,95 +1,120 @@
 package dewlane.core.fleet;
 
 import dewlane.core.model.AttemptId;
-import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.ResourceUsage;
-import it.unimi.dsi.fastutil.objects.Object2DoubleLinkedOpenHashMap;
-import it.unimi.dsi.fastutil.objects.Object2LongOpenHashMap;
-import java.util.HashMap;
+import java.util.Collection;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
 
-/** What this controller knows of a machine. */
+/**
+ * What this controller knows of a machine: what it is, who owns it, what may be running there, and what its worker was
+ * told. Owned by the controller's one thread.
+ */
 public final class Machine {
-    public final String name;
-    /** The controller whose part the machine belongs to under the present map. */
-    public String owner;
-    /** Since when that is so. */
-    public long ownerSince;
-
-    public String address;
-    public String typeName;
-    public String zone;
-    public boolean spot;
-    /** What the catalog says of the type; null until it is looked up. */
-    MachineType resolvedType;
-
-    public long incarnation;
-    public long sequence;
-    /** The highest token that the worker has shown. */
-    public long highestTokenSeen;
-    /** Whether it hears this controller. */
-    public final Reachability reachability;
-    /** What was sent to the worker, and with which token. */
-    public final CommandChannel commandChannel = new CommandChannel();
-    /** The start of a peer that last said it hears the machine, and when. */
-    String listedByIncarnation;
-
-    long listedAt;
-    public final MisroutedHeartbeats misroutedHeartbeats = new MisroutedHeartbeats();
-    /** It was to be returned when it was last heard of: if it is silent, it is gone as it should be. */
-    public boolean scaleInExpected;
-    /** It is being returned, though no record shows that yet. */
-    public boolean scalingIn;
-    /** When the cloud takes the machine away; 0: not announced. */
-    public long terminationAtMs;
-
-    public Map<AttemptId, Heartbeat.TaskStatus> reportedTasks = Map.of();
-
-    public final Object2LongOpenHashMap<AttemptId> commandedAt = new Object2LongOpenHashMap<>();
-    /** Attempts to be stopped although their job goes on, and the grace they get. */
-    public final Map<AttemptId, Double> preemptions = new HashMap<>();
-
-    public final Object2LongOpenHashMap<AttemptId> unaccountedSince = new Object2LongOpenHashMap<>();
+    private final String name;
+    private String owner;
+    private long ownerSinceMs;
 
-    /** Jobs of which a task failed here since a task last completed. */
-    public final Set<String> failedJobs = new HashSet<>();
-    /** Images fetched here, most recently used last. */
-    private final Object2DoubleLinkedOpenHashMap<String> images = new Object2DoubleLinkedOpenHashMap<>();
+    private String address;
+    private String typeName;
+    private String zone;
+    private boolean spot;
+    /** Null until it is looked up. */
+    private MachineType resolvedType;
+
+    private final WorkerState worker = new WorkerState();
+    private final Reachability reachability;
+    private final CommandChannel commandChannel = new CommandChannel();
+    private final CommandHistory commands = new CommandHistory();
+    private final MisroutedHeartbeats misroutedHeartbeats = new MisroutedHeartbeats();
+    private final MachineLifecycle lifecycle = new MachineLifecycle();
+    private final ImageCache images = new ImageCache();
+
+    private String listedByIncarnation;
+    private long listedAtMs;
 
-    private double imageGb;
+    /** Jobs of which a task failed here since a task last completed. */
+    private final Set<String> failedJobs = new HashSet<>();
 
-    public final Map<AttemptId, AssignedAttempt> attempts = new LinkedHashMap<>();
-    /** What the attempts take that may be on the machine, those in a write under way included. */
-    public final ResourceUsage usage = new ResourceUsage();
-    /** Room that this pass keeps for jobs that others were stopped for; null: none. */
-    public ResourceUsage reserved;
+    private final Map<AttemptId, AssignedAttempt> attempts = new LinkedHashMap<>();
+    private final ResourceUsage usage = new ResourceUsage();
+    /** Null while nothing is reserved. */
+    private ResourceUsage reserved;
 
-    public long idleSince;
+    private long idleSinceMs;
 
-    Machine(String name, long now) {
+    Machine(String name, long nowMs) {
         this.name = name;
-        this.reachability = new Reachability(now);
-        this.idleSince = now;
+        this.reachability = new Reachability(nowMs);
+        this.idleSinceMs = nowMs;
+    }
+
+    /** The machine's name, which is never used twice. */
+    public String name() {
+        return name;
+    }
+
+    /** The controller whose partition the machine is in under the present map; null before the first map. */
+    public String owner() {
+        return owner;
+    }
+
+    /** Since when it has that owner, in steady time. */
+    public long ownerSinceMs() {
+        return ownerSinceMs;
+    }
+
+    /** Sets the owner under the present map; with {@code anew}, its time as the owner begins now in any case. */
+    void setOwner(String newOwner, boolean anew, long nowMs) {
+        if (anew || newOwner == null || !newOwner.equals(owner)) {
+            ownerSinceMs = nowMs;
+        }
+        owner = newOwner;
     }
 
     /**
-     * Begins anew under this controller. Tokens are above those of any owner before, and stay so while the machine does
-     * not change hands: a map that changes elsewhere fences off no launch of this part.
+     * The machine came to this controller. Its fencing tokens are above those of any owner before, and stay so while
+     * the machine does not change hands: a map that changes elsewhere fences off no launch of this partition.
      */
-    void acquire(long epoch, long now) {
+    void acquire(long epoch, long nowMs) {
         commandChannel.acquire(epoch);
-        reachability.acquired(now, fencingToken());
-        terminationAtMs = 0;
-        reportedTasks = Map.of();
-        forgetCommands();
+        reachability.acquired(nowMs, fencingToken());
+        lifecycle.cancelTermination();
+        worker.forgetTasks();
+        commands.clear();
+    }
+
+    /** Host and port of the worker; null until it is known. */
+    public String address() {
+        return address;
+    }
+
+    /** The name of the machine's type; null until it is known. */
+    public String typeName() {
+        return typeName;
+    }
+
+    /** The zone; null until it is known. */
+    public String zone() {
+        return zone;
+    }
+
+    /** True for a spot instance, which the cloud may take back at any time. */
+    public boolean isSpot() {
+        return spot;
     }
 
-    /** Takes what a report or a list says of the machine, which never changes but for a wrong list. */
+    /** Takes the address from a heartbeat or a list. */
+    public void setAddress(String newAddress) {
+        address = newAddress;
+    }
+
+    /** Takes what a heartbeat or a list says of the machine, which never changes but for a wrong list. */
     public void describe(String ofType, String inZone, boolean onSpot) {
         if (!ofType.equals(typeName)) {
             typeName = ofType;
@@ -99,11 +124,111 @@
         spot = onSpot;
     }
 
-    /** How many tasks of the job the machine has room for, less what is kept for others. */
-    public int capacityFor(MachineType of, Job job) {
+    /** The machine's type among those that the cloud offers, or null if it is not known. */
+    MachineType resolveType(Map<String, MachineType> types) {
+        if (resolvedType == null && typeName != null) {
+            resolvedType = types.get(typeName);
+        }
+        return resolvedType;
+    }
+
+    /** The cloud's types were read anew. */
+    void forgetResolvedType() {
+        resolvedType = null;
+    }
+
+    /** What the worker has said of itself. */
+    public WorkerState worker() {
+        return worker;
+    }
+
+    /** Whether the machine hears this controller. */
+    public Reachability reachability() {
+        return reachability;
+    }
+
+    /** What was sent to the worker, and with which fencing token. */
+    public CommandChannel commandChannel() {
+        return commandChannel;
+    }
+
+    /** What is remembered of commands about single attempts. */
+    public CommandHistory commands() {
+        return commands;
+    }
+
+    /** Heartbeats that came here although another controller owns the machine. */
+    public MisroutedHeartbeats misroutedHeartbeats() {
+        return misroutedHeartbeats;
+    }
+
+    /** Whether the machine is to go. */
+    public MachineLifecycle lifecycle() {
+        return lifecycle;
+    }
+
+    /** The images in the machine's cache. */
+    public ImageCache images() {
+        return images;
+    }
+
+    /** A peer said that it hears the machine. */
+    void listedBy(String peerIncarnation, long nowMs) {
+        listedByIncarnation = peerIncarnation;
+        listedAtMs = nowMs;
+    }
+
+    /** True if that start of a peer said so within the given time. */
+    boolean wasListedBy(String peerIncarnation, long nowMs, long withinMs) {
+        return listedByIncarnation != null
+                && nowMs - listedAtMs <= withinMs
+                && listedByIncarnation.equals(peerIncarnation);
+    }
+
+    /** Jobs of which a task failed here since a task last completed. */
+    public Set<String> failedJobs() {
+        return Collections.unmodifiableSet(failedJobs);
+    }
+
+    /** A task of the job failed here. */
+    public void addFailedJob(String job) {
+        failedJobs.add(job);
+    }
+
+    /** A task completed here, so earlier failures are no sign of a faulty machine. */
+    public void clearFailedJobs() {
+        failedJobs.clear();
+    }
+
+    /** The attempts that the store holds against the machine. */
+    public Collection<AssignedAttempt> attempts() {
+        return attempts.values();
+    }
+
+    /** The attempt, or null if the store does not hold it against the machine. */
+    public AssignedAttempt attempt(AttemptId id) {
+        return attempts.get(id);
+    }
+
+    void addAttempt(AssignedAttempt attempt) {
+        attempts.put(attempt.id(), attempt);
+    }
+
+    /** Removes an attempt; null if there was none. */
+    AssignedAttempt removeAttempt(AttemptId id) {
+        return attempts.remove(id);
+    }
+
+    /** What the attempts take that may be on the machine, those in a write in flight included. */
+    public ResourceUsage usage() {
+        return usage;
+    }
+
+    /** The number of tasks of the job that fit, less what is reserved for others. */
+    public int capacityFor(MachineType type, Job job) {
         return reserved == null
-                ? usage.capacityFor(of, job)
-                : new ResourceUsage(usage).add(reserved).capacityFor(of, job);
+                ? usage.capacityFor(type, job)
+                : new ResourceUsage(usage).add(reserved).capacityFor(type, job);
     }
 
     /** Reserves room for one task of the job until the next scheduling cycle. */
@@ -112,57 +237,50 @@
         reserved.add(job);
     }
 
-    /** The token that commands to the machine carry. */
-    public long fencingToken() {
-        return commandChannel.fencingToken();
+    /** Drops all reservations. */
+    public void clearReservations() {
+        reserved = null;
     }
 
-    /**
-     * Being heard is not being reachable: from now on only an answer to a command, or a report with a token that was
-     * handed out after this moment, shows that the machine hears this controller. A late copy has neither.
-     */
-    public void suspect(long now) {
-        boolean launchUnderWay = false;
-        for (AssignedAttempt assigned : attempts.values()) {
-            launchUnderWay |= assigned.attempt.fencingToken() == fencingToken()
-                    && assigned.attempt.incarnation() == incarnation
-                    && !reportedTasks.containsKey(assigned.id);
-        }
-        if (launchUnderWay) {
-            reachability.suspected(now, Reachability.NO_TOKEN_ENDS_IT);
-        } else {
-            commandChannel.raiseFence();
-            reachability.suspected(now, fencingToken());
-        }
+    /** Since when nothing has been on the machine, in steady time. */
+    public long idleSinceMs() {
+        return idleSinceMs;
     }
 
-    /** Nothing may be on it any more: it is idle from now on. */
-    void markIdleIfEmpty(long now) {
+    /** Something ended or was taken back; if nothing may be on the machine any more, it is idle from now on. */
+    void markIdleIfEmpty(long nowMs) {
         if (attempts.isEmpty() && usage.isEmpty()) {
-            idleSince = now;
+            idleSinceMs = nowMs;
         }
     }
 
-    /** True if the image is in the machine's cache, as far as is known. */
-    public boolean hasImage(String image) {
-        return images.containsKey(image);
+    /** The fencing token that commands to the machine carry. */
+    public long fencingToken() {
+        return commandChannel.fencingToken();
     }
 
-    /** The machine holds an image, the least recently used ones leave a full cache. */
-    public void imageFetched(String image, double gb, double cacheGb) {
-        if (!images.containsKey(image)) {
-            imageGb += gb;
-        }
-        images.putAndMoveToLast(image, gb);
-        while (imageGb > cacheGb && images.size() > 1) {
-            imageGb -= images.removeFirstDouble();
+    /**
+     * Being heard is not being reachable: from now on only an answer to a command, or a heartbeat with a fencing token
+     * that was handed out after this moment, shows that the machine hears this controller. A late copy has neither.
+     */
+    public void suspect(long nowMs) {
+        if (isLaunchInFlight()) {
+            // Raising the fence would give the launch up.
+            reachability.suspected(nowMs, Reachability.NO_TOKEN_ENDS_IT);
+        } else {
+            commandChannel.raiseFence();
+            reachability.suspected(nowMs, fencingToken());
         }
     }
 
-    /** A new session or owner: nothing remembered of commands holds any more. */
-    public void forgetCommands() {
-        commandedAt.clear();
-        preemptions.clear();
-        unaccountedSince.clear();
+    private boolean isLaunchInFlight() {
+        for (AssignedAttempt assigned : attempts.values()) {
+            if (assigned.attempt().fencingToken() == fencingToken()
+                    && assigned.attempt().incarnation() == worker.incarnation()
+                    && !worker.reports(assigned.id())) {
+                return true;
+            }
+        }
+        return false;
     }
 }
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -29,6 +29,9 @@
  * replica change by change: nothing here is counted anew.
  */
 public final class MachineRegistry {
+    /** What a peer said of its machines counts for so long. */
+    private static final long PEER_LIST_TTL_MS = 5000;
+
     private final ControllerContext context;
     private final StoreReplica replica;
     private final PeerTable peers;
@@ -60,7 +63,7 @@
         for (MachineType type : read) {
             types.put(type.name(), type);
         }
-        byName.values().forEach(machine -> machine.resolvedType = null);
+        byName.values().forEach(Machine::forgetResolvedType);
     }
 
     /** The machine types that the cloud offers. */
@@ -80,10 +83,7 @@
 
     /** The machine's type, or null while it is not known. */
     public MachineType type(Machine machine) {
-        if (machine.resolvedType == null && machine.typeName != null) {
-            machine.resolvedType = types.get(machine.typeName);
-        }
-        return machine.resolvedType;
+        return machine.resolveType(types);
     }
 
     /** The machine, or null if it is not known. */
@@ -114,7 +114,7 @@
 
     /** Something about the machine may call for a command. */
     public void markChanged(Machine machine) {
-        if (self.equals(machine.owner)) {
+        if (self.equals(machine.owner())) {
             changed.add(machine);
         }
     }
@@ -160,7 +160,7 @@
                 dropIfTerminated(machine);
             }
         } else if (fate == StoredValue.DecommissionState.SCALE_IN && machine != null) {
-            machine.scaleInExpected = true;
+            machine.lifecycle().expectScaleIn();
         }
     }
 
@@ -172,7 +172,7 @@
         } else if (d.before() != null && d.after() == null) {
             typeContention.jobRemoved(d.before().job().requirements());
             job.slices().forEach(slice -> diff(job, d.before().job(), slice, slice.value(), null));
-            progress.jobEnded(job.id);
+            progress.jobEnded(job.id());
         } else if (d.after() != null && d.after().isCancelled()) {
             markChangedFor(job);
         }
@@ -187,7 +187,7 @@
 
     private void sliceChanged(JobEntry job, SliceEntry slice, Slice before, Slice after) {
         if (job.job() != null) {
-            progress.sliceObserved(job.id, slice.number, after);
+            progress.sliceObserved(job.id(), slice.number(), after);
             diff(job, job.job(), slice, before, after);
         }
     }
@@ -213,28 +213,28 @@
     private void add(JobEntry job, Job spec, SliceEntry slice, Attempt attempt) {
         Machine machine = getOrCreate(attempt.machine());
         AssignedAttempt live = new AssignedAttempt(job, slice, attempt);
-        machine.attempts.put(live.id, live);
-        machine.usage.add(spec);
-        live.quotaOwner = Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value());
-        teamUsage.add(spec, live.quotaOwner, 1);
+        machine.addAttempt(live);
+        machine.usage().add(spec);
+        live.setQuotaOwner(Partitioner.ownerOf(replica.partitionMap(), slice.key(), slice.value()));
+        teamUsage.add(spec, live.quotaOwner(), 1);
         markChanged(machine);
     }
 
     private void remove(JobEntry job, Job spec, Attempt attempt) {
         Machine machine = getOrCreate(attempt.machine());
-        AttemptId id = new AttemptId(job.id, attempt.task(), attempt.number());
-        AssignedAttempt live = machine.attempts.remove(id);
+        AttemptId id = new AttemptId(job.id(), attempt.task(), attempt.number());
+        AssignedAttempt live = machine.removeAttempt(id);
         if (live == null) {
             return;
         }
-        if (!live.ended) {
-            machine.usage.remove(spec);
+        if (!live.hasEnded()) {
+            machine.usage().remove(spec);
         }
-        teamUsage.add(spec, live.quotaOwner, -1);
-        machine.preemptions.remove(id);
-        JobProgress work = progress.get(job.id);
+        teamUsage.add(spec, live.quotaOwner(), -1);
+        machine.commands().attemptRemoved(id);
+        JobProgress work = progress.get(job.id());
         if (work != null) {
-            work.outcomes.remove(id);
+            work.removeOutcome(id);
         }
         machine.markIdleIfEmpty(context.nowMs());
         markChanged(machine);
@@ -243,15 +243,15 @@
 
     /** A task's end was reported: its room is free, though its team's limit still counts it until that is durable. */
     public void attemptEnded(Machine machine, AssignedAttempt live) {
-        if (!live.ended) {
-            live.ended = true;
-            machine.usage.remove(live.job.job());
+        if (!live.hasEnded()) {
+            live.markEnded();
+            machine.usage().remove(live.job().job());
         }
     }
 
     private void dropIfTerminated(Machine machine) {
-        if (machine.attempts.isEmpty() && terminated.contains(machine.name)) {
-            byName.remove(machine.name);
+        if (machine.attempts().isEmpty() && terminated.contains(machine.name())) {
+            byName.remove(machine.name());
             owned.remove(machine);
             changed.remove(machine);
         }
@@ -268,10 +268,10 @@
     private void recount() {
         teamUsage.clearOwners();
         for (Machine machine : byName.values()) {
-            for (AssignedAttempt assigned : machine.attempts.values()) {
-                assigned.quotaOwner =
-                        Partitioner.ownerOf(replica.partitionMap(), assigned.slice.key, assigned.slice.value());
-                teamUsage.addToOwner(assigned.job.job(), assigned.quotaOwner, 1);
+            for (AssignedAttempt assigned : machine.attempts()) {
+                SliceEntry slice = assigned.slice();
+                assigned.setQuotaOwner(Partitioner.ownerOf(replica.partitionMap(), slice.key(), slice.value()));
+                teamUsage.addToOwner(assigned.job().job(), assigned.quotaOwner(), 1);
             }
         }
         progress.recountLaunches();
@@ -280,15 +280,12 @@
     /** The machine's owner under the present map; one that this controller did not have all along begins anew. */
     private void updateOwner(Machine machine, boolean anew) {
         PartitionMap map = replica.partitionMap();
-        String before = machine.owner;
-        machine.owner = Partitioner.ownerOf(map, machine.name);
-        if (anew || machine.owner == null || !machine.owner.equals(before)) {
-            machine.ownerSince = context.nowMs();
-        }
-        if (!self.equals(machine.owner)) {
+        String before = machine.owner();
+        machine.setOwner(Partitioner.ownerOf(map, machine.name()), anew, context.nowMs());
+        if (!self.equals(machine.owner())) {
             owned.remove(machine);
             changed.remove(machine);
-            machine.reachability.handedOn();
+            machine.reachability().handedOn();
         } else if (anew || !self.equals(before)) {
             machine.acquire(map.epoch(), context.nowMs());
             owned.add(machine);
@@ -302,11 +299,11 @@
             return null;
         }
         Machine machine = getOrCreate(name);
-        if (!machine.reachability.everConfirmed() || machine.typeName == null) {
+        if (!machine.reachability().everConfirmed() || machine.typeName() == null) {
             machine.describe(type, zone, spot);
         }
-        if (machine.address == null) {
-            machine.address = address;
+        if (machine.address() == null) {
+            machine.setAddress(address);
             markChanged(machine);
         }
         return machine;
@@ -318,13 +315,9 @@
         for (PeerStatus.MachineStatus p : status.machines()) {
             Machine machine = discover(p.name(), p.address(), p.type(), p.zone(), p.spot());
             if (machine != null) {
-                machine.listedByIncarnation = start;
-                machine.listedAt = context.nowMs();
-                if (machine.incarnation <= p.incarnation() && !self.equals(machine.owner)) {
-                    machine.sequence = machine.incarnation == p.incarnation()
-                            ? Math.max(machine.sequence, p.sequence())
-                            : p.sequence();
-                    machine.incarnation = p.incarnation();
+                machine.listedBy(start, context.nowMs());
+                if (!self.equals(machine.owner())) {
+                    machine.worker().advanceTo(p.incarnation(), p.sequence());
                 }
             }
         }
@@ -332,16 +325,14 @@
 
     /** True if the machine's owner, another controller, said within the last few seconds that it takes tasks. */
     public boolean isListedByOwner(Machine machine) {
-        return machine.listedByIncarnation != null
-                && machine.owner != null
-                && context.nowMs() - machine.listedAt <= 5000
-                && machine.listedByIncarnation.equals(peers.incarnationId(machine.owner));
+        return machine.owner() != null
+                && machine.wasListedBy(peers.incarnationId(machine.owner()), context.nowMs(), PEER_LIST_TTL_MS);
     }
 
     /** A machine is at fault once tasks of two jobs failed on it that do not fail everywhere. */
     public boolean isFaulty(Machine machine) {
         int blamed = 0;
-        for (String job : machine.failedJobs) {
+        for (String job : machine.failedJobs()) {
             JobProgress work = progress.get(job);
             blamed += work == null || !work.isFaulty() ? 1 : 0;
         }
--- a/src/main/java/dewlane/core/fleet/PartitionCapacity.java
+++ b/src/main/java/dewlane/core/fleet/PartitionCapacity.java
@@ -58,8 +58,8 @@
             if (type != null
                     && type.fits(requirements)
                     && acceptsTasks(machine)
-                    && job.allows(machine.typeName, machine.zone, machine.spot)) {
-                capacity[indexOf(members, machine.owner)] += machine.usage.capacityFor(type, job);
+                    && job.allows(machine.typeName(), machine.zone(), machine.isSpot())) {
+                capacity[indexOf(members, machine.owner())] += machine.usage().capacityFor(type, job);
             }
         }
         return capacity;
@@ -80,14 +80,14 @@
     }
 
     private boolean acceptsTasks(Machine machine) {
-        if (machine.owner == null || replica.decommissionsByMachine().containsKey(machine.name)) {
+        if (machine.owner() == null || replica.decommissionsByMachine().containsKey(machine.name())) {
             return false;
         }
-        if (machine.owner.equals(context.settings().controllerName())) {
-            return machine.reachability.confirmedWithin(
-                            context.nowMs(), context.settings().heartbeatTimeoutMs())
-                    && machine.terminationAtMs == 0
-                    && !machine.reachability.isSuspected();
+        if (machine.owner().equals(context.settings().controllerName())) {
+            return machine.reachability()
+                            .confirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs())
+                    && !machine.lifecycle().isTerminationScheduled()
+                    && !machine.reachability().isSuspected();
         }
         return machines.isListedByOwner(machine);
     }
--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -36,14 +36,14 @@
 
     /** True if the job is over or cancelled, so that nothing of it may run. */
     public boolean mustNotRun(JobEntry job) {
-        return job.job() == null || job.isCancelled() || knownSince.containsKey(job.id);
+        return job.job() == null || job.isCancelled() || knownSince.containsKey(job.id());
     }
 
     /**
      * For how long the job has been cancelled at least; 0 if it is not known to be. Times of day only make it longer.
      */
     public long cancelledForMs(JobEntry job) {
-        Long since = knownSince.get(job.id);
+        Long since = knownSince.get(job.id());
         long known = since == null ? 0 : context.nowMs() - since;
         return job.isCancelled() ? Math.max(known, context.wallClockMs() - job.cancelledAtMs()) : known;
     }
@@ -51,9 +51,9 @@
     /** Follows the cancellation marks in job records. */
     public void onReplicaChange(ReplicaChange delta) {
         if (delta instanceof ReplicaChange.JobChanged d && d.after() == null) {
-            knownSince.remove(d.job().id);
+            knownSince.remove(d.job().id());
         } else if (delta instanceof ReplicaChange.JobChanged d && d.after().isCancelled()) {
-            knownSince.putIfAbsent(d.job().id, context.nowMs());
+            knownSince.putIfAbsent(d.job().id(), context.nowMs());
         }
     }
 
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -71,22 +71,22 @@
     private void jobChanged(ReplicaChange.JobChanged d) {
         JobEntry job = d.job();
         if (d.after() == null) {
-            recordRemoved(job.id);
+            recordRemoved(job.id());
             return;
         }
         if (d.before() == null) {
             added(job);
         }
         if (d.after().isCancelled()) {
-            fail(job.id);
+            fail(job.id());
         }
     }
 
     private void added(JobEntry job) {
-        unresolved.remove(job.id);
+        unresolved.remove(job.id());
         List<String> awaits = job.job().dependencies();
-        List<String> failed = release.add(job.id, awaits);
-        for (String id : release.dependents(job.id)) {
+        List<String> failed = release.add(job.id(), awaits);
+        for (String id : release.dependents(job.id())) {
             JobEntry dependant = replica.activeJob(id);
             if (dependant != null) {
                 inheritUrgency(job, dependant);
@@ -100,12 +100,12 @@
                 resolve(awaited);
             }
         }
-        logFailed(failed, job.id);
-        if (!awaits.isEmpty() && !release.isReady(job.id) && !release.hasFailed(job.id)) {
-            Collection<String> waitsFor = release.dependencies(job.id);
+        logFailed(failed, job.id());
+        if (!awaits.isEmpty() && !release.isReady(job.id()) && !release.hasFailed(job.id())) {
+            Collection<String> waitsFor = release.dependencies(job.id());
             logAsOwner(
-                    job.id,
-                    "job " + job.id + " waits for " + waitsFor.size() + " jobs: "
+                    job.id(),
+                    "job " + job.id() + " waits for " + waitsFor.size() + " jobs: "
                             + waitsFor.stream().limit(MOST_NAMED).toList());
         }
     }
@@ -190,7 +190,7 @@
 
     /** A job that needs the source has come, or is expected to end earlier. */
     private void inheritUrgency(JobEntry source, JobEntry dependant) {
-        if (release.hasFailed(dependant.id)) {
+        if (release.hasFailed(dependant.id())) {
             return;
         }
         Priority priority = highest(source.priority(), dependant.priority());
@@ -199,7 +199,7 @@
             return;
         }
         source.inheritUrgency(priority, deadline);
-        for (String id : release.dependencies(source.id)) {
+        for (String id : release.dependencies(source.id())) {
             JobEntry before = replica.activeJob(id);
             if (before != null) {
                 inheritUrgency(before, source);
@@ -318,7 +318,7 @@
 
     /** True if the job is cancelled, by its own user or through a job that it needs. */
     public boolean isCancelled(JobEntry job) {
-        return job.isCancelled() || release.hasFailed(job.id);
+        return job.isCancelled() || release.hasFailed(job.id());
     }
 
     /** True if a job that awaits this one is there and its cancellation is not durable yet. */
--- a/src/main/java/dewlane/core/message/ControllerCounters.java
+++ b/src/main/java/dewlane/core/message/ControllerCounters.java
@@ -2,64 +2,49 @@
 
 import dewlane.core.schema.TransactionPriority;
 import java.util.Locale;
+import java.util.StringJoiner;
 
-/** What a controller has done since it last said so; plain counts: equal runs have equal ones. */
+/** What a controller has done since its start; plain counts, so that equal runs have equal ones. */
 public final class ControllerCounters {
-    public long heartbeats;
-    public long heartbeatsRejected;
-    public long changesSeen;
-    public long attemptsSeen;
-    public long schedulingCycles;
-    public long jobsConsidered;
-    public long machinesConsidered;
-    public long commands;
-    public long probes;
-    public long suspicions;
-    public long launchesAbandoned;
-    public long fencesRaised;
-    public long forgetsDeferred;
-    public long handovers;
-    long writes;
-    long changesWritten;
-    public long tasksLaunched;
-    private final long[] changesBy = new long[TransactionPriority.values().length];
-    public long conflicts;
-    public long refusedTransactions;
-    public long invalidTransactions;
-    public long unreadableValues;
+    private final long[] counts = new long[Counter.values().length];
+    private final long[] writesByPriority = new long[TransactionPriority.values().length];
 
-    /** Counts a transaction that is sent. */
-    public void countTransaction(TransactionPriority urgency, int changes) {
-        writes++;
-        changesWritten += changes;
-        changesBy[urgency.ordinal()] += changes;
+    /** Counts one more. */
+    public void increment(Counter counter) {
+        counts[counter.ordinal()]++;
     }
 
-    private String byUrgency() {
-        StringBuilder text = new StringBuilder();
-        for (TransactionPriority u : TransactionPriority.values()) {
-            text.append(text.length() == 0 ? "" : ", ")
-                    .append(u.name().toLowerCase(Locale.ROOT))
-                    .append(' ')
-                    .append(changesBy[u.ordinal()]);
-        }
-        return text.toString();
+    /** Counts so many more. */
+    public void add(Counter counter, long amount) {
+        counts[counter.ordinal()] += amount;
+    }
+
+    /** The present count. */
+    public long get(Counter counter) {
+        return counts[counter.ordinal()];
+    }
+
+    /** Counts a transaction that is sent. */
+    public void countTransaction(TransactionPriority priority, int writes) {
+        increment(Counter.TRANSACTIONS);
+        add(Counter.WRITES, writes);
+        writesByPriority[priority.ordinal()] += writes;
     }
 
     /** All counters in one line, for the log. */
     public String summary() {
-        return "reports " + heartbeats + ", refused reports " + heartbeatsRejected + ", changes seen " + changesSeen
-                + " with "
-                + attemptsSeen + " attempts, passes "
-                + schedulingCycles
-                + " over " + jobsConsidered + " jobs and " + machinesConsidered + " machines, commands " + commands
-                + ", probes "
-                + probes + ", launches given up on " + launchesAbandoned + ", fences raised " + fencesRaised
-                + ", forgets held back " + forgetsDeferred + ", suspicions " + suspicions + ", handed on " + handovers
-                + ", writes " + writes + " of "
-                + changesWritten
-                + " changes (" + byUrgency() + "), tasks launched " + tasksLaunched + ", conflicts " + conflicts
-                + ", refused " + refusedTransactions + ", invalid " + invalidTransactions + ", unreadable "
-                + unreadableValues;
+        StringJoiner text = new StringJoiner(", ");
+        for (Counter counter : Counter.values()) {
+            text.add(counter.label() + " " + get(counter));
+        }
+        return text + " (writes by priority: " + byPriority() + ")";
+    }
+
+    private String byPriority() {
+        StringJoiner text = new StringJoiner(", ");
+        for (TransactionPriority priority : TransactionPriority.values()) {
+            text.add(priority.name().toLowerCase(Locale.ROOT) + " " + writesByPriority[priority.ordinal()]);
+        }
+        return text.toString();
     }
 }
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -186,7 +186,7 @@
                     sum[0] += job.tasks() * job.cpus();
                     sum[1] += job.tasks() * job.gpus();
                     if (sum[0] <= team.guaranteedCpus() + 1e-9 && sum[1] <= team.guaranteedGpus() + 1e-9) {
-                        within.add(entry.id);
+                        within.add(entry.id());
                     }
                 }
             }
--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -58,7 +58,7 @@
         }
         for (JobEntry job : replica.jobs()) {
             if (job.job() != null
-                    && release.isReady(job.id)
+                    && release.isReady(job.id())
                     && context.wallClockMs() - job.waitingSinceMs() > WAIT_MS
                     && quota.isPartitioned(job.job())
                     && job.pendingCount() > 0
@@ -92,7 +92,7 @@
                 double lentGpus = Math.min(own.gpus(), tasks * spec.gpus() - theirs.gpus());
                 if (lentCpus > 0 || lentGpus > 0) {
                     context.info("lending " + other + " " + lentCpus + " CPUs and " + lentGpus
-                            + " GPUs of the limit of " + spec.team() + " for " + job.id);
+                            + " GPUs of the limit of " + spec.team() + " for " + job.id());
                     membership.transferQuota(spec.team(), other, Math.max(0, lentCpus), Math.max(0, lentGpus));
                     return true;
                 }
--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -4,6 +4,7 @@
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import dewlane.core.store.JobEntry;
@@ -45,26 +46,26 @@
         Map<String, double[]> byType = new HashMap<>();
         int n = free.size();
         int offset = n > SAMPLE_SIZE ? context.random().nextInt(n) : 0;
-        counters.machinesConsidered += Math.min(n, SAMPLE_SIZE);
+        counters.add(Counter.MACHINES_CONSIDERED, Math.min(n, SAMPLE_SIZE));
         for (int i = 0; i < Math.min(n, SAMPLE_SIZE); i++) {
             Machine machine = free.get((offset + i) % n);
             MachineType type = machines.type(machine);
             if (machine.capacityFor(type, spec) < 1
-                    || !spec.allows(machine.typeName, machine.zone, machine.spot)
-                    || (machine.failedJobs.contains(job.id)
-                            && !machines.progress().getOrCreate(job.id).isFaulty())) {
+                    || !spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
+                    || (machine.failedJobs().contains(job.id())
+                            && !machines.progress().getOrCreate(job.id()).isFaulty())) {
                 continue;
             }
-            double[] of = byType.computeIfAbsent(machine.typeName, t -> new double[] {
+            double[] of = byType.computeIfAbsent(machine.typeName(), t -> new double[] {
                 spec.imageGb() / type.imageFetchGbPerS(),
                 machines.typeContention().contention(job.requirements(), type) * CONTENTION_COST_S
             });
             found.add(new Candidate(
                     machine,
-                    (machine.spot ? 0 : ON_DEMAND_COST_S)
-                            + (machine.hasImage(spec.image()) ? 0 : of[0])
+                    (machine.isSpot() ? 0 : ON_DEMAND_COST_S)
+                            + (machine.images().contains(spec.image()) ? 0 : of[0])
                             + of[1]
-                            + 2 * (type.cpus() - machine.usage.cpus() - spec.cpus()) / type.cpus()));
+                            + 2 * (type.cpus() - machine.usage().cpus() - spec.cpus()) / type.cpus()));
         }
         found.sort(Comparator.comparingDouble(Candidate::cost));
         return found;
--- a/src/main/java/dewlane/core/scheduling/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -83,7 +83,7 @@
 
     void launch(JobProgress.Launch launch) {
         launches.add(launch);
-        machines.add(launch.machine().name);
+        machines.add(launch.machine().name());
         requiresJobAndMap = true;
     }
 
@@ -124,15 +124,15 @@
     /** Writes the slices, on condition that they, and what the launches rest on, are as they were. */
     void write(Transaction.Builder transaction, long mapVersion) {
         changed.forEach((slice, value) ->
-                transaction.require(slice.key, slice.revision()).put(slice.key, value));
-        unchanged.forEach(slice -> transaction.require(slice.key, slice.revision()));
+                transaction.require(slice.key(), slice.revision()).put(slice.key(), value));
+        unchanged.forEach(slice -> transaction.require(slice.key(), slice.revision()));
         created.forEach((number, value) -> {
-            String key = StoreKeys.slice(job.id, number);
+            String key = StoreKeys.slice(job.id(), number);
             transaction.require(key, 0).put(key, value);
         });
         if (requiresJobAndMap) {
             // A cancelled job, a slice dealt anew or a newer map each stop a launch here.
-            transaction.require(StoreKeys.job(job.id), job.revision()).require(StoreKeys.PARTITION_MAP, mapVersion);
+            transaction.require(StoreKeys.job(job.id()), job.revision()).require(StoreKeys.PARTITION_MAP, mapVersion);
             // A record of the leader's means that the machine is gone or is being deleted: a launch there would be
             // lost, not run twice, so what the transaction has no room for is left out.
             int room = Math.max(0, maxPreconditions - transaction.preconditionCount());
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -10,6 +10,7 @@
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
@@ -92,9 +93,9 @@
 
     /** Writes what there is to say of a job; launches only if allowed. */
     void writeNext(JobEntry job, boolean launches) {
-        JobProgress work = machines.progress().getOrCreate(job.id);
+        JobProgress work = machines.progress().getOrCreate(job.id());
         if (work.isBusy(replica.revision(), context.nowMs())
-                || replica.isUnreadable(job.id)
+                || replica.isUnreadable(job.id())
                 || !transactions.hasCapacity(TransactionPriority.OUTCOME)) {
             return;
         }
@@ -117,7 +118,7 @@
         if (!cut
                 && !cancellations.mustNotRun(job)
                 && launches
-                && context.nowMs() >= work.retryAtMs
+                && context.nowMs() >= work.retryAtMs()
                 && transactions.hasCapacity(TransactionPriority.LAUNCH)) {
             planner.plan(update);
         }
@@ -144,13 +145,13 @@
     }
 
     private Slice applyOutcomes(JobEntry job, Slice slice, JobProgress work) {
-        if (work.outcomes.isEmpty() || slice.attempts().isEmpty()) {
+        if (!work.hasOutcomes() || slice.attempts().isEmpty()) {
             return slice;
         }
         BitSet done = slice.done();
         List<Attempt> left = new ArrayList<>();
         for (Attempt attempt : slice.attempts()) {
-            Outcome outcome = work.outcomes.get(new AttemptId(job.id, attempt.task(), attempt.number()));
+            Outcome outcome = work.outcome(new AttemptId(job.id(), attempt.task(), attempt.number()));
             if (outcome == null) {
                 left.add(attempt);
             } else if (outcome == Outcome.DONE) {
@@ -176,7 +177,7 @@
             if (!mayExceedLimit(value)) {
                 continue;
             }
-            boolean mine = self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key, value));
+            boolean mine = self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key(), value));
             if (mine || update.withOutcomes().containsKey(slice)) {
                 List<Slice> pieces =
                         SliceSplitter.split(value, context.settings().maxValueBytes());
@@ -213,7 +214,7 @@
         } else {
             return false;
         }
-        context.info("cutting " + slice.key + ", which is larger than values may be, into " + pieces.size());
+        context.info("cutting " + slice.key() + ", which is larger than values may be, into " + pieces.size());
         return true;
     }
 
@@ -235,7 +236,7 @@
         long most = gatherMs(update.job.job());
         return value.isComplete()
                 || update.job.isCancelled() && value.attempts().isEmpty()
-                || context.nowMs() - update.progress.gatheringSince(slice.number, context.nowMs()) >= most
+                || context.nowMs() - update.progress.gatheringSince(slice.number(), context.nowMs()) >= most
                 || hasToRunAgain(update, slice);
     }
 
@@ -252,8 +253,7 @@
 
     private static boolean hasToRunAgain(JobUpdate update, SliceEntry slice) {
         for (Attempt attempt : slice.value().attempts()) {
-            Outcome outcome =
-                    update.progress.outcomes.get(new AttemptId(update.job.id, attempt.task(), attempt.number()));
+            Outcome outcome = update.progress.outcome(new AttemptId(update.job.id(), attempt.task(), attempt.number()));
             if (outcome != null && outcome != Outcome.DONE) {
                 return true;
             }
@@ -263,7 +263,7 @@
 
     /** Where several controllers made the last outcomes durable, one of them ends the job, so that they do not race. */
     private boolean isResponsibleForEnd(JobEntry job) {
-        return self.equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job.id)))
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job.id())))
                 || job.slices().size() > context.settings().maxSlicesPerJob();
     }
 
@@ -282,20 +282,20 @@
         Settings settings = context.settings();
         // A cancellation passes down first: who awaits the job is looked up by its record as long as that is there.
         if (update.withOutcomes().size() >= settings.maxTransactionPreconditions()
-                || job.isCancelled() && dependencies.hasUncancelledDependents(job.id)) {
+                || job.isCancelled() && dependencies.hasUncancelledDependents(job.id())) {
             return false;
         }
-        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id), job.revision());
-        update.withOutcomes().keySet().forEach(slice -> transaction.require(slice.key, slice.revision()));
+        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id()), job.revision());
+        update.withOutcomes().keySet().forEach(slice -> transaction.require(slice.key(), slice.revision()));
         if (!job.isCancelled()) {
-            transaction.put(StoreKeys.jobResult(job.id), new StoredValue.JobResult(false, context.wallClockMs()));
+            transaction.put(StoreKeys.jobResult(job.id()), new StoredValue.JobResult(false, context.wallClockMs()));
         }
-        transaction.delete(StoreKeys.job(job.id));
+        transaction.delete(StoreKeys.job(job.id()));
         for (SliceEntry slice : job.slices()) {
             if (slice.revision() != 0
                     && transaction.writeCount() < settings.maxTransactionWrites()
                     && transaction.preconditionCount() < settings.maxTransactionPreconditions()) {
-                transaction.require(slice.key, slice.revision()).delete(slice.key);
+                transaction.require(slice.key(), slice.revision()).delete(slice.key());
             }
         }
         write(update, transaction);
@@ -311,31 +311,30 @@
             return;
         }
         StoredValue.JobResult result = new StoredValue.JobResult(true, context.wallClockMs());
-        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id), job.revision());
-        transaction.put(StoreKeys.jobResult(job.id), result);
-        if (job.liveAttemptCount() == 0 && !dependencies.hasUncancelledDependents(job.id)) {
-            transaction.delete(StoreKeys.job(job.id));
+        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id()), job.revision());
+        transaction.put(StoreKeys.jobResult(job.id()), result);
+        if (job.liveAttemptCount() == 0 && !dependencies.hasUncancelledDependents(job.id())) {
+            transaction.delete(StoreKeys.job(job.id()));
         } else {
             int most = context.settings().maxValueBytes();
-            transaction.put(StoreKeys.job(job.id), job.record().asCancelled(context.wallClockMs(), size, most));
+            transaction.put(StoreKeys.job(job.id()), job.record().asCancelled(context.wallClockMs(), size, most));
         }
         write(new JobUpdate(job, work, 0, 0), transaction);
     }
 
     private void write(JobUpdate update, Transaction.Builder transaction) {
         JobProgress work = update.progress;
-        work.writeInFlight = true;
-        update.changed().keySet().forEach(slice -> work.resetGathering(slice.number));
+        work.beginWrite();
+        update.changed().keySet().forEach(slice -> work.resetGathering(slice.number()));
         Job spec = update.job.job();
         int launched = update.launches.size();
         TransactionPriority urgency = launched > 0 ? TransactionPriority.LAUNCH : TransactionPriority.OUTCOME;
         transactions.submit(urgency, transaction.build(), (status, revision) -> {
-            work.writeInFlight = false;
-            work.settledRevision = revision;
+            work.completeWrite(revision);
             if (status == Transaction.Status.COMMITTED) {
-                counters.tasksLaunched += launched;
+                counters.add(Counter.TASKS_LAUNCHED, launched);
             } else if (status == Transaction.Status.INVALID) {
-                work.pausedUntilMs = context.nowMs() + INVALID_PAUSE_MS;
+                work.pauseUntil(context.nowMs() + INVALID_PAUSE_MS);
             }
             if (launched > 0) {
                 quota.onLaunchCompleted(spec, revision);
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -6,6 +6,7 @@
 import dewlane.core.job.SliceSizeBound;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
 import dewlane.core.quota.QuotaEnforcer;
@@ -111,7 +112,7 @@
     }
 
     private boolean owns(SliceEntry slice, Slice value) {
-        return self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key, value));
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key(), value));
     }
 
     /** Plans launches of one slice; true if tasks of it are handed on instead. */
@@ -127,7 +128,7 @@
         int launched = live.size() - value.attempts().size();
         int unplaced = value.pendingCount() - launched;
         boolean stuck = unplaced > 0 && launched < most && !placed.writeFull();
-        if (stuck && noneBefore && launched == 0 && !spec.hasZoneConstraint() && update.progress.failureCount == 0) {
+        if (stuck && noneBefore && launched == 0 && !spec.hasZoneConstraint() && update.progress.failureCount() == 0) {
             // Room only shrinks during a pass, so further jobs of the shape need not look for it.
             full.add(job.requirements());
         }
@@ -161,12 +162,12 @@
                 break;
             }
             int here = Math.min(left, machine.capacityFor(machines.type(machine), spec));
-            while (here-- > 0 && zoneAllowed(spec, zones, machine.zone)) {
+            while (here-- > 0 && zoneAllowed(spec, zones, machine.zone())) {
                 Attempt attempt = new Attempt(
                         value.first() + offset,
                         value.launchCount() + 1,
-                        machine.name,
-                        machine.incarnation,
+                        machine.name(),
+                        machine.worker().incarnation(),
                         machine.fencingToken(),
                         context.wallClockMs());
                 if (!size.fits(attempt, context.settings().maxValueBytes())) {
@@ -174,11 +175,11 @@
                 }
                 size.add(attempt);
                 live.add(attempt);
-                JobProgress.Launch launch = new JobProgress.Launch(machine, attempt, slice.number, spec);
+                JobProgress.Launch launch = new JobProgress.Launch(machine, attempt, slice.number(), spec);
                 update.launch(launch);
-                machines.progress().launchDecided(update.job.id, launch);
+                machines.progress().launchDecided(update.job.id(), launch);
                 if (spec.hasZoneConstraint()) {
-                    zones.merge(machine.zone, 1, Integer::sum);
+                    zones.merge(machine.zone(), 1, Integer::sum);
                 }
                 offset = taken.nextClearBit(offset + 1);
                 left--;
@@ -196,11 +197,11 @@
     private boolean handOver(JobUpdate update, SliceEntry slice, Slice value) {
         JobProgress work = update.progress;
         Job spec = update.job.job();
-        if (context.nowMs() - work.handedOverAtMs < HANDOVER_COOLDOWN_MS
-                || context.nowMs() - work.handoverCheckedAtMs < HANDOVER_CHECK_MS) {
+        if (context.nowMs() - work.handedOverAtMs() < HANDOVER_COOLDOWN_MS
+                || context.nowMs() - work.handoverCheckedAtMs() < HANDOVER_CHECK_MS) {
             return false;
         }
-        work.handoverCheckedAtMs = context.nowMs();
+        work.markHandoverChecked(context.nowMs());
         SliceAssigner.Offer to = distributor.findBetterPartition(update.job, self);
         if (to == null) {
             return false;
@@ -221,9 +222,9 @@
         } else {
             return false;
         }
-        work.handedOverAtMs = context.nowMs();
-        counters.handovers++;
-        context.debug("handing tasks of " + slice.key + " to " + to.controller());
+        work.markHandedOver(context.nowMs());
+        counters.increment(Counter.HANDOVERS);
+        context.debug("handing tasks of " + slice.key() + " to " + to.controller());
         return true;
     }
 
@@ -232,10 +233,10 @@
         Map<String, Integer> zones = new HashMap<>();
         for (Attempt attempt : live) {
             Machine machine = machines.get(attempt.machine());
-            if (machine == null || machine.zone == null) {
+            if (machine == null || machine.zone() == null) {
                 return null;
             }
-            zones.merge(machine.zone, 1, Integer::sum);
+            zones.merge(machine.zone(), 1, Integer::sum);
         }
         return zones;
     }
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -62,13 +62,13 @@
         guaranteed = guaranteedNow;
         coming.clear();
         hopeless.clear();
-        keeping.forEach(machine -> machine.reserved = null);
+        keeping.forEach(Machine::clearReservations);
         keeping.clear();
         for (Machine machine : usable) {
-            for (AttemptId id : machine.preemptions.keySet()) {
-                AssignedAttempt assigned = machine.attempts.get(id);
-                if (assigned != null && !assigned.ended) {
-                    markPreempted(machine, assigned.job.job());
+            for (AttemptId id : machine.commands().preempted()) {
+                AssignedAttempt assigned = machine.attempt(id);
+                if (assigned != null && !assigned.hasEnded()) {
+                    markPreempted(machine, assigned.job().job());
                 }
             }
         }
@@ -76,11 +76,11 @@
 
     /** Room on the machine once the stops under way have ended. */
     private void markPreempted(Machine machine, Job job) {
-        coming.computeIfAbsent(machine, k -> new ResourceUsage(k.usage)).remove(job);
+        coming.computeIfAbsent(machine, k -> new ResourceUsage(k.usage())).remove(job);
     }
 
     private ResourceUsage usageAfterPreemption(Machine machine) {
-        return coming.getOrDefault(machine, machine.usage);
+        return coming.getOrDefault(machine, machine.usage());
     }
 
     /** Keeps room for up to the given number of tasks, and stops what may be stopped for the rest. */
@@ -89,7 +89,7 @@
         if (tasks < 1 || spec.hasZoneConstraint() || ageS(job) < patienceS(job)) {
             return;
         }
-        Claim claim = new Claim(job.requirements(), job.priority(), guaranteed.contains(job.id), spec.team());
+        Claim claim = new Claim(job.requirements(), job.priority(), guaranteed.contains(job.id()), spec.team());
         if (hopeless.contains(claim)) {
             return;
         }
@@ -107,15 +107,16 @@
             }
             Machine machine = best.machine;
             for (AssignedAttempt victim : best.victims) {
-                Job lost = victim.job.job();
-                context.debug("stopping " + victim.job.id + "/" + victim.attempt.task() + " on " + machine.name
-                        + " for " + job.id);
-                machine.preemptions.put(victim.id, lost.checkpointIntervalS() > 0 ? lost.checkpointDurationS() + 1 : 0);
+                Job lost = victim.job().job();
+                context.debug("stopping " + victim.job().id() + "/"
+                        + victim.attempt().task() + " on " + machine.name() + " for " + job.id());
+                machine.commands()
+                        .preempt(victim.id(), lost.checkpointIntervalS() > 0 ? lost.checkpointDurationS() + 1 : 0);
                 markPreempted(machine, lost);
             }
             machines.markChanged(machine);
             // Nobody further down the order gets this room in the meantime.
-            coming.computeIfAbsent(machine, k -> new ResourceUsage(k.usage)).add(spec);
+            coming.computeIfAbsent(machine, k -> new ResourceUsage(k.usage())).add(spec);
             machine.reserve(spec);
             keeping.add(machine);
             addOption(machine, job, offers);
@@ -126,7 +127,7 @@
     private void addOption(Machine machine, JobEntry job, PriorityQueue<Offer> offers) {
         Job spec = job.job();
         MachineType type = machines.type(machine);
-        if (!spec.allows(machine.typeName, machine.zone, machine.spot) || !type.fits(job.requirements())) {
+        if (!spec.allows(machine.typeName(), machine.zone(), machine.isSpot()) || !type.fits(job.requirements())) {
             return;
         }
         List<AssignedAttempt> victims =
@@ -146,7 +147,7 @@
         Job job = entry.job();
         Settings aims = context.settings();
         double may = Math.min(aims.objectiveS("wait", job.jobClass()), aims.objectiveS("finished", job.jobClass()));
-        if (guaranteed.contains(entry.id)) {
+        if (guaranteed.contains(entry.id())) {
             may = Math.min(may, aims.objectiveS("guarantee", job.jobClass()));
         }
         if (entry.deadlineMs() != JobEntry.NO_DEADLINE) {
@@ -158,10 +159,10 @@
     /** The tasks whose stop costs least and makes room on the machine, or null. */
     private List<AssignedAttempt> victims(Machine machine, MachineType type, JobEntry job) {
         List<AssignedAttempt> may = new ArrayList<>();
-        for (AssignedAttempt assigned : machine.attempts.values()) {
-            if (!assigned.ended
-                    && !machine.preemptions.containsKey(assigned.id)
-                    && machine.reportedTasks.containsKey(assigned.id)
+        for (AssignedAttempt assigned : machine.attempts()) {
+            if (!assigned.hasEnded()
+                    && !machine.commands().isPreempted(assigned.id())
+                    && machine.worker().reports(assigned.id())
                     && mayPreempt(assigned, job)) {
                 may.add(assigned);
             }
@@ -171,7 +172,7 @@
         List<AssignedAttempt> chosen = new ArrayList<>();
         for (AssignedAttempt assigned : may) {
             chosen.add(assigned);
-            left.remove(assigned.job.job());
+            left.remove(assigned.job().job());
             if (left.capacityFor(type, job.job()) > 0) {
                 return chosen;
             }
@@ -180,16 +181,16 @@
     }
 
     private boolean mayPreempt(AssignedAttempt assigned, JobEntry job) {
-        Job theirs = assigned.job.job();
-        if (assigned.job.isCancelled()
-                || ageS(assigned.job) > SPARE * context.settings().objectiveS("finished", theirs.jobClass())) {
+        Job theirs = assigned.job().job();
+        if (assigned.job().isCancelled()
+                || ageS(assigned.job()) > SPARE * context.settings().objectiveS("finished", theirs.jobClass())) {
             return false;
         }
-        if (assigned.job.priority().compareTo(job.priority()) < 0) {
+        if (assigned.job().priority().compareTo(job.priority()) < 0) {
             return true;
         }
-        return guaranteed.contains(job.id)
-                && !guaranteed.contains(assigned.job.id)
+        return guaranteed.contains(job.id())
+                && !guaranteed.contains(assigned.job().id())
                 && !theirs.team().equals(job.job().team())
                 && quota.exceedsGuarantee(theirs);
     }
@@ -204,8 +205,8 @@
 
     /** CPU seconds that are lost when the task is stopped now. */
     private double loss(AssignedAttempt assigned) {
-        Job job = assigned.job.job();
-        double ran = (context.wallClockMs() - assigned.attempt.launchedAtMs()) / 1000.0;
+        Job job = assigned.job().job();
+        double ran = (context.wallClockMs() - assigned.attempt().launchedAtMs()) / 1000.0;
         return job.cpus() * (1 + (job.checkpointIntervalS() > 0 ? Math.min(ran, job.checkpointDurationS()) : ran));
     }
 }
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -9,6 +9,7 @@
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.model.Job;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.schema.Partitioner;
@@ -67,16 +68,16 @@
 
     /** True if the machine, which must be of this part, can be given tasks. */
     public boolean isSchedulable(Machine machine) {
-        return !machine.scalingIn
-                && machine.typeName != null
+        return !machine.lifecycle().isScalingIn()
+                && machine.typeName() != null
                 && machines.type(machine) != null
-                && machine.terminationAtMs == 0
-                && !machine.reachability.isSuspected()
-                && machine.reachability.confirmedWithin(
-                        context.nowMs(), context.settings().heartbeatTimeoutMs())
+                && !machine.lifecycle().isTerminationScheduled()
+                && !machine.reachability().isSuspected()
+                && machine.reachability()
+                        .confirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs())
                 && sendsHeartbeats(machine)
-                && (machine.failedJobs.isEmpty() || !machines.isFaulty(machine))
-                && !replica.decommissionsByMachine().containsKey(machine.name);
+                && (machine.failedJobs().isEmpty() || !machines.isFaulty(machine))
+                && !replica.decommissionsByMachine().containsKey(machine.name());
     }
 
     /**
@@ -84,7 +85,7 @@
      * has just got this owner has some time to find it.
      */
     private boolean sendsHeartbeats(Machine machine) {
-        return context.nowMs() - Math.max(machine.reachability.reportedAt(), machine.ownerSince)
+        return context.nowMs() - Math.max(machine.reachability().reportedAt(), machine.ownerSinceMs())
                 < context.settings().workerLeaseS() * 500;
     }
 
@@ -102,8 +103,8 @@
         }
         surveyMachines();
         List<JobEntry> order = readyJobs();
-        counters.schedulingCycles++;
-        counters.jobsConsidered += order.size();
+        counters.increment(Counter.SCHEDULING_CYCLES);
+        counters.add(Counter.JOBS_CONSIDERED, order.size());
         for (String id : List.copyOf(release.failed())) {
             JobEntry job = replica.job(id);
             if (job != null && job.job() != null) {
@@ -112,7 +113,7 @@
         }
         Set<String> guaranteed = quota.withinGuarantee(order);
         order.removeIf(j -> !hasWork(j));
-        order.sort(Comparator.comparing((JobEntry j) -> guaranteed.contains(j.id))
+        order.sort(Comparator.comparing((JobEntry j) -> guaranteed.contains(j.id()))
                 .thenComparing(JobEntry::priority)
                 .reversed());
         planner.beginCycle(schedulableMachines, machinesWithCapacity, guaranteed);
@@ -129,14 +130,14 @@
         for (Machine machine : machines.owned()) {
             if (isSchedulable(machine)) {
                 schedulableMachines.add(machine);
-                if (machine.usage.cpus() < machines.type(machine).cpus()) {
+                if (machine.usage().cpus() < machines.type(machine).cpus()) {
                     machinesWithCapacity.add(machine);
                 }
             }
-            if (machine.terminationAtMs != 0) {
+            if (machine.lifecycle().isTerminationScheduled()) {
                 checkpointBeforeTermination(machine);
             }
-            if (!machine.attempts.isEmpty() && machines.isTerminated(machine.name)) {
+            if (!machine.attempts().isEmpty() && machines.isTerminated(machine.name())) {
                 recordTerminated(machine);
             }
         }
@@ -154,8 +155,8 @@
     }
 
     private boolean hasWork(JobEntry job) {
-        JobProgress work = machines.progress().get(job.id);
-        if (work != null && !work.outcomes.isEmpty()) {
+        JobProgress work = machines.progress().get(job.id());
+        if (work != null && work.hasOutcomes()) {
             return true;
         }
         for (SliceEntry slice : job.slices()) {
@@ -167,23 +168,23 @@
     }
 
     private boolean ownsSlice(SliceEntry slice, Slice value) {
-        return self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key, value));
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), slice.key(), value));
     }
 
     /** All that was on a machine that is proven gone is gone. */
     private void recordTerminated(Machine machine) {
-        for (AssignedAttempt assigned : machine.attempts.values()) {
-            machines.progress().getOrCreate(assigned.job.id).recordOutcome(assigned, Outcome.GONE, context.nowMs());
+        for (AssignedAttempt assigned : machine.attempts()) {
+            machines.progress().getOrCreate(assigned.job().id()).recordOutcome(assigned, Outcome.GONE, context.nowMs());
         }
     }
 
     /** Tasks on a machine that is soon taken away save as late as is safe. */
     private void checkpointBeforeTermination(Machine machine) {
-        for (AssignedAttempt assigned : machine.attempts.values()) {
-            Job job = assigned.job.job();
+        for (AssignedAttempt assigned : machine.attempts()) {
+            Job job = assigned.job().job();
             if (job.checkpointIntervalS() > 0
-                    && machine.terminationAtMs - context.nowMs() < (job.checkpointDurationS() + 5) * 1000
-                    && machine.preemptions.putIfAbsent(assigned.id, job.checkpointDurationS() + 1) == null) {
+                    && machine.lifecycle().msUntilTermination(context.nowMs()) < (job.checkpointDurationS() + 5) * 1000
+                    && machine.commands().preempt(assigned.id(), job.checkpointDurationS() + 1)) {
                 machines.markChanged(machine);
             }
         }
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -88,7 +88,7 @@
         boolean waitedLong = asked.waitedLong();
         for (JobEntry other : replica.jobs()) {
             if (other.job() == null
-                    || !release.isReady(other.id)
+                    || !release.isReady(other.id())
                     || other.priority().compareTo(asked.priority()) < 0) {
                 continue;
             }
@@ -96,7 +96,7 @@
                 int left = slice.value().pendingCount();
                 if (left > 0) {
                     int part = PartitionCapacity.indexOf(
-                            members, Partitioner.ownerOf(replica.partitionMap(), slice.key, slice.value()));
+                            members, Partitioner.ownerOf(replica.partitionMap(), slice.key(), slice.value()));
                     double each = other.job().cpus() / Math.max(0.001, job.cpus());
                     waiting[part] += left * each;
                     if (waitedLong && rooms[part] > 0) {
--- a/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -38,8 +38,8 @@
             }
             boolean mine = context.settings()
                     .controllerName()
-                    .equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job.id)));
-            if (mine && !settledAt.containsKey(job.id) && !replica.isUnreadable(job.id)) {
+                    .equals(Partitioner.ownerOf(replica.partitionMap(), StoreKeys.job(job.id())));
+            if (mine && !settledAt.containsKey(job.id()) && !replica.isUnreadable(job.id())) {
                 delete(job);
             }
         }
@@ -47,14 +47,16 @@
 
     /** On condition that the job has no record: without one, nothing of it can be launched or become undone. */
     private void delete(JobEntry job) {
-        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id), 0);
+        Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id()), 0);
         for (SliceEntry slice : job.slices()) {
             if (transaction.writeCount() < context.settings().maxTransactionWrites()) {
-                transaction.require(slice.key, slice.revision()).delete(slice.key);
+                transaction.require(slice.key(), slice.revision()).delete(slice.key());
             }
         }
-        settledAt.put(job.id, Long.MAX_VALUE);
+        settledAt.put(job.id(), Long.MAX_VALUE);
         transactions.submit(
-                TransactionPriority.LATER, transaction.build(), (status, revision) -> settledAt.put(job.id, revision));
+                TransactionPriority.LATER,
+                transaction.build(),
+                (status, revision) -> settledAt.put(job.id(), revision));
     }
 }
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -11,7 +11,7 @@
     /** Stands for a job without a deadline of its own or of a dependant. */
     public static final long NO_DEADLINE = Long.MAX_VALUE;
 
-    public final String id;
+    private final String id;
     private final TreeMap<Integer, SliceEntry> slices = new TreeMap<>();
     private JobRecord record;
     private long revision;
@@ -24,6 +24,11 @@
         this.id = id;
     }
 
+    /** The job's id. */
+    public String id() {
+        return id;
+    }
+
     /** Null only for the moment between two changes of a listing, or once only slices of an ended job are left. */
     public Job job() {
         return record == null ? null : record.job();
@@ -159,7 +164,7 @@
     int remainingCount(SliceEntry slice) {
         int first = slice.stored().first();
         int count = slice.stored().count();
-        for (SliceEntry later : slices.tailMap(slice.number, false).values()) {
+        for (SliceEntry later : slices.tailMap(slice.number(), false).values()) {
             int from = later.stored().first();
             if (from >= first && from < first + count) {
                 count = from - first;
--- a/src/main/java/dewlane/core/store/SliceEntry.java
+++ b/src/main/java/dewlane/core/store/SliceEntry.java
@@ -5,8 +5,8 @@
 
 /** A slice of a job as the replica holds it, and the version of its key. */
 public final class SliceEntry {
-    public final int number;
-    public final String key;
+    private final int number;
+    private final String key;
     private Slice stored;
     private Slice value;
     private long revision;
@@ -16,6 +16,16 @@
         this.key = StoreKeys.slice(job, number);
     }
 
+    /** The slice's number within its job. */
+    public int number() {
+        return number;
+    }
+
+    /** The key under which the slice is stored. */
+    public String key() {
+        return key;
+    }
+
     /** The slice's contents, less the tasks that slices with higher numbers have taken over. */
     public Slice value() {
         return value;
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -189,7 +189,7 @@
         List<StoredValue.SliceAssignment> deals = entry.record().assignments();
         for (int i = 0; i < deals.size(); i++) {
             if (!entry.slicesByNumber().containsKey(i)) {
-                SliceEntry slice = new SliceEntry(entry.id, i);
+                SliceEntry slice = new SliceEntry(entry.id(), i);
                 slice.store(deals.get(i).slice(), 0);
                 entry.slicesByNumber().put(i, slice);
                 slice.restrictTo(entry.remainingCount(slice));
@@ -233,7 +233,7 @@
     }
 
     private void storeSlice(JobEntry entry, int number, Slice value, long version) {
-        SliceEntry held = entry.slicesByNumber().computeIfAbsent(number, n -> new SliceEntry(entry.id, n));
+        SliceEntry held = entry.slicesByNumber().computeIfAbsent(number, n -> new SliceEntry(entry.id(), n));
         if (version < held.revision()) {
             return;
         }
@@ -258,7 +258,7 @@
         }
         if (entry.slices().isEmpty()) {
             endedJobsWithSlices.remove(entry);
-            jobs.remove(entry.id);
+            jobs.remove(entry.id());
         } else {
             endedJobsWithSlices.add(entry);
         }
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -2,6 +2,7 @@
 
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 
@@ -91,7 +92,7 @@
         for (Input.KeyChange change : in.changes()) {
             replica.apply(change);
         }
-        counters.changesSeen += in.changes().size();
+        counters.add(Counter.CHANGES_SEEN, in.changes().size());
         log(in);
         replica.advance(in.revision());
         barrier.onReplicaAdvanced();
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -2,6 +2,7 @@
 
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.schema.Transaction;
@@ -155,7 +156,7 @@
         }
         switch (answer.status()) {
             case COMMITTED, CONFLICT, INVALID -> {
-                counters.conflicts += answer.status() == Transaction.Status.CONFLICT ? 1 : 0;
+                counters.add(Counter.CONFLICTS, answer.status() == Transaction.Status.CONFLICT ? 1 : 0);
                 if (answer.status() == Transaction.Status.INVALID) {
                     reportInvalid(entry.txn);
                 }
@@ -163,7 +164,7 @@
             }
             default -> {
                 if (answer.status() != Transaction.Status.UNKNOWN) {
-                    counters.refusedTransactions++;
+                    counters.increment(Counter.REFUSED_TRANSACTIONS);
                     budget.onRefused(answer.status() == Transaction.Status.RATE_LIMITED);
                 }
                 if (isUserRequest(entry) && context.nowMs() - entry.submittedAt > USER_TIMEOUT_MS) {
@@ -178,7 +179,7 @@
 
     /** Says which write was called invalid: it is not sent again as it is, and its writer makes another one. */
     private void reportInvalid(Transaction transaction) {
-        counters.invalidTransactions++;
+        counters.increment(Counter.INVALID_TRANSACTIONS);
         String largest = null;
         int most = 0;
         boolean leased = false;
--- a/src/main/java/dewlane/core/store/UnreadableValueLog.java
+++ b/src/main/java/dewlane/core/store/UnreadableValueLog.java
@@ -2,6 +2,7 @@
 
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.message.TokenBucket;
 
 /** Says which keys have values that cannot be read; of many, only some a minute. */
@@ -22,7 +23,7 @@
 
     /** Counts an unreadable value, and logs it unless there were many of late. */
     public void report(ReplicaChange.ValueUnreadable unread) {
-        counters.unreadableValues++;
+        counters.increment(Counter.UNREADABLE_VALUES);
         if (rate.tryAcquire(context.nowMs())) {
             context.info(
                     "the value of " + unread.key() + " cannot be read, what depends on it is held: " + unread.reason());
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -24,7 +24,7 @@
 
     /** Orders go out with the answer to a report. */
     void answered(Machine machine, List<WorkerCommand> orders) {
-        sent(machine, "with the answer to report " + machine.sequence, orders);
+        sent(machine, "with the answer to report " + machine.worker().sequence(), orders);
     }
 
     /** Orders go out by a direct command. */
@@ -40,7 +40,7 @@
         for (WorkerCommand command : orders) {
             text.add(command.action() + " " + name(command.job(), command.task(), command.attempt()));
         }
-        context.debug(machine.name + " is told " + way + ", " + incarnationOf(machine) + ", state read to "
+        context.debug(machine.name() + " is told " + way + ", " + incarnationOf(machine) + ", state read to "
                 + replica.revision() + ": " + text);
     }
 
@@ -52,14 +52,14 @@
         String what = in.heartbeat() != null
                 ? "answered by report " + in.heartbeat().sequence()
                 : in.delivered() ? "given up on" : "not sent";
-        context.debug("command to " + machine.name + " with token " + in.fencingToken() + " " + what + " after "
-                + machine.commandChannel.commandAgeMs(context.nowMs()) + " ms");
+        context.debug("command to " + machine.name() + " with token " + in.fencingToken() + " " + what + " after "
+                + machine.commandChannel().commandAgeMs(context.nowMs()) + " ms");
     }
 
     /** An attempt has ended and is not forgotten yet. */
     void forgetDeferred(Machine machine, AttemptId id) {
         if (context.logsCommands()) {
-            context.debug(name(id.job(), id.task(), id.number()) + " on " + machine.name + " is not forgotten yet, "
+            context.debug(name(id.job(), id.task(), id.number()) + " on " + machine.name() + " is not forgotten yet, "
                     + incarnationOf(machine) + ": a launch of it is under way");
         }
     }
@@ -67,12 +67,13 @@
     /** All launches on their way to the machine are given up. */
     void fenceRaised(Machine machine, String reason) {
         if (context.logsCommands()) {
-            context.debug("fence of " + machine.name + " raised, " + incarnationOf(machine) + ": " + reason);
+            context.debug("fence of " + machine.name() + " raised, " + incarnationOf(machine) + ": " + reason);
         }
     }
 
     private static String incarnationOf(Machine machine) {
-        return "token " + machine.fencingToken() + " session " + machine.incarnation;
+        return "token " + machine.fencingToken() + " session "
+                + machine.worker().incarnation();
     }
 
     private static String name(String job, int task, int attempt) {
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -7,6 +7,7 @@
 import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.AttemptId;
 import dewlane.core.model.Heartbeat.Phase;
@@ -55,8 +56,8 @@
     List<WorkerCommand> plan(Machine machine, boolean inAnswer) {
         List<AttemptId> forget = new ArrayList<>();
         List<AttemptId> strangers = new ArrayList<>();
-        machine.reportedTasks.forEach((id, status) -> {
-            if (!machine.attempts.containsKey(id)) {
+        machine.worker().tasks().forEach((id, status) -> {
+            if (machine.attempt(id) == null) {
                 reconcile(machine, id, status, forget, strangers);
             }
         });
@@ -64,9 +65,9 @@
         forget.removeIf(id -> isForgetDeferred(machine, id));
         boolean mayLaunch = standing.current().maySendLaunches();
         List<WorkerCommand> orders = new ArrayList<>();
-        for (AssignedAttempt assigned : machine.attempts.values()) {
+        for (AssignedAttempt assigned : machine.attempts()) {
             WorkerCommand order = commandFor(machine, assigned, mayLaunch);
-            if (order != null && (inAnswer || isDue(machine, assigned.id))) {
+            if (order != null && (inAnswer || isDue(machine, assigned.id()))) {
                 orders.add(order);
             }
         }
@@ -86,71 +87,69 @@
     /** Refuses, from the next answer or command on, launches that must not be carried out any more. */
     private void raiseFenceIfNeeded(Machine machine, List<AttemptId> forget) {
         String reason = null;
-        if (forget.stream().anyMatch(machine.commandChannel::isLaunchAbandoned)) {
+        if (forget.stream().anyMatch(machine.commandChannel()::isLaunchAbandoned)) {
             reason = "a command that launches what is to be forgotten was given up on";
-        } else if (machine.attempts.values().stream()
-                .anyMatch(assigned -> isLaunchOfStoppedJobInFlight(machine, assigned))) {
+        } else if (machine.attempts().stream().anyMatch(assigned -> isLaunchOfStoppedJobInFlight(machine, assigned))) {
             reason = "a launch on its way is of a job that is over";
         }
         if (reason != null) {
-            counters.fencesRaised++;
-            machine.commandChannel.raiseFence();
+            counters.increment(Counter.FENCES_RAISED);
+            machine.commandChannel().raiseFence();
             orderLog.fenceRaised(machine, reason);
         }
     }
 
     /** A launch that may still be on its way must not arrive after its job's cancellation. */
     private boolean isLaunchOfStoppedJobInFlight(Machine machine, AssignedAttempt assigned) {
-        return cancellations.mustNotRun(assigned.job)
-                && !machine.reportedTasks.containsKey(assigned.id)
-                && assigned.attempt.incarnation() == machine.incarnation
-                && assigned.attempt.fencingToken() == machine.fencingToken();
+        return cancellations.mustNotRun(assigned.job())
+                && !machine.worker().reports(assigned.id())
+                && assigned.attempt().incarnation() == machine.worker().incarnation()
+                && assigned.attempt().fencingToken() == machine.fencingToken();
     }
 
     /** Forgetting waits until no copy of the launch can arrive; raising the fence instead would give up others too. */
     private boolean isForgetDeferred(Machine machine, AttemptId id) {
-        boolean held = machine.commandChannel.isLaunchInFlight(id);
+        boolean held = machine.commandChannel().isLaunchInFlight(id);
         if (held) {
-            counters.forgetsDeferred++;
+            counters.increment(Counter.FORGETS_DEFERRED);
             orderLog.forgetDeferred(machine, id);
         }
         return held;
     }
 
     private boolean isDue(Machine machine, AttemptId id) {
-        return !machine.commandedAt.containsKey(id) || context.nowMs() - machine.commandedAt.getLong(id) > RESEND_MS;
+        return !machine.commands().wasCommandedWithin(id, context.nowMs(), RESEND_MS);
     }
 
     private WorkerCommand commandFor(Machine machine, AssignedAttempt assigned, boolean mayLaunch) {
-        TaskStatus status = machine.reportedTasks.get(assigned.id);
-        Attempt attempt = assigned.attempt;
+        TaskStatus status = machine.worker().task(assigned.id());
+        Attempt attempt = assigned.attempt();
         if (status == null) {
             // Only the token written with the launch may ever command it, or the proof of gone would not hold. And a
             // launch written long ago must not be sent on a view that may lack its job's cancellation.
             boolean launches = mayLaunch
-                    && !cancellations.mustNotRun(assigned.job)
-                    && attempt.incarnation() == machine.incarnation
+                    && !cancellations.mustNotRun(assigned.job())
+                    && attempt.incarnation() == machine.worker().incarnation()
                     && attempt.fencingToken() == machine.fencingToken()
-                    && !machines.progress()
-                            .getOrCreate(assigned.job.id)
-                            .outcomes
-                            .containsKey(assigned.id);
+                    && machines.progress().getOrCreate(assigned.job().id()).outcome(assigned.id()) == null;
             return launches
                     ? new WorkerCommand(
-                            WorkerCommand.Action.LAUNCH, assigned.job.id, attempt.task(), attempt.number(), 0)
+                            WorkerCommand.Action.LAUNCH, assigned.job().id(), attempt.task(), attempt.number(), 0)
                     : null;
         }
         if (status.phase() == Phase.EXITED) {
             return null;
         }
-        if (cancellations.mustNotRun(assigned.job)) {
-            return new WorkerCommand(WorkerCommand.Action.STOP, assigned.job.id, attempt.task(), attempt.number(), 0);
+        if (cancellations.mustNotRun(assigned.job())) {
+            return new WorkerCommand(
+                    WorkerCommand.Action.STOP, assigned.job().id(), attempt.task(), attempt.number(), 0);
         }
-        Double grace = machine.preemptions.get(assigned.id);
-        return grace == null || status.phase() == Phase.SAVING
-                ? null
-                : new WorkerCommand(
-                        WorkerCommand.Action.STOP, assigned.job.id, attempt.task(), attempt.number(), grace);
+        if (!machine.commands().isPreempted(assigned.id()) || status.phase() == Phase.SAVING) {
+            return null;
+        }
+        double graceS = machine.commands().preemptionGraceS(assigned.id());
+        return new WorkerCommand(
+                WorkerCommand.Action.STOP, assigned.job().id(), attempt.task(), attempt.number(), graceS);
     }
 
     /** An attempt on the machine that the replica does not hold against it. */
@@ -163,8 +162,7 @@
         SliceEntry slice = job == null ? null : job.sliceOf(id.task());
         boolean settled = slice != null ? slice.value().launchCount() >= id.number() : replica.result(id.job()) != null;
         if (!settled) {
-            machine.unaccountedSince.putIfAbsent(id, context.nowMs());
-            settled = context.nowMs() - machine.unaccountedSince.getLong(id) > REPLICA_LAG_GRACE_MS;
+            settled = machine.commands().unaccountedForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_MS;
         }
         if (settled && status.phase() == Phase.EXITED) {
             forget.add(id);
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -91,7 +91,7 @@
         }
         Map<String, String> condemned = machinesToDecommission();
         condemned.forEach((name, reason) -> context.info("machine " + name + " is " + reason + ", to be deleted with "
-                + machines.get(name).attempts.size() + " tasks on it"));
+                + machines.get(name).attempts().size() + " tasks on it"));
         List<String> names = List.copyOf(condemned.keySet());
         for (List<String> some :
                 DecommissionBatches.split(names, context.settings().maxValueBytes())) {
@@ -109,7 +109,7 @@
     }
 
     private void countSilenceFromNow() {
-        machines.all().forEach(machine -> machine.reachability.countSilenceFrom(context.nowMs()));
+        machines.all().forEach(machine -> machine.reachability().countSilenceFrom(context.nowMs()));
     }
 
     /** Those suspected or just fallen silent count too: they do not all begin at the same moment. */
@@ -121,7 +121,7 @@
             if (!known(machine)) {
                 continue;
             }
-            if (machine.reachability.isSuspected() || silentFor(machine) > patience) {
+            if (machine.reachability().isSuspected() || silentFor(machine) > patience) {
                 silent++;
             } else {
                 heard++;
@@ -139,10 +139,10 @@
         Map<String, String> condemned = new LinkedHashMap<>();
         for (Machine machine : machines.owned()) {
             boolean underWay =
-                    replica.decommissionsByMachine().containsKey(machine.name) || asking.contains(machine.name);
+                    replica.decommissionsByMachine().containsKey(machine.name()) || asking.contains(machine.name());
             String reason = underWay ? null : reasonToDelete(machine);
             if (reason != null) {
-                condemned.put(machine.name, reason);
+                condemned.put(machine.name(), reason);
             }
         }
         return condemned;
@@ -150,7 +150,7 @@
 
     private String reasonToDelete(Machine machine) {
         long patience = patienceMs();
-        if (!machine.failedJobs.isEmpty() && machines.isFaulty(machine)) {
+        if (!machine.failedJobs().isEmpty() && machines.isFaulty(machine)) {
             return "faulty";
         }
         if (silentFor(machine) <= patience) {
@@ -159,7 +159,7 @@
         // Where most are silent, or just were, it is more likely that this controller cannot hear or is not heard.
         boolean trusts = context.nowMs() - mostSilentAt > context.settings().heartbeatTimeoutMs();
         if (known(machine) && (trusts || silentFor(machine) > UNTRUSTED_PATIENCE * patience)) {
-            return machine.sequence > 0 && machine.reachability.isSuspected() ? "out of reach" : "silent";
+            return machine.worker().sequence() > 0 && machine.reachability().isSuspected() ? "out of reach" : "silent";
         }
         // A hanging machine keeps a cancelled task; only its deletion ends that in time.
         return hasCancelled(machine, CONDEMN) ? "silent with a cancelled task" : null;
@@ -167,14 +167,15 @@
 
     /** Not one returned, nor one of which there is only a report: that may be a late copy from a machine long gone. */
     private static boolean known(Machine machine) {
-        return machine.reachability.everConfirmed() && !machine.scaleInExpected || !machine.attempts.isEmpty();
+        return machine.reachability().everConfirmed() && !machine.lifecycle().isScaleInExpected()
+                || !machine.attempts().isEmpty();
     }
 
     /** True if a task on the machine has been cancelled for longer than the part of {@code cancel_s}. */
     private boolean hasCancelled(Machine machine, double share) {
         double longMs = context.settings().cancellationDeadlineS() * 1000 * share;
-        return machine.attempts.values().stream()
-                .anyMatch(assigned -> !assigned.ended && cancellations.cancelledForMs(assigned.job) > longMs);
+        return machine.attempts().stream()
+                .anyMatch(assigned -> !assigned.hasEnded() && cancellations.cancelledForMs(assigned.job()) > longMs);
     }
 
     /**
@@ -192,7 +193,7 @@
         List<String> late = new ArrayList<>();
         for (Machine machine : machines.owned()) {
             if (silentFor(machine) > patience && late.size() < MAX_DELETED_AT_ONCE && hasCancelled(machine, share)) {
-                late.add(machine.name);
+                late.add(machine.name());
             }
         }
         if (!late.isEmpty()) {
@@ -203,7 +204,7 @@
     }
 
     private long silentFor(Machine machine) {
-        return machine.reachability.silentForMs(context.nowMs());
+        return machine.reachability().silentForMs(context.nowMs());
     }
 
     /**
--- a/src/main/java/dewlane/core/worker/HeartbeatHandler.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -11,6 +11,7 @@
 import dewlane.core.membership.PeerTable;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.Counter;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.AttemptId;
@@ -21,10 +22,8 @@
 import dewlane.core.model.WorkerCommand;
 import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 
 /**
@@ -40,6 +39,9 @@
 
     private static final long LISTED_STRAY_MS = 3500;
     private static final long OWNER_HEARD_MS = 4000;
+    /** A task that its worker refused is launched again after so long. */
+    private static final long REFUSED_RETRY_MS = 1000;
+
     private static final long SETTLE_MS = 10_000;
     /** How often a suspected machine is asked for a sign that it hears. */
     private static final long PROBE_MS = 2000;
@@ -83,9 +85,9 @@
      * still time for that: see {@link Authority} and {@link CancellationTracker}.
      */
     public void onHeartbeat(long id, Heartbeat heartbeat) {
-        counters.heartbeats++;
+        counters.increment(Counter.HEARTBEATS);
         if (!standing.current().mayRenewWorkerLeases()) {
-            counters.heartbeatsRejected++;
+            counters.increment(Counter.HEARTBEATS_REJECTED);
             reject(id);
             return;
         }
@@ -94,27 +96,27 @@
             return;
         }
         Machine machine = machines.getOrCreate(heartbeat.machine());
-        if (!self.equals(machine.owner)) {
+        if (!self.equals(machine.owner())) {
             if (id != 0 && cannotReachOwner(machine, heartbeat)) {
-                membership.claimMachine(machine.name);
+                membership.claimMachine(machine.name());
                 reject(id);
             } else if (id != 0) {
-                context.emit(new Effect.RedirectHeartbeat(id, machine.owner));
+                context.emit(new Effect.RedirectHeartbeat(id, machine.owner()));
             }
             return;
         }
         // Copies come late: one that is no newer than what was taken says nothing, whatever it says.
         if (heartbeat.fencingToken() > machine.fencingToken()
-                || !heartbeat.isNewerThan(machine.incarnation, machine.sequence)) {
+                || !machine.worker().precedes(heartbeat)) {
             reject(id);
             return;
         }
         apply(machine, heartbeat, id == 0);
         if (id != 0) {
-            machine.reachability.reported(context.nowMs());
-            machine.commandChannel.answerSettled();
+            machine.reachability().reported(context.nowMs());
+            machine.commandChannel().answerSettled();
             List<WorkerCommand> orders = planner.plan(machine, true);
-            machine.commandChannel.answerSent(launches(orders));
+            machine.commandChannel().answerSent(launches(orders));
             orderLog.answered(machine, orders);
             context.emit(new Effect.AnswerHeartbeat(id, machine.fencingToken(), orders));
         }
@@ -129,17 +131,18 @@
         machines.discover(
                 heartbeat.machine(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         if (!membership.reachesStore()
-                || machine.address == null
-                || !heartbeat.isNewerThan(machine.incarnation, machine.sequence)) {
+                || machine.address() == null
+                || !machine.worker().precedes(heartbeat)) {
             return false;
         }
         // Workers of one that died wander until the map says who has them, and those of one that has just come have yet
         // to get there. Each take-over is a new map, which undoes every launch under way.
-        if (!peers.heardWithin(machine.owner, OWNER_HEARD_MS) || context.nowMs() - machine.ownerSince < SETTLE_MS) {
-            machine.misroutedHeartbeats.reset();
+        if (!peers.heardWithin(machine.owner(), OWNER_HEARD_MS)
+                || context.nowMs() - machine.ownerSinceMs() < SETTLE_MS) {
+            machine.misroutedHeartbeats().reset();
             return false;
         }
-        long strayedMs = machine.misroutedHeartbeats.record(heartbeat, context.nowMs(), STRAY_MS);
+        long strayedMs = machine.misroutedHeartbeats().record(heartbeat, context.nowMs(), STRAY_MS);
         return strayedMs > (machines.isListedByOwner(machine) ? LISTED_STRAY_MS : LEAST_STRAY_MS);
     }
 
@@ -160,38 +163,34 @@
     }
 
     private void apply(Machine machine, Heartbeat heartbeat, boolean answer) {
-        if (machine.highestTokenSeen == 0 && machine.sequence == 0) {
-            context.debug("machine " + machine.name + " reports: " + heartbeat.type() + " " + heartbeat.zone()
+        if (machine.worker().isUnheard()) {
+            context.debug("machine " + machine.name() + " reports: " + heartbeat.type() + " " + heartbeat.zone()
                     + (heartbeat.spot() ? " spot" : ""));
         }
-        if (heartbeat.incarnation() != machine.incarnation) {
-            machine.forgetCommands();
-            machine.commandChannel.incarnationBegan();
+        if (heartbeat.incarnation() != machine.worker().incarnation()) {
+            machine.commands().clear();
+            machine.commandChannel().incarnationBegan();
         }
-        machine.address = heartbeat.address();
+        machine.setAddress(heartbeat.address());
         machine.describe(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-        machine.incarnation = heartbeat.incarnation();
-        machine.sequence = heartbeat.sequence();
-        machine.highestTokenSeen = heartbeat.fencingToken();
-        Map<AttemptId, TaskStatus> reported = new HashMap<>();
-        for (TaskStatus status : heartbeat.tasks()) {
-            reported.put(new AttemptId(status.job(), status.task(), status.attempt()), status);
-        }
-        machine.reportedTasks = reported;
+        machine.worker().accept(heartbeat);
         assessReachability(machine, heartbeat, answer);
         MachineType type = machines.type(machine);
-        for (AssignedAttempt assigned : machine.attempts.values()) {
-            TaskStatus status = reported.get(assigned.id);
+        for (AssignedAttempt assigned : machine.attempts()) {
+            TaskStatus status = machine.worker().task(assigned.id());
             Outcome outcome = status == null
-                    ? AttemptOutcomes.ifMissing(assigned.attempt, heartbeat)
+                    ? AttemptOutcomes.ifMissing(assigned.attempt(), heartbeat)
                     : AttemptOutcomes.ofStatus(status);
-            if (status != null && status.phase() != Phase.EXITED && type != null && assigned.job.job() != null) {
-                machine.imageFetched(
-                        assigned.job.job().image(), assigned.job.job().imageGb(), type.imageCacheGb());
+            if (status != null
+                    && status.phase() != Phase.EXITED
+                    && type != null
+                    && assigned.job().job() != null) {
+                machine.images()
+                        .use(assigned.job().job().image(), assigned.job().job().imageGb(), type.imageCacheGb());
             }
             if (outcome != null
                     && machines.progress()
-                            .getOrCreate(assigned.job.id)
+                            .getOrCreate(assigned.job().id())
                             .recordOutcome(assigned, outcome, context.nowMs())) {
                 machines.attemptEnded(machine, assigned);
                 attributeFailure(machine, assigned, outcome);
@@ -207,26 +206,28 @@
      */
     private void assessReachability(Machine machine, Heartbeat heartbeat, boolean answer) {
         long now = context.nowMs();
-        boolean missed = machine.commandChannel.answerToken() > heartbeat.fencingToken();
-        for (AttemptId id : machine.commandChannel.answerLaunches()) {
-            AssignedAttempt assigned = machine.attempts.get(id);
+        boolean missed = machine.commandChannel().answerToken() > heartbeat.fencingToken();
+        for (AttemptId id : machine.commandChannel().answerLaunches()) {
+            AssignedAttempt assigned = machine.attempt(id);
             missed |= assigned != null
-                    && assigned.attempt.incarnation() == heartbeat.incarnation()
-                    && !machine.reportedTasks.containsKey(id);
+                    && assigned.attempt().incarnation() == heartbeat.incarnation()
+                    && !machine.worker().reports(id);
         }
         boolean sure = answer
-                || (machine.reachability.isSuspected()
-                        ? machine.reachability.endsSuspicion(heartbeat.fencingToken())
+                || (machine.reachability().isSuspected()
+                        ? machine.reachability().endsSuspicion(heartbeat.fencingToken())
                         : !missed
-                                && machine.reachability.confirmedWithin(
-                                        now, context.settings().heartbeatTimeoutMs()));
+                                && machine.reachability()
+                                        .confirmedWithin(now, context.settings().heartbeatTimeoutMs()));
         if (sure) {
-            machine.reachability.confirmed(now);
-            machine.scaleInExpected &= replica.decommissionsByMachine().containsKey(machine.name);
+            machine.reachability().confirmed(now);
+            if (!replica.decommissionsByMachine().containsKey(machine.name())) {
+                machine.lifecycle().withdrawScaleIn();
+            }
             applyTerminationNotice(machine, heartbeat);
-        } else if (!machine.reachability.isSuspected()) {
-            counters.suspicions++;
-            context.debug("machine " + machine.name + " is heard but may not hear: "
+        } else if (!machine.reachability().isSuspected()) {
+            counters.increment(Counter.SUSPICIONS);
+            context.debug("machine " + machine.name() + " is heard but may not hear: "
                     + (missed ? "missed an answer" : "was silent"));
             machine.suspect(now);
         }
@@ -234,33 +235,33 @@
 
     private void applyTerminationNotice(Machine machine, Heartbeat heartbeat) {
         if (Double.isNaN(heartbeat.terminationNoticeS())) {
-            machine.terminationAtMs = 0;
+            machine.lifecycle().cancelTermination();
         } else {
-            if (machine.terminationAtMs == 0) {
-                context.info(
-                        "machine " + machine.name + " is to be taken away in " + heartbeat.terminationNoticeS() + " s");
+            if (!machine.lifecycle().isTerminationScheduled()) {
+                context.info("machine " + machine.name() + " is to be taken away in " + heartbeat.terminationNoticeS()
+                        + " s");
             }
-            machine.terminationAtMs = context.nowMs() + (long) (heartbeat.terminationNoticeS() * 1000);
+            machine.lifecycle().scheduleTermination(context.nowMs() + (long) (heartbeat.terminationNoticeS() * 1000));
         }
     }
 
     /** Tells faulty machines from faulty jobs: a machine is to blame once tasks of two jobs failed on it in a row. */
     private void attributeFailure(Machine machine, AssignedAttempt assigned, Outcome outcome) {
-        context.debug(assigned.job.id + "/" + assigned.attempt.task() + " #" + assigned.attempt.number() + " on "
-                + machine.name + ": " + outcome);
+        context.debug(assigned.job().id() + "/" + assigned.attempt().task() + " #"
+                + assigned.attempt().number() + " on " + machine.name() + ": " + outcome);
         if (outcome == Outcome.DONE) {
-            machine.failedJobs.clear();
+            machine.clearFailedJobs();
         } else if (outcome == Outcome.ERROR) {
-            machine.failedJobs.add(assigned.job.id);
-            JobProgress work = machines.progress().getOrCreate(assigned.job.id);
-            work.failureCount++;
-            work.failedMachines.add(machine.name);
-            work.retryAtMs = context.nowMs() + Math.min(30_000, 250L << Math.min(work.failureCount, 7));
-            context.info("task " + assigned.job.id + "/" + assigned.attempt.task() + " failed on " + machine.name + " ("
-                    + work.failureCount + " failures of the job, " + machine.failedJobs.size()
+            machine.addFailedJob(assigned.job().id());
+            JobProgress work = machines.progress().getOrCreate(assigned.job().id());
+            work.recordFailure(machine.name(), context.nowMs());
+            context.info("task " + assigned.job().id() + "/"
+                    + assigned.attempt().task() + " failed on " + machine.name() + " ("
+                    + work.failureCount() + " failures of the job, "
+                    + machine.failedJobs().size()
                     + " jobs on the machine)");
         } else if (outcome == Outcome.REFUSED) {
-            machines.progress().getOrCreate(assigned.job.id).retryAtMs = context.nowMs() + 1000;
+            machines.progress().getOrCreate(assigned.job().id()).retryNotBefore(context.nowMs() + REFUSED_RETRY_MS);
         }
     }
 
@@ -271,32 +272,39 @@
         }
         List<Machine> later = new ArrayList<>();
         for (Machine machine : machines.changed()) {
-            if (machine.address == null || machine.incarnation == 0) {
+            if (machine.address() == null || machine.worker().incarnation() == 0) {
                 continue;
             }
-            if (machine.commandChannel.isCommandInFlight()) {
+            if (machine.commandChannel().isCommandInFlight()) {
                 later.add(machine);
                 continue;
             }
             List<WorkerCommand> orders = planner.plan(machine, false);
             boolean urgent = orders.stream().anyMatch(command -> command.action() != WorkerCommand.Action.FORGET);
-            boolean probe = machine.reachability.probeDue(context.nowMs(), PROBE_MS)
-                    && (!machine.reachability.tokenTold() && !machine.attempts.isEmpty() || machine.sequence > 0);
+            boolean probe = machine.reachability().probeDue(context.nowMs(), PROBE_MS)
+                    && (!machine.reachability().tokenTold()
+                                    && !machine.attempts().isEmpty()
+                            || machine.worker().sequence() > 0);
             if (urgent || probe) {
-                counters.commands++;
-                counters.probes += probe ? 1 : 0;
+                counters.increment(Counter.COMMANDS);
+                counters.add(Counter.PROBES, probe ? 1 : 0);
                 if (probe) {
-                    machine.reachability.probed(context.nowMs());
+                    machine.reachability().probed(context.nowMs());
                 }
-                machine.reachability.tokenSent();
+                machine.reachability().tokenSent();
                 for (WorkerCommand command : orders) {
-                    machine.commandedAt.put(
-                            new AttemptId(command.job(), command.task(), command.attempt()), context.nowMs());
+                    machine.commands()
+                            .commanded(
+                                    new AttemptId(command.job(), command.task(), command.attempt()), context.nowMs());
                 }
-                machine.commandChannel.commandSent(launches(orders), context.nowMs());
+                machine.commandChannel().commandSent(launches(orders), context.nowMs());
                 orderLog.commanded(machine, orders);
                 context.emit(new Effect.SendCommands(
-                        machine.name, machine.address, machine.incarnation, machine.fencingToken(), orders));
+                        machine.name(),
+                        machine.address(),
+                        machine.worker().incarnation(),
+                        machine.fencingToken(),
+                        orders));
             }
         }
         machines.changed().clear();
@@ -306,10 +314,11 @@
     /** Looks again at suspected machines, or ones with tasks that are still to show: an order may have been lost. */
     public void tick() {
         for (Machine machine : machines.owned()) {
-            if (machine.reachability.isSuspected()
-                    || !machine.preemptions.isEmpty()
-                    || machine.attempts.values().stream()
-                            .anyMatch(assigned -> !assigned.ended && !machine.reportedTasks.containsKey(assigned.id))) {
+            if (machine.reachability().isSuspected()
+                    || !machine.commands().preempted().isEmpty()
+                    || machine.attempts().stream()
+                            .anyMatch(assigned ->
+                                    !assigned.hasEnded() && !machine.worker().reports(assigned.id()))) {
                 machines.markChanged(machine);
             }
         }
@@ -323,12 +332,12 @@
         }
         orderLog.commandCompleted(machine, in);
         if (in.heartbeat() != null) {
-            machine.commandChannel.commandSettled();
+            machine.commandChannel().commandSettled();
             onHeartbeat(0, in.heartbeat());
         } else if (in.delivered()) {
-            counters.launchesAbandoned += machine.commandChannel.commandAbandoned() ? 1 : 0;
+            counters.add(Counter.LAUNCHES_ABANDONED, machine.commandChannel().commandAbandoned() ? 1 : 0);
         } else {
-            machine.commandChannel.commandSettled();
+            machine.commandChannel().commandSettled();
         }
     }
 }
