--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -60,7 +60,7 @@
 
     /** A controller that joins, takes a job and launches it, with every answer of the state service made up. */
     private static void core() throws IOException {
-        Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.bytes(value).length);
+        Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.encode(value).length);
         Job job = new Job(
                 "wk-1",
                 "lot",
@@ -114,7 +114,7 @@
             now += 200;
             for (Effect effect : controller.handle(now, now, input)) {
                 if (effect instanceof Effect.CommitTransaction e) {
-                    StoreProtocol.txn(e.transaction());
+                    StoreProtocol.transactionRequest(e.transaction());
                 }
             }
         }
--- a/src/main/java/dewlane/io/CloudClient.java
+++ b/src/main/java/dewlane/io/CloudClient.java
@@ -6,6 +6,7 @@
 import dewlane.wire.CloudProtocol;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,8 +19,10 @@
 /** Talks to the cloud and hands its answers to the core. */
 final class CloudClient {
     private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
-    private static final long CALL_MS = 5000;
-    private static final int RENT_TRIES = 4;
+    private static final long TIMEOUT_MS = 5000;
+    private static final int MAX_CONNECTIONS = 4;
+    private static final int MAX_CREATE_ATTEMPTS = 4;
+    private static final long CREATE_BACKOFF_MS = 1000;
 
     private final XnioIoThread thread;
     private final HttpConnectionPool calls;
@@ -28,15 +31,16 @@
 
     CloudClient(XnioIoThread thread, ByteBufferPool buffers, String address, Consumer<Input> core) {
         this.thread = thread;
-        this.calls = new HttpConnectionPool(thread, buffers, address, 4);
+        this.calls = new HttpConnectionPool(thread, buffers, address, MAX_CONNECTIONS);
         this.core = core;
     }
 
-    void catalog() {
-        calls.send(Methods.GET, CloudProtocol.CATALOG, null, CALL_MS, (status, body) -> {
+    /** Reads the machine types that the cloud offers. */
+    void listMachineTypes() {
+        calls.send(Methods.GET, CloudProtocol.MACHINE_TYPES_PATH, null, TIMEOUT_MS, (status, body) -> {
             try {
-                if (status == 200) {
-                    core.accept(new Input.MachineTypesListed(CloudProtocol.catalog(body)));
+                if (status == StatusCodes.OK) {
+                    core.accept(new Input.MachineTypesListed(CloudProtocol.machineTypes(body)));
                 }
             } catch (IOException e) {
                 LOG.error("unreadable catalog: {}", e.getMessage());
@@ -44,70 +48,90 @@
         });
     }
 
-    void list() {
+    /** Reads the list of instances, page by page, unless that is in progress. */
+    void listInstances() {
         if (!listing) {
             listing = true;
-            page(null, new ArrayList<>());
+            listPage(null, new ArrayList<>());
         }
     }
 
-    private void page(String after, List<CloudInstance> machines) {
-        calls.send(Methods.GET, CloudProtocol.page(after), null, CALL_MS, (status, body) -> {
+    private void listPage(String after, List<CloudInstance> instances) {
+        calls.send(Methods.GET, CloudProtocol.pagePath(after), null, TIMEOUT_MS, (status, body) -> {
             listing = false;
-            if (status != 200) {
-                LOG.debug("the cloud lists no machines: {}", status);
+            if (status != StatusCodes.OK) {
+                LOG.debug("the cloud lists no instances: {}", status);
                 return;
             }
             try {
-                CloudProtocol.Page page = CloudProtocol.page(body);
-                machines.addAll(page.machines());
-                if (page.more() && !page.machines().isEmpty()) {
-                    listing = true;
-                    page(page.machines().get(page.machines().size() - 1).name(), machines);
-                } else {
-                    core.accept(new Input.InstancesListed(machines));
-                }
+                takePage(CloudProtocol.page(body), instances);
             } catch (IOException e) {
-                LOG.error("unreadable machine list: {}", e.getMessage());
+                LOG.error("unreadable list of instances: {}", e.getMessage());
             }
         });
     }
 
-    void rent(Effect.CreateInstances rent) {
-        rent(rent, 1);
+    private void takePage(CloudProtocol.Page page, List<CloudInstance> instances) {
+        instances.addAll(page.instances());
+        if (page.more() && !page.instances().isEmpty()) {
+            listing = true;
+            listPage(page.instances().get(page.instances().size() - 1).name(), instances);
+        } else {
+            core.accept(new Input.InstancesListed(instances));
+        }
     }
 
-    /** The same request under the same name rents nothing twice, so it is repeated until it is answered. */
-    private void rent(Effect.CreateInstances rent, int attempt) {
-        byte[] request = CloudProtocol.rent(rent.requestId(), rent.type(), rent.zone(), rent.spot(), rent.count());
-        calls.send(Methods.POST, CloudProtocol.MACHINES, request, CALL_MS, (status, body) -> {
-            if (status == 200) {
-                List<String> names = List.of();
-                try {
-                    names = CloudProtocol.rented(body);
-                } catch (IOException e) {
-                    LOG.error("unreadable rental: {}", e.getMessage());
-                }
-                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.CREATED, names));
-            } else if (status == 503 && CloudProtocol.noCapacity(body)) {
-                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.NO_CAPACITY, List.of()));
-            } else if (status == 400) {
-                LOG.error("the cloud calls a rental malformed: {}", rent);
-                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.INVALID, List.of()));
-            } else if (attempt < RENT_TRIES) {
-                thread.executeAfter(() -> rent(rent, attempt + 1), 1000L * attempt, TimeUnit.MILLISECONDS);
-            } else {
-                core.accept(new Input.InstancesCreated(rent.requestId(), Input.CreateStatus.UNKNOWN, List.of()));
+    /** Creates instances. */
+    void createInstances(Effect.CreateInstances request) {
+        createInstances(request, 1);
+    }
+
+    /** The request is idempotent under its id, so it is repeated until it is answered. */
+    private void createInstances(Effect.CreateInstances request, int attempt) {
+        byte[] body = CloudProtocol.createRequest(
+                request.requestId(), request.type(), request.zone(), request.spot(), request.count());
+        calls.send(Methods.POST, CloudProtocol.INSTANCES_PATH, body, TIMEOUT_MS, (status, answer) -> {
+            Input.CreateStatus result = createStatus(status, answer);
+            if (result == Input.CreateStatus.UNKNOWN && attempt < MAX_CREATE_ATTEMPTS) {
+                long pauseMs = CREATE_BACKOFF_MS * attempt;
+                thread.executeAfter(() -> createInstances(request, attempt + 1), pauseMs, TimeUnit.MILLISECONDS);
+                return;
             }
+            if (result == Input.CreateStatus.INVALID) {
+                LOG.error("the cloud calls a request for instances malformed: {}", request);
+            }
+            List<String> names = result == Input.CreateStatus.CREATED ? createdNames(answer) : List.of();
+            core.accept(new Input.InstancesCreated(request.requestId(), result, names));
         });
     }
 
-    void delete(List<String> machines) {
+    private static Input.CreateStatus createStatus(int status, byte[] body) {
+        if (status == StatusCodes.OK) {
+            return Input.CreateStatus.CREATED;
+        } else if (status == StatusCodes.SERVICE_UNAVAILABLE && CloudProtocol.isNoCapacity(body)) {
+            return Input.CreateStatus.NO_CAPACITY;
+        } else if (status == StatusCodes.BAD_REQUEST) {
+            return Input.CreateStatus.INVALID;
+        }
+        return Input.CreateStatus.UNKNOWN;
+    }
+
+    private static List<String> createdNames(byte[] body) {
+        try {
+            return CloudProtocol.createdInstances(body);
+        } catch (IOException e) {
+            LOG.error("unreadable list of created instances: {}", e.getMessage());
+            return List.of();
+        }
+    }
+
+    /** Deletes instances. */
+    void deleteInstances(List<String> names) {
         calls.send(
                 Methods.POST,
-                CloudProtocol.DELETE,
-                CloudProtocol.delete(machines),
-                CALL_MS,
-                (status, body) -> core.accept(new Input.InstancesDeleted(machines, status == 200)));
+                CloudProtocol.DELETE_PATH,
+                CloudProtocol.deleteRequest(names),
+                TIMEOUT_MS,
+                (status, body) -> core.accept(new Input.InstancesDeleted(names, status == StatusCodes.OK)));
     }
 }
--- a/src/main/java/dewlane/io/EffectQueue.java
+++ b/src/main/java/dewlane/io/EffectQueue.java
@@ -7,31 +7,31 @@
 import java.util.function.Consumer;
 
 /**
- * Does what the core wants done, one effect after the other. What an effect itself gives rise to waits for its turn: a
- * controller alone with all machines once had so many commands refused at once that answering each within the other
- * overflowed the stack.
+ * Has effects handled one after the other. Effects that handling another one gives rise to wait for their turn, so that
+ * the depth of the stack has a bound.
  */
 final class EffectQueue {
     private final Deque<Effect> waiting = new ArrayDeque<>();
-    private final Consumer<Effect> actor;
-    private boolean acting;
+    private final Consumer<Effect> handler;
+    private boolean draining;
 
-    EffectQueue(Consumer<Effect> actor) {
-        this.actor = actor;
+    EffectQueue(Consumer<Effect> handler) {
+        this.handler = handler;
     }
 
+    /** Adds effects, and handles all that are queued unless that is going on already. */
     void take(Collection<Effect> effects) {
         waiting.addAll(effects);
-        if (acting) {
+        if (draining) {
             return;
         }
-        acting = true;
+        draining = true;
         try {
             while (!waiting.isEmpty()) {
-                actor.accept(waiting.poll());
+                handler.accept(waiting.poll());
             }
         } finally {
-            acting = false;
+            draining = false;
         }
     }
 }
--- a/src/main/java/dewlane/io/HttpConnectionPool.java
+++ b/src/main/java/dewlane/io/HttpConnectionPool.java
@@ -4,14 +4,13 @@
 import io.undertow.client.ClientConnection;
 import io.undertow.client.ClientExchange;
 import io.undertow.client.ClientRequest;
+import io.undertow.client.ClientResponse;
 import io.undertow.client.UndertowClient;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.URI;
-import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
@@ -19,15 +18,13 @@
 import org.xnio.OptionMap;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
-import org.xnio.channels.StreamSinkChannel;
-import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Kept-open connections to one address, one request at a time on each. All of it runs on one I/O thread. A call whose
- * time runs out closes its connection and is told that no answer came; the request may still be carried out.
+ * Persistent connections to one address, one request at a time on each. Used on the I/O thread only. A call that times
+ * out closes its connection and is told that no answer came; the request may still be carried out.
  */
 final class HttpConnectionPool {
-    /** No answer came. */
+    /** Stands for a status where no answer came. */
     static final int NO_ANSWER = -1;
 
     /** Told the status and body, or {@link #NO_ANSWER}. */
@@ -42,7 +39,7 @@
         final Callback callback;
         XnioExecutor.Key timer;
         ClientConnection connection;
-        boolean over;
+        boolean completed;
 
         Call(HttpString method, String path, byte[] body, Callback callback) {
             this.method = method;
@@ -51,12 +48,12 @@
             this.callback = callback;
         }
 
-        void end(int status, byte[] answer, boolean reusable) {
-            if (over) {
+        void complete(int status, byte[] answer, boolean reusable) {
+            if (completed) {
                 return;
             }
-            over = true;
-            calls--;
+            completed = true;
+            pendingCalls--;
             timer.remove();
             if (connection != null) {
                 if (reusable && connection.isOpen() && !closed) {
@@ -69,56 +66,65 @@
             try {
                 callback.answered(status, answer);
             } finally {
-                next();
+                startWaiting();
             }
         }
+
+        void fail() {
+            complete(NO_ANSWER, NO_BODY, false);
+        }
     }
 
+    private static final byte[] NO_BODY = {};
+    private static final long NANOS_PER_MS = 1_000_000;
+
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final String address;
     private final URI uri;
-    private final int most;
+    private final int maxConnections;
     private final Deque<ClientConnection> idle = new ArrayDeque<>();
     private final Deque<Call> waiting = new ArrayDeque<>();
+    /** Connections that are open or being opened. */
     private int open;
-    private int calls;
+
+    private int pendingCalls;
     private int connecting;
-    private long usedAt = System.nanoTime();
+    private long usedAtNanos = System.nanoTime();
     private boolean closed;
 
-    HttpConnectionPool(XnioIoThread thread, ByteBufferPool buffers, String address, int most) {
+    HttpConnectionPool(XnioIoThread thread, ByteBufferPool buffers, String address, int maxConnections) {
         this.thread = thread;
         this.buffers = buffers;
         this.address = address;
         this.uri = URI.create("http://" + address);
-        this.most = most;
+        this.maxConnections = maxConnections;
     }
 
+    /** Sends a request as soon as a connection is free; the callback is told its answer, once. */
     void send(HttpString method, String path, byte[] body, long timeoutMs, Callback callback) {
         Call call = new Call(method, path, body, callback);
-        call.timer =
-                thread.executeAfter(() -> call.end(NO_ANSWER, new byte[0], false), timeoutMs, TimeUnit.MILLISECONDS);
+        call.timer = thread.executeAfter(() -> call.fail(), timeoutMs, TimeUnit.MILLISECONDS);
         waiting.add(call);
-        calls++;
-        usedAt = System.nanoTime();
-        next();
+        pendingCalls++;
+        usedAtNanos = System.nanoTime();
+        startWaiting();
     }
 
     /**
-     * True while a call is under way or waits, or a connection is being opened: to a host without power that lasts long
-     * after the call is over, and holds a socket.
+     * True while a call is in flight or waits, or a connection is being opened: to a host without power that lasts long
+     * after the call is completed, and holds a socket.
      */
-    boolean busy() {
-        return calls > 0 || connecting > 0;
+    boolean isBusy() {
+        return pendingCalls > 0 || connecting > 0;
     }
 
     /** Milliseconds since the latest call began. */
     long idleMs() {
-        return (System.nanoTime() - usedAt) / 1_000_000;
+        return (System.nanoTime() - usedAtNanos) / NANOS_PER_MS;
     }
 
-    /** Closes idle connections; calls under way end as they would. */
+    /** Closes idle connections; calls in flight end as they would. */
     void close() {
         closed = true;
         idle.forEach(IoUtils::safeClose);
@@ -126,8 +132,8 @@
         idle.clear();
     }
 
-    private void next() {
-        while (!waiting.isEmpty() && waiting.peek().over) {
+    private void startWaiting() {
+        while (!waiting.isEmpty() && waiting.peek().completed) {
             waiting.poll();
         }
         while (!waiting.isEmpty()) {
@@ -136,11 +142,11 @@
                 open--;
                 continue;
             }
-            if (kept == null && open >= most) {
+            if (kept == null && open >= maxConnections) {
                 return;
             }
             Call call = waiting.poll();
-            if (call.over) {
+            if (call.completed) {
                 if (kept != null) {
                     idle.push(kept);
                 }
@@ -163,12 +169,12 @@
                             @Override
                             public void completed(ClientConnection connection) {
                                 connecting--;
-                                if (call.over && closed) {
+                                if (call.completed && closed) {
                                     open--;
                                     IoUtils.safeClose(connection);
-                                } else if (call.over) {
+                                } else if (call.completed) {
                                     idle.push(connection);
-                                    next();
+                                    startWaiting();
                                 } else {
                                     start(call, connection);
                                 }
@@ -178,8 +184,8 @@
                             public void failed(IOException e) {
                                 connecting--;
                                 open--;
-                                call.end(NO_ANSWER, new byte[0], false);
-                                next();
+                                call.fail();
+                                startWaiting();
                             }
                         },
                         uri,
@@ -202,83 +208,35 @@
                 exchange.setResponseListener(new ClientCallback<ClientExchange>() {
                     @Override
                     public void completed(ClientExchange answered) {
-                        boolean stays = !"close"
-                                .equalsIgnoreCase(answered.getResponse()
-                                        .getResponseHeaders()
-                                        .getFirst(Headers.CONNECTION));
-                        read(call, answered.getResponse().getResponseCode(), answered.getResponseChannel(), stays);
+                        readResponse(call, answered);
                     }
 
                     @Override
                     public void failed(IOException e) {
-                        call.end(NO_ANSWER, new byte[0], false);
+                        call.fail();
                     }
                 });
                 if (call.body != null) {
-                    write(call, exchange.getRequestChannel(), ByteBuffer.wrap(call.body));
+                    HttpBodies.write(exchange.getRequestChannel(), call.body, call::fail);
                 }
             }
 
             @Override
             public void failed(IOException e) {
-                call.end(NO_ANSWER, new byte[0], false);
+                call.fail();
             }
         });
     }
 
-    private void write(Call call, StreamSinkChannel channel, ByteBuffer body) {
-        try {
-            while (body.hasRemaining()) {
-                if (channel.write(body) == 0) {
-                    channel.getWriteSetter().set(c -> write(call, c, body));
-                    channel.resumeWrites();
-                    return;
-                }
-            }
-            channel.shutdownWrites();
-            if (!channel.flush()) {
-                channel.getWriteSetter().set(c -> write(call, c, body));
-                channel.resumeWrites();
-            } else {
-                channel.suspendWrites();
-            }
-        } catch (IOException e) {
-            call.end(NO_ANSWER, new byte[0], false);
-        }
-    }
-
-    private void read(Call call, int status, StreamSourceChannel channel, boolean reusable) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        ByteBuffer buffer = ByteBuffer.allocate(8192);
-        channel.getReadSetter().set(c -> drain(call, status, c, bytes, buffer, reusable));
-        drain(call, status, channel, bytes, buffer, reusable);
-    }
-
-    private void drain(
-            Call call,
-            int status,
-            StreamSourceChannel channel,
-            ByteArrayOutputStream bytes,
-            ByteBuffer buffer,
-            boolean reusable) {
-        try {
-            while (true) {
-                buffer.clear();
-                int n = channel.read(buffer);
-                if (n == 0) {
-                    channel.resumeReads();
-                    return;
-                }
-                if (n < 0) {
-                    channel.suspendReads();
-                    // The connection is free only after the exchange's own end is processed.
-                    thread.execute(() -> call.end(status, bytes.toByteArray(), reusable));
-                    return;
-                }
-                bytes.write(buffer.array(), 0, n);
-            }
-        } catch (IOException e) {
-            call.end(NO_ANSWER, new byte[0], false);
-        }
+    private void readResponse(Call call, ClientExchange exchange) {
+        ClientResponse response = exchange.getResponse();
+        boolean reusable =
+                !"close".equalsIgnoreCase(response.getResponseHeaders().getFirst(Headers.CONNECTION));
+        int status = response.getResponseCode();
+        HttpBodies.read(
+                exchange.getResponseChannel(),
+                // The connection is free only after the exchange's own end is processed.
+                body -> thread.execute(() -> call.complete(status, body, reusable)),
+                call::fail);
     }
 }
--- a/src/main/java/dewlane/io/PeerClient.java
+++ b/src/main/java/dewlane/io/PeerClient.java
@@ -13,10 +13,10 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** Tells the other controllers this one's status, over one connection each. */
+/** Sends this controller's status to the other controllers, over one connection each. */
 final class PeerClient {
     private static final Logger LOG = LoggerFactory.getLogger(PeerClient.class);
-    private static final long PEER_MS = 1500;
+    private static final long TIMEOUT_MS = 1500;
 
     private final List<HttpConnectionPool> pools = new ArrayList<>();
 
@@ -24,10 +24,11 @@
         addresses.forEach(address -> pools.add(new HttpConnectionPool(thread, buffers, address, 1)));
     }
 
-    void tell(Effect.BroadcastStatus tell) {
+    /** Sends the status to each peer that has answered the one before. */
+    void broadcast(Effect.BroadcastStatus broadcast) {
         List<byte[]> pages = new ArrayList<>();
         try {
-            for (PeerStatus page : tell.pages()) {
+            for (PeerStatus page : broadcast.pages()) {
                 pages.add(PeerProtocol.status(page));
             }
         } catch (IOException e) {
@@ -35,10 +36,10 @@
             return;
         }
         for (HttpConnectionPool pool : pools) {
-            // One that does not answer is told again once its time has run out, of what is true by then.
-            if (!pool.busy()) {
-                pages.forEach(
-                        page -> pool.send(Methods.POST, PeerProtocol.STATUS, page, PEER_MS, (status, answer) -> {}));
+            // A peer that does not answer gets the status of the time at which its call has timed out.
+            if (!pool.isBusy()) {
+                pages.forEach(page ->
+                        pool.send(Methods.POST, PeerProtocol.STATUS_PATH, page, TIMEOUT_MS, (status, answer) -> {}));
             }
         }
     }
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -6,7 +6,9 @@
 import dewlane.wire.StoreProtocol;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.util.Methods;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -15,18 +17,27 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** Talks to the state service and hands its answers to the core. */
+/** Talks to the store and hands its answers to the core. */
 final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
-    private static final int PAGE = 200;
-    private static final long CALL_MS = 1500;
+    private static final int PAGE_KEYS = 200;
+    private static final long TIMEOUT_MS = 1500;
+    private static final long LIST_TIMEOUT_MS = 3000;
+    private static final long RENEWAL_TIMEOUT_MS = 1000;
+    /** How long the store holds a watch open, and how much longer its answer may take. */
     private static final long WATCH_MS = 800;
-    /** Gathers changes that come close together into one answer of the watch; at least so long. */
-    private static final long WATCH_PAUSE_MS = 60;
-    /** The part of the requests that all controllers' watches together may take. */
+
+    private static final long WATCH_GRACE_MS = 1500;
+    /** Changes that come close together are gathered into one answer of the watch; at least so long. */
+    private static final long MIN_WATCH_PAUSE_MS = 60;
+    /** The share of the requests that all controllers' watches together may take. */
     private static final double WATCH_SHARE = 0.25;
 
     private static final long RETRY_MS = 300;
+    private static final int MAX_CALL_CONNECTIONS = 12;
+    private static final int MAX_LEASE_CONNECTIONS = 2;
+    private static final int MAX_WATCH_CONNECTIONS = 2;
+    private static final byte[] NO_BODY = {};
 
     private final XnioIoThread thread;
     private final HttpConnectionPool calls;
@@ -35,148 +46,174 @@
     private final Consumer<Input> core;
     private final long watchPauseMs;
 
+    /**
+     * Connects to the store when it is first used.
+     *
+     * @param requestsPerS the request rate that all controllers share
+     * @param controllers how many controllers there are
+     */
     StoreClient(
             XnioIoThread thread,
             ByteBufferPool buffers,
             String address,
-            double rps,
+            double requestsPerS,
             int controllers,
             Consumer<Input> core) {
         this.thread = thread;
-        this.calls = new HttpConnectionPool(thread, buffers, address, 12);
-        this.leases = new HttpConnectionPool(thread, buffers, address, 2);
-        this.watches = new HttpConnectionPool(thread, buffers, address, 2);
+        this.calls = new HttpConnectionPool(thread, buffers, address, MAX_CALL_CONNECTIONS);
+        this.leases = new HttpConnectionPool(thread, buffers, address, MAX_LEASE_CONNECTIONS);
+        this.watches = new HttpConnectionPool(thread, buffers, address, MAX_WATCH_CONNECTIONS);
         this.core = core;
-        this.watchPauseMs = Math.max(WATCH_PAUSE_MS, Math.round(1000 * controllers / (rps * WATCH_SHARE)));
+        long fairPauseMs = Math.round(1000 * controllers / (requestsPerS * WATCH_SHARE));
+        this.watchPauseMs = Math.max(MIN_WATCH_PAUSE_MS, fairPauseMs);
     }
 
+    /** Reads all keys but those of job results, page by page. */
     void list() {
-        page(StoreKeys.AFTER_JOB_RESULTS, new ArrayList<>(), 0);
+        listPage(StoreKeys.AFTER_JOB_RESULTS, new ArrayList<>(), 0);
     }
 
-    private void page(String after, List<Input.StoreRow> rows, long first) {
-        calls.send(Methods.GET, StoreProtocol.list(StoreKeys.ROOT, after, PAGE), null, 3000, (status, body) -> {
-            if (status != 200) {
-                thread.executeAfter(() -> core.accept(new Input.StoreListFailed()), RETRY_MS, TimeUnit.MILLISECONDS);
+    private void listPage(String after, List<Input.StoreRow> rows, long firstRevision) {
+        String path = StoreProtocol.listPath(StoreKeys.ROOT, after, PAGE_KEYS);
+        calls.send(Methods.GET, path, null, LIST_TIMEOUT_MS, (status, body) -> {
+            if (status != StatusCodes.OK) {
+                later(RETRY_MS, new Input.StoreListFailed());
                 return;
             }
             try {
-                StoreProtocol.Page page = StoreProtocol.page(body);
-                rows.addAll(page.rows());
-                long from = first == 0 ? page.revision() : first;
-                if (page.more() && page.last() != null) {
-                    page(page.last(), rows, from);
-                } else {
-                    core.accept(new Input.StoreListed(rows, from, page.revision()));
-                }
+                takePage(StoreProtocol.page(body), rows, firstRevision);
             } catch (IOException e) {
-                LOG.error("unreadable list of the state service: {}", e.getMessage());
+                LOG.error("unreadable listing of the store: {}", e.getMessage());
                 core.accept(new Input.StoreListFailed());
             }
         });
     }
 
-    void watch(long since) {
-        thread.executeAfter(() -> openWatch(since), watchPauseMs, TimeUnit.MILLISECONDS);
+    private void takePage(StoreProtocol.Page page, List<Input.StoreRow> rows, long firstRevision) {
+        rows.addAll(page.rows());
+        long listedFrom = firstRevision == 0 ? page.revision() : firstRevision;
+        if (page.more() && page.lastKey() != null) {
+            listPage(page.lastKey(), rows, listedFrom);
+        } else {
+            core.accept(new Input.StoreListed(rows, listedFrom, page.revision()));
+        }
     }
 
-    private void openWatch(long since) {
-        watches.send(
-                Methods.GET,
-                StoreProtocol.watch(StoreKeys.ROOT, since, WATCH_MS),
-                null,
-                WATCH_MS + 1500,
-                (status, body) -> {
-                    try {
-                        if (status == 200) {
-                            StoreProtocol.Events events = StoreProtocol.events(body);
-                            core.accept(new Input.WatchEvents(events.changes(), events.revision()));
-                            return;
-                        }
-                    } catch (IOException e) {
-                        LOG.error("unreadable changes of the state service: {}", e.getMessage());
-                    }
-                    long pause = status == HttpConnectionPool.NO_ANSWER ? 0 : RETRY_MS;
-                    thread.executeAfter(
-                            () -> core.accept(new Input.WatchFailed(status == 410)), pause, TimeUnit.MILLISECONDS);
-                });
+    private void later(long pauseMs, Input input) {
+        thread.executeAfter(() -> core.accept(input), pauseMs, TimeUnit.MILLISECONDS);
     }
 
-    void txn(long id, Transaction transaction) {
-        calls.send(Methods.POST, StoreProtocol.TXN, StoreProtocol.txn(transaction), CALL_MS, (status, body) -> {
-            Transaction.Status outcome =
-                    switch (status) {
-                        case 200 -> Transaction.Status.COMMITTED;
-                        case 409 -> Transaction.Status.CONFLICT;
-                        case 400 -> Transaction.Status.INVALID;
-                        case 429 -> Transaction.Status.RATE_LIMITED;
-                        case 503 -> Transaction.Status.UNAVAILABLE;
-                        default -> Transaction.Status.UNKNOWN;
-                    };
-            long revision = 0;
+    /** Waits for changes after the revision. */
+    void watch(long afterRevision) {
+        thread.executeAfter(() -> openWatch(afterRevision), watchPauseMs, TimeUnit.MILLISECONDS);
+    }
+
+    private void openWatch(long afterRevision) {
+        String path = StoreProtocol.watchPath(StoreKeys.ROOT, afterRevision, WATCH_MS);
+        watches.send(Methods.GET, path, null, WATCH_MS + WATCH_GRACE_MS, (status, body) -> {
             try {
-                if (status == 200 || status == 409) {
-                    revision = StoreProtocol.revision(body);
-                } else if (status == 400) {
-                    LOG.error(
-                            "the state service calls a write invalid: {}",
-                            new String(body, java.nio.charset.StandardCharsets.UTF_8));
+                if (status == StatusCodes.OK) {
+                    StoreProtocol.Events events = StoreProtocol.events(body);
+                    core.accept(new Input.WatchEvents(events.changes(), events.revision()));
+                    return;
                 }
             } catch (IOException e) {
-                outcome = Transaction.Status.UNKNOWN;
+                LOG.error("unreadable changes of the store: {}", e.getMessage());
             }
-            core.accept(new Input.TransactionCompleted(id, outcome, revision));
+            long pauseMs = status == HttpConnectionPool.NO_ANSWER ? 0 : RETRY_MS;
+            later(pauseMs, new Input.WatchFailed(status == StatusCodes.GONE));
         });
     }
 
+    /** Sends a transaction. */
+    void commit(long id, Transaction transaction) {
+        byte[] request = StoreProtocol.transactionRequest(transaction);
+        calls.send(Methods.POST, StoreProtocol.TRANSACTION_PATH, request, TIMEOUT_MS, (status, body) -> {
+            if (status == StatusCodes.BAD_REQUEST) {
+                LOG.error("the store calls a write invalid: {}", new String(body, StandardCharsets.UTF_8));
+            }
+            core.accept(completed(id, status, body));
+        });
+    }
+
+    private static Input.TransactionCompleted completed(long id, int status, byte[] body) {
+        Transaction.Status outcome = transactionStatus(status);
+        try {
+            boolean namesRevision = outcome == Transaction.Status.COMMITTED || outcome == Transaction.Status.CONFLICT;
+            return new Input.TransactionCompleted(id, outcome, namesRevision ? StoreProtocol.revision(body) : 0);
+        } catch (IOException e) {
+            return new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0);
+        }
+    }
+
+    private static Transaction.Status transactionStatus(int status) {
+        return switch (status) {
+            case StatusCodes.OK -> Transaction.Status.COMMITTED;
+            case StatusCodes.CONFLICT -> Transaction.Status.CONFLICT;
+            case StatusCodes.BAD_REQUEST -> Transaction.Status.INVALID;
+            case StatusCodes.TOO_MANY_REQUESTS -> Transaction.Status.RATE_LIMITED;
+            case StatusCodes.SERVICE_UNAVAILABLE -> Transaction.Status.UNAVAILABLE;
+            default -> Transaction.Status.UNKNOWN;
+        };
+    }
+
+    /** Reads one key. */
     void read(long id, String key) {
-        calls.send(Methods.GET, StoreProtocol.get(key), null, CALL_MS, (status, body) -> {
+        calls.send(Methods.GET, StoreProtocol.valuePath(key), null, TIMEOUT_MS, (status, body) -> {
             try {
-                if (status == 200) {
+                if (status == StatusCodes.OK) {
                     Input.StoreRow row = StoreProtocol.row(key, body);
                     core.accept(new Input.ValueRead(id, true, row.value(), row.revision()));
                     return;
                 }
             } catch (IOException e) {
-                LOG.error("{}", e.getMessage());
+                LOG.error("unreadable value of the store: {}", e.getMessage());
             }
-            core.accept(new Input.ValueRead(id, status == 404, null, 0));
+            core.accept(new Input.ValueRead(id, status == StatusCodes.NOT_FOUND, null, 0));
         });
     }
 
     /** Reads a key that never exists: the answer names the latest revision. */
     void readRevision() {
-        calls.send(Methods.GET, StoreProtocol.get(StoreKeys.NEVER_SET), null, CALL_MS, (status, body) -> {
+        calls.send(Methods.GET, StoreProtocol.valuePath(StoreKeys.NEVER_SET), null, TIMEOUT_MS, (status, body) -> {
             Input.RevisionRead read = new Input.RevisionRead(false, 0);
             try {
-                if (status == 404) {
+                if (status == StatusCodes.NOT_FOUND) {
                     read = new Input.RevisionRead(true, StoreProtocol.revision(body));
                 }
             } catch (IOException e) {
-                LOG.error("unreadable revision of the state service: {}", e.getMessage());
+                LOG.error("unreadable revision of the store: {}", e.getMessage());
             }
             core.accept(read);
         });
     }
 
-    void grant(long ttlMs) {
-        leases.send(Methods.POST, StoreProtocol.GRANTS, StoreProtocol.grant(ttlMs), CALL_MS, (status, body) -> {
-            long lease = 0;
-            try {
-                lease = status == 200 ? StoreProtocol.granted(body) : 0;
-            } catch (IOException e) {
-                LOG.error("unreadable grant: {}", e.getMessage());
-            }
-            core.accept(new Input.LeaseGranted(lease));
-        });
+    /** Asks for a lease. */
+    void grantLease(long ttlMs) {
+        leases.send(
+                Methods.POST,
+                StoreProtocol.LEASES_PATH,
+                StoreProtocol.grantRequest(ttlMs),
+                TIMEOUT_MS,
+                (status, body) -> {
+                    long lease = 0;
+                    try {
+                        lease = status == StatusCodes.OK ? StoreProtocol.grantedLease(body) : 0;
+                    } catch (IOException e) {
+                        LOG.error("unreadable lease of the store: {}", e.getMessage());
+                    }
+                    core.accept(new Input.LeaseGranted(lease));
+                });
     }
 
-    void touch(long lease) {
+    /** Renews a lease. */
+    void renewLease(long lease) {
         leases.send(
                 Methods.POST,
-                StoreProtocol.touch(lease),
-                new byte[0],
-                1000,
-                (status, body) -> core.accept(new Input.LeaseRenewalCompleted(lease, status == 200, status == 404)));
+                StoreProtocol.renewalPath(lease),
+                NO_BODY,
+                RENEWAL_TIMEOUT_MS,
+                (status, body) -> core.accept(new Input.LeaseRenewalCompleted(
+                        lease, status == StatusCodes.OK, status == StatusCodes.NOT_FOUND)));
     }
 }
--- /dev/null
+++ b/src/main/java/dewlane/io/UserEndpoint.java
@@ -0,0 +1,65 @@
+package dewlane.io;
+
+import dewlane.core.message.Input;
+import dewlane.wire.UserProtocol;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HttpString;
+import io.undertow.util.Methods;
+import io.undertow.util.SameThreadExecutor;
+import io.undertow.util.StatusCodes;
+import java.util.function.Consumer;
+import java.util.function.LongFunction;
+
+/** The users' protocol over HTTP: submissions, status queries and cancellations. */
+final class UserEndpoint {
+    private final PendingRequests requests;
+    private final Consumer<Input> core;
+
+    UserEndpoint(PendingRequests requests, Consumer<Input> core) {
+        this.requests = requests;
+        this.core = core;
+    }
+
+    /** Takes a submission, once its whole body is there. */
+    void submit(HttpServerExchange exchange, byte[] body) {
+        UserProtocol.Submission submission = UserProtocol.submission(body);
+        forward(
+                exchange,
+                PendingRequests.Kind.CHANGE,
+                id -> new Input.SubmitJob(id, submission.jobId(), submission.job(), submission.rejection()));
+    }
+
+    /** Takes a query or a cancellation; {@code path} is what follows the path of submissions and a slash. */
+    void handleJob(HttpServerExchange exchange, String path) {
+        int slash = path.indexOf('/');
+        String job = slash < 0 ? path : path.substring(0, slash);
+        boolean cancel = slash >= 0 && path.substring(slash + 1).equals(UserProtocol.CANCEL_ACTION);
+        HttpString method = cancel ? Methods.POST : Methods.GET;
+        if (slash >= 0 && !cancel) {
+            HttpExchanges.sendError(exchange, StatusCodes.NOT_FOUND, "no such path");
+        } else if (!exchange.getRequestMethod().equals(method)) {
+            HttpExchanges.sendError(exchange, StatusCodes.METHOD_NOT_ALLOWED, "use " + method);
+        } else if (!UserProtocol.isJobId(job)) {
+            HttpExchanges.sendError(exchange, StatusCodes.NOT_FOUND, "no such job");
+        } else if (cancel) {
+            HttpExchanges.receive(
+                    exchange,
+                    (received, body) ->
+                            forward(received, PendingRequests.Kind.CHANGE, id -> new Input.CancelJob(id, job)));
+        } else {
+            exchange.dispatch(
+                    SameThreadExecutor.INSTANCE,
+                    () -> forward(exchange, PendingRequests.Kind.QUERY, id -> new Input.GetJobStatus(id, job)));
+        }
+    }
+
+    /** Asks the core for an answer. Too many requests at once are told to come back. */
+    private void forward(HttpServerExchange exchange, PendingRequests.Kind kind, LongFunction<Input> input) {
+        if (requests.isFull()) {
+            HttpExchanges.sendError(exchange, StatusCodes.SERVICE_UNAVAILABLE, "too busy, try again");
+            return;
+        }
+        long id = requests.addFromUser(exchange, kind);
+        core.accept(input.apply(id));
+    }
+}
--- a/src/main/java/dewlane/io/WorkerCommandClient.java
+++ b/src/main/java/dewlane/io/WorkerCommandClient.java
@@ -4,6 +4,7 @@
 import dewlane.core.message.Input;
 import dewlane.core.model.Heartbeat;
 import dewlane.wire.WorkerProtocol;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -21,26 +22,30 @@
         this.core = core;
     }
 
+    /** Sends commands; the core is told when they are answered, abandoned, or never sent. */
     void send(Effect.SendCommands command) {
-        byte[] body = WorkerProtocol.command(command.incarnation(), command.fencingToken(), command.commands());
-        boolean sent = workers.send(
+        byte[] body = WorkerProtocol.commandRequest(command.incarnation(), command.fencingToken(), command.commands());
+        boolean opened = workers.send(
                 command.address(),
-                WorkerProtocol.COMMAND,
+                WorkerProtocol.COMMAND_PATH,
                 body,
                 (status, answer) -> core.accept(new Input.CommandCompleted(
-                        command.machine(), command.fencingToken(), true, report(command.machine(), status, answer))));
-        if (!sent) {
-            // Nothing went out, so nothing can arrive late: the answers to the machine's reports say the same.
+                        command.machine(),
+                        command.fencingToken(),
+                        true,
+                        heartbeat(command.machine(), status, answer))));
+        if (!opened) {
+            // Nothing went out, so nothing can arrive late: the answers to heartbeats repeat the commands.
             core.accept(new Input.CommandCompleted(command.machine(), command.fencingToken(), false, null));
         }
     }
 
-    /** The report in an answer, or null if there is none. */
-    private static Heartbeat report(String machine, int status, byte[] answer) {
+    /** The heartbeat in an answer, or null if there is none. */
+    private static Heartbeat heartbeat(String machine, int status, byte[] answer) {
         try {
-            return status == 200 || status == 409 ? WorkerProtocol.report(answer) : null;
+            return status == StatusCodes.OK || status == StatusCodes.CONFLICT ? WorkerProtocol.heartbeat(answer) : null;
         } catch (IOException | NumberFormatException e) {
-            LOG.error("unreadable report of {}: {}", machine, e.getMessage());
+            LOG.error("unreadable heartbeat of {}: {}", machine, e.getMessage());
             return null;
         }
     }
--- a/src/main/java/dewlane/wire/CloudProtocol.java
+++ b/src/main/java/dewlane/wire/CloudProtocol.java
@@ -7,107 +7,159 @@
 import java.util.List;
 import java.util.Map;
 
-/** The cloud's protocol. */
+/** The cloud's protocol: machine types, instances, and requests to create and delete them. */
 public final class CloudProtocol {
-    public static final String CATALOG = "/catalog";
-    public static final String MACHINES = "/machines";
-    public static final String DELETE = "/machines/delete";
-    public static final int MAX_DELETE = 100;
-    private static final int PAGE = 500;
+    /** The path that lists the machine types. */
+    public static final String MACHINE_TYPES_PATH = "/catalog";
+    /** The path that lists instances and creates them. */
+    public static final String INSTANCES_PATH = "/machines";
+    /** The path that deletes instances. */
+    public static final String DELETE_PATH = "/machines/delete";
+    /** The most instances that one request deletes. */
+    public static final int MAX_DELETED_INSTANCES = 100;
+
+    private static final int PAGE_INSTANCES = 500;
+
+    private static final String MACHINE_TYPES = "racks";
+    private static final String INSTANCES = "casks";
+    private static final String MACHINE_TYPE = "rack";
+    private static final String ZONE = "cellar";
+    private static final String ZONES = "cellars";
+    private static final String SPOT = "consignment";
+    private static final String REQUEST_ID = "indent";
+    private static final String COUNT = "count";
+    private static final String NAME = "name";
+    private static final String INSTANCE_NAME = "uid";
+    private static final String ADDRESS = "address";
+    private static final String STATE = "condition";
+    private static final String AGE_S = "heldS";
+    private static final String CPUS = "vcpus";
+    private static final String GPUS = "gpus";
+    private static final String MEMORY_GB = "ramGb";
+    private static final String IMAGE_CACHE_GB = "cacheGb";
+    private static final String IMAGE_FETCH_GB_PER_S = "fetchGbPerS";
+    private static final String HOURLY_PRICE = "hourly";
+    private static final String HOURLY_SPOT_PRICE = "marketPrice";
+    private static final String BOOT_S = "readyS";
+    private static final String MORE = "more";
+    private static final String ERROR = "error";
+    private static final String NO_CAPACITY = "no capacity";
 
     private CloudProtocol() {}
 
-    /** A page of the machine list. */
-    public record Page(List<CloudInstance> machines, boolean more) {}
+    /**
+     * A page of the list of instances.
+     *
+     * @param more true if instances with greater names follow
+     */
+    public record Page(List<CloudInstance> instances, boolean more) {}
 
-    /** Reads the machine types, their zones and present prices. */
-    public static List<MachineType> catalog(byte[] body) throws IOException {
+    /**
+     * Reads the machine types, their zones and present prices.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
+    public static List<MachineType> machineTypes(byte[] body) throws IOException {
         List<MachineType> types = new ArrayList<>();
-        for (Object o : Json.list(Json.object(body), "racks")) {
-            Map<String, Object> t = Json.object(o);
-            types.add(new MachineType(
-                    Json.string(t, "name"),
-                    Json.number(t, "vcpus"),
-                    zeroIfNone(t, "gpus"),
-                    Json.number(t, "ramGb"),
-                    Json.number(t, "cacheGb"),
-                    Json.number(t, "fetchGbPerS"),
-                    Json.number(t, "hourly"),
-                    Json.number(t, "marketPrice"),
-                    Json.number(t, "readyS"),
-                    Json.strings(t, "cellars")));
+        for (Object element : Json.list(Json.object(body), MACHINE_TYPES)) {
+            types.add(machineType(Json.object(element)));
         }
         return types;
     }
 
-    private static double zeroIfNone(Map<String, Object> of, String field) {
-        double d = Json.number(of, field);
-        return Double.isNaN(d) ? 0 : d;
+    private static MachineType machineType(Map<String, Object> fields) {
+        return new MachineType(
+                Json.string(fields, NAME),
+                Json.number(fields, CPUS),
+                zeroIfAbsent(fields, GPUS),
+                Json.number(fields, MEMORY_GB),
+                Json.number(fields, IMAGE_CACHE_GB),
+                Json.number(fields, IMAGE_FETCH_GB_PER_S),
+                Json.number(fields, HOURLY_PRICE),
+                Json.number(fields, HOURLY_SPOT_PRICE),
+                Json.number(fields, BOOT_S),
+                Json.strings(fields, ZONES));
+    }
+
+    private static double zeroIfAbsent(Map<String, Object> fields, String field) {
+        double number = Json.number(fields, field);
+        return Double.isNaN(number) ? 0 : number;
     }
 
-    /** The path of one page of the machine list, beginning after the given name; null begins at the first. */
-    public static String page(String after) {
-        return MACHINES + "?limit=" + PAGE + (after == null ? "" : "&since=" + after);
+    /** The path of one page of the list of instances, beginning after the given name; null begins at the first. */
+    public static String pagePath(String after) {
+        return INSTANCES_PATH + "?limit=" + PAGE_INSTANCES + (after == null ? "" : "&since=" + after);
     }
 
-    /** Reads one page of the machine list. */
+    /**
+     * Reads one page of the list of instances.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
     public static Page page(byte[] body) throws IOException {
-        Map<String, Object> in = Json.object(body);
-        List<CloudInstance> machines = new ArrayList<>();
-        for (Object o : Json.list(in, "casks")) {
-            Map<String, Object> m = Json.object(o);
-            machines.add(new CloudInstance(
-                    Json.string(m, "uid"),
-                    Json.string(m, "address"),
-                    Json.string(m, "rack"),
-                    Json.string(m, "cellar"),
-                    Json.flag(m, "consignment"),
-                    switch (String.valueOf(Json.string(m, "condition"))) {
-                        case "running" -> CloudInstance.State.RUNNING;
-                        case "failed" -> CloudInstance.State.FAILED;
-                        default -> CloudInstance.State.STARTING;
-                    },
-                    zeroIfNone(m, "heldS")));
+        Map<String, Object> fields = Json.object(body);
+        List<CloudInstance> instances = new ArrayList<>();
+        for (Object element : Json.list(fields, INSTANCES)) {
+            instances.add(instance(Json.object(element)));
         }
-        return new Page(machines, Json.flag(in, "more"));
+        return new Page(instances, Json.bool(fields, MORE));
+    }
+
+    private static CloudInstance instance(Map<String, Object> fields) {
+        return new CloudInstance(
+                Json.string(fields, INSTANCE_NAME),
+                Json.string(fields, ADDRESS),
+                Json.string(fields, MACHINE_TYPE),
+                Json.string(fields, ZONE),
+                Json.bool(fields, SPOT),
+                instanceState(Json.string(fields, STATE)),
+                zeroIfAbsent(fields, AGE_S));
+    }
+
+    private static CloudInstance.State instanceState(String word) {
+        return switch (String.valueOf(word)) {
+            case "running" -> CloudInstance.State.RUNNING;
+            case "failed" -> CloudInstance.State.FAILED;
+            default -> CloudInstance.State.STARTING;
+        };
     }
 
-    /** The body of a rental request. */
-    public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
+    /** The body that asks for instances; under the same id it is idempotent. */
+    public static byte[] createRequest(String requestId, String type, String zone, boolean spot, int count) {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeStringField("indent", request);
-            out.writeStringField("rack", type);
-            out.writeStringField("cellar", zone);
-            out.writeBooleanField("consignment", spot);
-            out.writeNumberField("count", count);
+            out.writeStringField(REQUEST_ID, requestId);
+            out.writeStringField(MACHINE_TYPE, type);
+            out.writeStringField(ZONE, zone);
+            out.writeBooleanField(SPOT, spot);
+            out.writeNumberField(COUNT, count);
             out.writeEndObject();
         });
     }
 
-    /** The names of the machines that were rented. */
-    public static List<String> rented(byte[] body) throws IOException {
-        return Json.strings(Json.object(body), "casks");
+    /**
+     * The names of the instances that were created.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
+    public static List<String> createdInstances(byte[] body) throws IOException {
+        return Json.strings(Json.object(body), INSTANCES);
     }
 
-    /** True if a refusal means that there is no machine of the kind, not that the cloud is out. */
-    public static boolean noCapacity(byte[] body) {
+    /** True if a refusal means that there is no capacity of the kind, not that the cloud is unavailable. */
+    public static boolean isNoCapacity(byte[] body) {
         try {
-            return "no capacity".equals(Json.string(Json.object(body), "error"));
+            return NO_CAPACITY.equals(Json.string(Json.object(body), ERROR));
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** The body that asks for the deletion of machines. */
-    public static byte[] delete(List<String> names) {
+    /** The body that asks for the deletion of instances. */
+    public static byte[] deleteRequest(List<String> names) {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeArrayFieldStart("casks");
-            for (String name : names) {
-                out.writeString(name);
-            }
-            out.writeEndArray();
+            Json.writeStrings(out, INSTANCES, names);
             out.writeEndObject();
         });
     }
--- a/src/main/java/dewlane/wire/JobRecordCodec.java
+++ b/src/main/java/dewlane/wire/JobRecordCodec.java
@@ -2,14 +2,20 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import dewlane.core.model.Job;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.SliceAssignment;
 import java.io.IOException;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** The fields in which a job's record keeps what its user submitted. */
+/** The stored form of a job's record: what its user submitted, how it was assigned, and when it was cancelled. */
 final class JobRecordCodec {
-    /** All fields of a job's record, those included that tell how it was dealt and that it was cancelled. */
+    private static final String ASSIGNMENTS = "deals";
+    private static final String CANCELLED_AT = "aborted";
+
+    /** All fields of a job's record. */
     static final Set<String> FIELDS = Set.of(
             "id",
             "lot",
@@ -32,11 +38,48 @@
             "deadline",
             "accepted",
             "awaits",
-            "deals",
-            "aborted");
+            ASSIGNMENTS,
+            CANCELLED_AT);
+
+    private static final int ASSIGNMENT_ELEMENTS = 3;
 
     private JobRecordCodec() {}
 
+    static void write(JsonGenerator out, JobRecord record) throws IOException {
+        write(out, record.job());
+        out.writeArrayFieldStart(ASSIGNMENTS);
+        for (SliceAssignment assignment : record.assignments()) {
+            out.writeString(assignment.owner());
+            out.writeNumber(assignment.first());
+            out.writeNumber(assignment.count());
+        }
+        out.writeEndArray();
+        if (record.isCancelled()) {
+            out.writeNumberField(CANCELLED_AT, record.cancelledAtMs());
+        }
+        UnknownFieldsCodec.write(out, record.unknown());
+    }
+
+    /** Reads a job's record; throws a runtime exception if the fields are not those of one. */
+    static JobRecord readRecord(Map<String, Object> fields) {
+        return new JobRecord(
+                read(fields),
+                readAssignments(Json.list(fields, ASSIGNMENTS)),
+                Json.integer(fields, CANCELLED_AT),
+                UnknownFieldsCodec.read(fields, FIELDS));
+    }
+
+    private static List<SliceAssignment> readAssignments(List<Object> elements) {
+        List<SliceAssignment> assignments = new ArrayList<>();
+        for (int i = 0; i < elements.size(); i += ASSIGNMENT_ELEMENTS) {
+            assignments.add(new SliceAssignment(
+                    (String) elements.get(i),
+                    ((Number) elements.get(i + 1)).intValue(),
+                    ((Number) elements.get(i + 2)).intValue()));
+        }
+        return List.copyOf(assignments);
+    }
+
     static void write(JsonGenerator out, Job job) throws IOException {
         out.writeStringField("id", job.id());
         out.writeStringField("lot", job.jobClass());
@@ -89,14 +132,14 @@
                 Json.number(in, "imageGb"),
                 List.copyOf(Json.strings(in, "types")),
                 Json.string(in, "zone"),
-                Json.flag(in, "oneZone"),
-                Json.flag(in, "spread"),
-                Json.flag(in, "spot"),
+                Json.bool(in, "oneZone"),
+                Json.bool(in, "spread"),
+                Json.bool(in, "spot"),
                 Json.number(in, "estimate"),
                 Json.number(in, "checkpoint"),
                 Json.number(in, "save"),
                 Json.number(in, "deadline"),
-                Json.whole(in, "accepted"),
+                Json.integer(in, "accepted"),
                 JobIdListCodec.read(Json.string(in, "awaits")));
     }
 }
--- a/src/main/java/dewlane/wire/Json.java
+++ b/src/main/java/dewlane/wire/Json.java
@@ -24,6 +24,7 @@
         void write(JsonGenerator out) throws IOException;
     }
 
+    /** The document that the body writes. */
     static byte[] write(Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
@@ -44,7 +45,7 @@
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a JSON object");
             }
-            Map<String, Object> read = fields(in);
+            Map<String, Object> read = readFields(in);
             if (in.nextToken() != null) {
                 throw new IOException("more than one JSON value");
             }
@@ -52,7 +53,7 @@
         }
     }
 
-    private static Map<String, Object> fields(JsonParser in) throws IOException {
+    private static Map<String, Object> readFields(JsonParser in) throws IOException {
         Map<String, Object> map = new HashMap<>();
         while (in.nextToken() != JsonToken.END_OBJECT) {
             String name = in.currentName();
@@ -68,7 +69,7 @@
             throw new IOException("JSON ends too early");
         }
         return switch (token) {
-            case START_OBJECT -> fields(in);
+            case START_OBJECT -> readFields(in);
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (in.nextToken() != JsonToken.END_ARRAY) {
@@ -119,38 +120,53 @@
         }
     }
 
-    static String string(Map<String, Object> of, String field) {
-        return of.get(field) instanceof String s ? s : null;
+    /** Writes a field with an array of strings. */
+    static void writeStrings(JsonGenerator out, String field, Iterable<String> strings) throws IOException {
+        out.writeArrayFieldStart(field);
+        for (String string : strings) {
+            out.writeString(string);
+        }
+        out.writeEndArray();
+    }
+
+    /** The string, or null if there is none. */
+    static String string(Map<String, Object> fields, String field) {
+        return fields.get(field) instanceof String string ? string : null;
     }
 
-    static long whole(Map<String, Object> of, String field) {
-        return of.get(field) instanceof Number n ? n.longValue() : 0;
+    /** The number without its fraction, or 0 if there is none. */
+    static long integer(Map<String, Object> fields, String field) {
+        return fields.get(field) instanceof Number number ? number.longValue() : 0;
     }
 
     /** The number, or NaN if there is none. */
-    static double number(Map<String, Object> of, String field) {
-        return of.get(field) instanceof Number n ? n.doubleValue() : Double.NaN;
+    static double number(Map<String, Object> fields, String field) {
+        return fields.get(field) instanceof Number number ? number.doubleValue() : Double.NaN;
     }
 
-    static boolean flag(Map<String, Object> of, String field) {
-        return Boolean.TRUE.equals(of.get(field));
+    /** True if the field is true, false if it is anything else or absent. */
+    static boolean bool(Map<String, Object> fields, String field) {
+        return Boolean.TRUE.equals(fields.get(field));
     }
 
+    /** The elements of an array, or none if there is no array. */
     @SuppressWarnings("unchecked")
-    static List<Object> list(Map<String, Object> of, String field) {
-        return of.get(field) instanceof List<?> l ? (List<Object>) l : List.of();
+    static List<Object> list(Map<String, Object> fields, String field) {
+        return fields.get(field) instanceof List<?> list ? (List<Object>) list : List.of();
     }
 
+    /** The fields of an object, or none if the value is no object. */
     @SuppressWarnings("unchecked")
     static Map<String, Object> object(Object value) {
-        return value instanceof Map<?, ?> m ? (Map<String, Object>) m : Map.of();
+        return value instanceof Map<?, ?> object ? (Map<String, Object>) object : Map.of();
     }
 
-    static List<String> strings(Map<String, Object> of, String field) {
+    /** The strings of an array; elements of other types are left out. */
+    static List<String> strings(Map<String, Object> fields, String field) {
         List<String> strings = new ArrayList<>();
-        for (Object o : list(of, field)) {
-            if (o instanceof String s) {
-                strings.add(s);
+        for (Object element : list(fields, field)) {
+            if (element instanceof String string) {
+                strings.add(string);
             }
         }
         return strings;
--- a/src/main/java/dewlane/wire/PeerProtocol.java
+++ b/src/main/java/dewlane/wire/PeerProtocol.java
@@ -11,7 +11,7 @@
 
 /** What controllers tell one another, as MessagePack. */
 public final class PeerProtocol {
-    public static final String STATUS = "/peer/status";
+    public static final String STATUS_PATH = "/peer/status";
 
     private PeerProtocol() {}
 
--- a/src/main/java/dewlane/wire/StoreProtocol.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -1,5 +1,6 @@
 package dewlane.wire;
 
+import com.fasterxml.jackson.core.JsonGenerator;
 import dewlane.core.message.Input.KeyChange;
 import dewlane.core.message.Input.StoreRow;
 import dewlane.core.schema.StoreKeys;
@@ -10,132 +11,182 @@
 import java.util.List;
 import java.util.Map;
 
-/** The state service's protocol; {@link StoredValueCodec} has the form in which values are kept there. */
+/** The store's protocol; {@link StoredValueCodec} has the form in which values are kept there. */
 public final class StoreProtocol {
-    public static final String TXN = "/txn";
-    public static final String GRANTS = "/grants";
+    /** The path for transactions. */
+    public static final String TRANSACTION_PATH = "/txn";
+    /** The path that grants leases. */
+    public static final String LEASES_PATH = "/grants";
+
+    private static final String REVISION = "ledger";
+    private static final String KEY_REVISION = "entry";
+    private static final String LEASE = "tenancy";
+    private static final String TTL_MS = "ttlMs";
+    private static final String KEY = "key";
+    private static final String VALUE = "value";
+    private static final String ROWS = "rows";
+    private static final String MORE = "more";
+    private static final String EVENTS = "log";
+    private static final String PRECONDITIONS = "when";
+    private static final String WRITES = "apply";
+    private static final String PUT = "set";
+    private static final String DELETE = "delete";
 
     private StoreProtocol() {}
 
     /**
-     * A page of keys.
+     * A page of a listing.
      *
-     * @param last the last key of the page, also if this version does not know it; null if the page is empty
+     * @param lastKey the last key of the page, also if this version does not know it; null if the page is empty
+     * @param more true if greater keys follow
+     * @param revision the store's revision when the page was read
      */
-    public record Page(List<StoreRow> rows, String last, boolean more, long revision) {}
+    public record Page(List<StoreRow> rows, String lastKey, boolean more, long revision) {}
 
-    /** An answer of the watch. */
+    /** An answer of the watch: the changes of known keys up to the revision. */
     public record Events(List<KeyChange> changes, long revision) {}
 
     /** The path that reads one key. */
-    public static String get(String key) {
+    public static String valuePath(String key) {
         return "/store/" + key;
     }
 
     /** The path that lists keys with the prefix, beginning after the given one. */
-    public static String list(String prefix, String after, int limit) {
+    public static String listPath(String prefix, String after, int limit) {
         return "/store?prefix=" + prefix + "&since=" + after + "&limit=" + limit;
     }
 
     /** The path that waits for changes after the revision. */
-    public static String watch(String prefix, long since, long waitMs) {
-        return "/watch?prefix=" + prefix + "&since=" + since + "&blockMs=" + waitMs;
+    public static String watchPath(String prefix, long afterRevision, long waitMs) {
+        return "/watch?prefix=" + prefix + "&since=" + afterRevision + "&blockMs=" + waitMs;
     }
 
     /** The path that renews a lease. */
-    public static String touch(long lease) {
-        return GRANTS + "/" + lease + "/touch";
+    public static String renewalPath(long lease) {
+        return LEASES_PATH + "/" + lease + "/touch";
     }
 
     /** The body that asks for a lease. */
-    public static byte[] grant(long ttlMs) {
+    public static byte[] grantRequest(long ttlMs) {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeNumberField("ttlMs", ttlMs);
+            out.writeNumberField(TTL_MS, ttlMs);
             out.writeEndObject();
         });
     }
 
-    /** The lease that was granted. */
-    public static long granted(byte[] body) throws IOException {
-        return Json.whole(Json.object(body), "tenancy");
+    /**
+     * The lease that was granted.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
+    public static long grantedLease(byte[] body) throws IOException {
+        return Json.integer(Json.object(body), LEASE);
     }
 
-    /** The revision that an answer names. */
+    /**
+     * The revision that an answer names.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
     public static long revision(byte[] body) throws IOException {
-        return Json.whole(Json.object(body), "ledger");
+        return Json.integer(Json.object(body), REVISION);
     }
 
-    /** The value and version of a key that was read. */
+    /**
+     * The value and revision of a key that was read.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
     public static StoreRow row(String key, byte[] body) throws IOException {
         return row(key, Json.object(body));
     }
 
-    private static StoreRow row(String key, Map<String, Object> in) {
-        return new StoreRow(key, StoredValueCodec.decode(key, Json.object(in.get("value"))), Json.whole(in, "entry"));
+    private static StoreRow row(String key, Map<String, Object> fields) {
+        return new StoreRow(key, value(key, fields), Json.integer(fields, KEY_REVISION));
     }
 
-    /** Reads one page of a listing. */
+    private static StoredValue value(String key, Map<String, Object> fields) {
+        return StoredValueCodec.decode(key, Json.object(fields.get(VALUE)));
+    }
+
+    /**
+     * Reads one page of a listing.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
     public static Page page(byte[] body) throws IOException {
-        Map<String, Object> in = Json.object(body);
+        Map<String, Object> fields = Json.object(body);
         List<StoreRow> rows = new ArrayList<>();
-        String last = null;
-        for (Object o : Json.list(in, "rows")) {
-            Map<String, Object> row = Json.object(o);
-            String key = Json.string(row, "key");
-            last = key;
+        String lastKey = null;
+        for (Object element : Json.list(fields, ROWS)) {
+            Map<String, Object> row = Json.object(element);
+            String key = Json.string(row, KEY);
+            lastKey = key;
             if (StoreKeys.isKnown(key)) {
                 rows.add(row(key, row));
             }
         }
-        return new Page(rows, last, Json.flag(in, "more"), Json.whole(in, "ledger"));
+        return new Page(rows, lastKey, Json.bool(fields, MORE), Json.integer(fields, REVISION));
     }
 
-    /** Reads the changes that a watch returned. */
+    /**
+     * Reads the changes that a watch returned.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
     public static Events events(byte[] body) throws IOException {
-        Map<String, Object> in = Json.object(body);
+        Map<String, Object> fields = Json.object(body);
         List<KeyChange> changes = new ArrayList<>();
-        for (Object o : Json.list(in, "log")) {
-            Map<String, Object> e = Json.object(o);
-            String set = Json.string(e, "set");
-            String key = set == null ? Json.string(e, "delete") : set;
+        for (Object element : Json.list(fields, EVENTS)) {
+            Map<String, Object> event = Json.object(element);
+            String putKey = Json.string(event, PUT);
+            String key = putKey == null ? Json.string(event, DELETE) : putKey;
             if (StoreKeys.isKnown(key)) {
-                StoredValue value = set == null ? null : StoredValueCodec.decode(key, Json.object(e.get("value")));
-                changes.add(new KeyChange(key, value, Json.whole(e, "entry")));
+                StoredValue value = putKey == null ? null : value(key, event);
+                changes.add(new KeyChange(key, value, Json.integer(event, KEY_REVISION)));
             }
         }
-        return new Events(changes, Json.whole(in, "ledger"));
+        return new Events(changes, Json.integer(fields, REVISION));
     }
 
-    /** The body of a conditional transaction. */
-    public static byte[] txn(Transaction transaction) {
+    /** The body of a transaction. */
+    public static byte[] transactionRequest(Transaction transaction) {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeArrayFieldStart("when");
-            for (Transaction.Precondition g : transaction.preconditions()) {
-                out.writeStartObject();
-                out.writeStringField("key", g.key());
-                out.writeNumberField("entry", g.version());
-                out.writeEndObject();
+            out.writeArrayFieldStart(PRECONDITIONS);
+            for (Transaction.Precondition precondition : transaction.preconditions()) {
+                write(out, precondition);
             }
             out.writeEndArray();
-            out.writeArrayFieldStart("apply");
-            for (Transaction.Write w : transaction.writes()) {
-                out.writeStartObject();
-                if (w.value() == null) {
-                    out.writeStringField("delete", w.key());
-                } else {
-                    out.writeStringField("set", w.key());
-                    out.writeFieldName("value");
-                    StoredValueCodec.encode(out, w.value());
-                    if (w.lease() != 0) {
-                        out.writeNumberField("tenancy", w.lease());
-                    }
-                }
-                out.writeEndObject();
+            out.writeArrayFieldStart(WRITES);
+            for (Transaction.Write write : transaction.writes()) {
+                write(out, write);
             }
             out.writeEndArray();
             out.writeEndObject();
         });
     }
+
+    private static void write(JsonGenerator out, Transaction.Precondition precondition) throws IOException {
+        out.writeStartObject();
+        out.writeStringField(KEY, precondition.key());
+        out.writeNumberField(KEY_REVISION, precondition.version());
+        out.writeEndObject();
+    }
+
+    private static void write(JsonGenerator out, Transaction.Write write) throws IOException {
+        out.writeStartObject();
+        if (write.value() == null) {
+            out.writeStringField(DELETE, write.key());
+        } else {
+            out.writeStringField(PUT, write.key());
+            out.writeFieldName(VALUE);
+            StoredValueCodec.encode(out, write.value());
+            if (write.lease() != 0) {
+                out.writeNumberField(LEASE, write.lease());
+            }
+        }
+        out.writeEndObject();
+    }
 }
--- a/src/main/java/dewlane/wire/StoredWords.java
+++ b/src/main/java/dewlane/wire/StoredWords.java
@@ -19,6 +19,7 @@
 
     private StoredWords() {}
 
+    /** The word that stands for a priority. */
     static String word(Priority priority) {
         return switch (priority) {
             case IDLE -> IDLE;
@@ -39,16 +40,17 @@
         };
     }
 
-    static String word(DecommissionState fate) {
-        return switch (fate) {
+    /** The word that stands for a state of a decommission. */
+    static String word(DecommissionState state) {
+        return switch (state) {
             case SCALE_IN -> RETURN;
             case DELETE -> DELETE;
             case TERMINATED -> GONE;
         };
     }
 
-    /** The fate that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
-    static DecommissionState machineFate(String word) {
+    /** The state that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
+    static DecommissionState decommissionState(String word) {
         return switch (String.valueOf(word)) {
             case RETURN -> DecommissionState.SCALE_IN;
             case DELETE -> DecommissionState.DELETE;
--- /dev/null
+++ b/src/main/java/dewlane/wire/UnknownFieldsCodec.java
@@ -0,0 +1,32 @@
+package dewlane.wire;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import dewlane.core.schema.UnknownFields;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+
+/** Fields of stored values that this version does not know, which are written back as they were read. */
+final class UnknownFieldsCodec {
+    private UnknownFieldsCodec() {}
+
+    static void write(JsonGenerator out, UnknownFields unknown) throws IOException {
+        for (Map.Entry<String, Object> field : unknown.byName().entrySet()) {
+            out.writeFieldName(field.getKey());
+            Json.writeValue(out, field.getValue());
+        }
+    }
+
+    /** The fields of an object that are not among the known ones. */
+    static UnknownFields read(Map<String, Object> fields, Set<String> known) {
+        Map<String, Object> unknown = null;
+        for (Map.Entry<String, Object> field : fields.entrySet()) {
+            if (!known.contains(field.getKey())) {
+                unknown = unknown == null ? new HashMap<>() : unknown;
+                unknown.put(field.getKey(), field.getValue());
+            }
+        }
+        return unknown == null ? UnknownFields.NONE : new UnknownFields(unknown);
+    }
+}
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -14,8 +14,8 @@
 
 /** The users' protocol. */
 public final class UserProtocol {
-    public static final String RUNS = "/v2/runs";
-    public static final String ABORT = "abort";
+    public static final String JOBS_PATH = "/v2/runs";
+    public static final String CANCEL_ACTION = "abort";
 
     private static final Pattern UID = Pattern.compile("wk-[0-9]{1,30}");
     private static final int MAX_TASKS = 100_000;
@@ -24,7 +24,7 @@
     private UserProtocol() {}
 
     /** A submission's body: the job, or why it is malformed; the id is kept if it at least has one. */
-    public record Submission(String uid, Job job, String reason) {}
+    public record Submission(String jobId, Job job, String rejection) {}
 
     private static final class Malformed extends Exception {
         private static final long serialVersionUID = 1;
@@ -35,7 +35,7 @@
     }
 
     /** True if the text has the form of a job id. */
-    public static boolean isUid(String id) {
+    public static boolean isJobId(String id) {
         return UID.matcher(id).matches();
     }
 
@@ -48,7 +48,7 @@
             return new Submission(null, null, "the body is not one JSON object");
         }
         String uid = Json.string(in, "uid");
-        if (uid == null || !isUid(uid)) {
+        if (uid == null || !isJobId(uid)) {
             return new Submission(null, null, "uid must be a string such as wk-000412");
         }
         try {
@@ -122,7 +122,7 @@
         }
         Set<String> ids = new LinkedHashSet<>();
         for (Object id : list) {
-            if (!(id instanceof String text) || !isUid(text)) {
+            if (!(id instanceof String text) || !isJobId(text)) {
                 throw new Malformed("awaits must be null or a list of job ids such as wk-000412");
             }
             ids.add(text);
--- a/src/main/java/dewlane/wire/WorkerProtocol.java
+++ b/src/main/java/dewlane/wire/WorkerProtocol.java
@@ -11,58 +11,84 @@
 import java.util.List;
 import java.util.Map;
 
-/** The workers' protocol. */
+/** The workers' protocol: heartbeats with their answers, and direct commands. */
 public final class WorkerProtocol {
-    public static final String REPORT = "/v1/report";
-    public static final String COMMAND = "/do";
+    /** The controllers' path for heartbeats. */
+    public static final String HEARTBEAT_PATH = "/v1/report";
+    /** The workers' path for direct commands. */
+    public static final String COMMAND_PATH = "/do";
+
+    private static final String MACHINE = "cask";
+    private static final String ADDRESS = "address";
+    private static final String MACHINE_TYPE = "rack";
+    private static final String ZONE = "cellar";
+    private static final String SPOT = "consignment";
+    private static final String INCARNATION = "pour";
+    private static final String SEQUENCE = "tally";
+    private static final String FENCING_TOKEN = "seal";
+    private static final String TERMINATION_NOTICE_S = "recallS";
+    private static final String TASKS = "bottles";
+    private static final String TASK = "bottle";
+    private static final String ATTEMPT = "try";
+    private static final String PHASE = "condition";
+    private static final String EXIT_REASON = "fault";
+    private static final String CHECKPOINT_SAVED = "kept";
+    private static final String CONTROLLER = "steward";
+    private static final String COMMANDS = "orders";
+    private static final String ACTION = "order";
+    private static final String GRACE_S = "restS";
 
     private WorkerProtocol() {}
 
-    /** Reads a report; throws if it lacks what makes it one. */
-    public static Heartbeat report(byte[] body) throws IOException {
-        Map<String, Object> in = Json.object(body);
-        String machine = Json.string(in, "cask");
-        String address = Json.string(in, "address");
-        String type = Json.string(in, "rack");
-        String zone = Json.string(in, "cellar");
-        if (machine == null
-                || machine.isEmpty()
-                || address == null
-                || type == null
-                || zone == null
-                || Json.whole(in, "pour") < 1) {
+    /**
+     * Reads a heartbeat.
+     *
+     * @throws IOException if it lacks what makes it one
+     * @throws NumberFormatException if a task has no number
+     */
+    public static Heartbeat heartbeat(byte[] body) throws IOException {
+        Map<String, Object> fields = Json.object(body);
+        String machine = Json.string(fields, MACHINE);
+        String address = Json.string(fields, ADDRESS);
+        String type = Json.string(fields, MACHINE_TYPE);
+        String zone = Json.string(fields, ZONE);
+        boolean named = machine != null && !machine.isEmpty() && address != null && type != null && zone != null;
+        if (!named || Json.integer(fields, INCARNATION) < 1) {
             throw new IOException("not a report");
         }
         List<TaskStatus> tasks = new ArrayList<>();
-        for (Object o : Json.list(in, "bottles")) {
-            Map<String, Object> t = Json.object(o);
-            String name = Json.string(t, "bottle");
-            int slash = name == null ? -1 : name.lastIndexOf('/');
-            if (slash < 1) {
-                throw new IOException("not a task: " + name);
-            }
-            Phase phase = phase(Json.string(t, "condition"));
-            tasks.add(new TaskStatus(
-                    name.substring(0, slash),
-                    Integer.parseInt(name.substring(slash + 1)),
-                    (int) Json.whole(t, "try"),
-                    phase,
-                    phase == Phase.EXITED ? end(Json.string(t, "fault")) : null,
-                    Json.flag(t, "kept")));
+        for (Object element : Json.list(fields, TASKS)) {
+            tasks.add(taskStatus(Json.object(element)));
         }
         return new Heartbeat(
                 machine,
                 address,
                 type,
                 zone,
-                Json.flag(in, "consignment"),
-                Json.whole(in, "pour"),
-                Json.whole(in, "tally"),
-                Json.whole(in, "seal"),
-                Json.number(in, "recallS"),
+                Json.bool(fields, SPOT),
+                Json.integer(fields, INCARNATION),
+                Json.integer(fields, SEQUENCE),
+                Json.integer(fields, FENCING_TOKEN),
+                Json.number(fields, TERMINATION_NOTICE_S),
                 tasks);
     }
 
+    private static TaskStatus taskStatus(Map<String, Object> fields) throws IOException {
+        String name = Json.string(fields, TASK);
+        int slash = name == null ? -1 : name.lastIndexOf('/');
+        if (slash < 1) {
+            throw new IOException("not a task: " + name);
+        }
+        Phase phase = phase(Json.string(fields, PHASE));
+        return new TaskStatus(
+                name.substring(0, slash),
+                Integer.parseInt(name.substring(slash + 1)),
+                (int) Json.integer(fields, ATTEMPT),
+                phase,
+                phase == Phase.EXITED ? exitReason(Json.string(fields, EXIT_REASON)) : null,
+                Json.bool(fields, CHECKPOINT_SAVED));
+    }
+
     private static Phase phase(String word) throws IOException {
         return switch (String.valueOf(word)) {
             case "pulling" -> Phase.FETCHING;
@@ -73,7 +99,7 @@
         };
     }
 
-    private static ExitReason end(String word) {
+    private static ExitReason exitReason(String word) {
         return switch (String.valueOf(word)) {
             case "done" -> ExitReason.DONE;
             case "stopped" -> ExitReason.STOPPED;
@@ -84,56 +110,58 @@
         };
     }
 
-    /** The answer to a report: the token to obey and the commands under it. */
-    public static byte[] answer(long token, List<WorkerCommand> orders) {
+    /** The answer to a heartbeat: the fencing token to obey and the commands under it. */
+    public static byte[] heartbeatAnswer(long fencingToken, List<WorkerCommand> commands) {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeNumberField("seal", token);
-            orders(out, orders);
+            out.writeNumberField(FENCING_TOKEN, fencingToken);
+            writeCommands(out, commands);
             out.writeEndObject();
         });
     }
 
-    /** The body of a direct command, valid for one session of the worker. */
-    public static byte[] command(long session, long token, List<WorkerCommand> orders) {
+    /** The body of a direct command, valid for one incarnation of the worker. */
+    public static byte[] commandRequest(long incarnation, long fencingToken, List<WorkerCommand> commands) {
         return Json.write(out -> {
             out.writeStartObject();
-            out.writeNumberField("seal", token);
-            out.writeNumberField("pour", session);
-            orders(out, orders);
+            out.writeNumberField(FENCING_TOKEN, fencingToken);
+            out.writeNumberField(INCARNATION, incarnation);
+            writeCommands(out, commands);
             out.writeEndObject();
         });
     }
 
-    /** The body of a refusal that names the controller to report to; null names none. */
-    public static byte[] redirect(String node) {
+    /** The body of an answer that names the controller to send heartbeats to; null names none. */
+    public static byte[] redirectAnswer(String controller) {
         return Json.write(out -> {
             out.writeStartObject();
-            if (node != null) {
-                out.writeStringField("steward", node);
+            if (controller != null) {
+                out.writeStringField(CONTROLLER, controller);
             }
             out.writeEndObject();
         });
     }
 
-    private static void orders(JsonGenerator out, List<WorkerCommand> orders) throws IOException {
-        out.writeArrayFieldStart("orders");
-        for (WorkerCommand command : orders) {
+    private static void writeCommands(JsonGenerator out, List<WorkerCommand> commands) throws IOException {
+        out.writeArrayFieldStart(COMMANDS);
+        for (WorkerCommand command : commands) {
             out.writeStartObject();
-            out.writeStringField(
-                    "order",
-                    switch (command.action()) {
-                        case LAUNCH -> "launch";
-                        case STOP -> "stop";
-                        case FORGET -> "forget";
-                    });
-            out.writeStringField("bottle", command.job() + "/" + command.task());
-            out.writeNumberField("try", command.attempt());
+            out.writeStringField(ACTION, word(command.action()));
+            out.writeStringField(TASK, command.job() + "/" + command.task());
+            out.writeNumberField(ATTEMPT, command.attempt());
             if (command.action() == WorkerCommand.Action.STOP) {
-                out.writeNumberField("restS", command.graceS());
+                out.writeNumberField(GRACE_S, command.graceS());
             }
             out.writeEndObject();
         }
         out.writeEndArray();
     }
+
+    private static String word(WorkerCommand.Action action) {
+        return switch (action) {
+            case LAUNCH -> "launch";
+            case STOP -> "stop";
+            case FORGET -> "forget";
+        };
+    }
 }
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -32,7 +32,7 @@
     void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
         DeployFile file = DeployFile.read(GOOD.toString(), null);
         assertEquals("node-0", file.settings().controllerName());
-        assertEquals("127.0.0.1:18085", file.endpoints().state());
+        assertEquals("127.0.0.1:18085", file.endpoints().store());
         assertEquals(16_384, file.settings().maxValueBytes());
         assertEquals(10, file.settings().objectiveS("guarantee", "any"));
         assertTrue(file.settings().teams().get("blue").hasLimit());
--- a/src/test/java/dewlane/sim/SimLimits.java
+++ b/src/test/java/dewlane/sim/SimLimits.java
@@ -33,14 +33,14 @@
     boolean exceededBy(Transaction transaction) {
         boolean tooLarge = transaction.writes().size() > now.maxTransactionWrites()
                 || transaction.preconditions().size() > 4 * now.maxTransactionWrites()
-                || StoreProtocol.txn(transaction).length > MOST_TXN_BYTES
+                || StoreProtocol.transactionRequest(transaction).length > MOST_TXN_BYTES
                 || transaction.writes().stream().anyMatch(w -> bytes(w.value()) > now.maxValueBytes());
         exceeded += tooLarge ? 1 : 0;
         return tooLarge;
     }
 
     private static int bytes(StoredValue value) {
-        return value == null ? 0 : StoredValueCodec.bytes(value).length;
+        return value == null ? 0 : StoredValueCodec.encode(value).length;
     }
 
     /**
@@ -63,7 +63,7 @@
                 throw new AssertionError(node.name + " sends a value of " + bytes + " bytes for " + w.key());
             }
         }
-        if (StoreProtocol.txn(transaction).length > MOST_TXN_BYTES) {
+        if (StoreProtocol.transactionRequest(transaction).length > MOST_TXN_BYTES) {
             throw new AssertionError(node.name + " sends a transaction of more than 64 KiB");
         }
     }
--- a/src/test/java/dewlane/sim/SimNode.java
+++ b/src/test/java/dewlane/sim/SimNode.java
@@ -60,7 +60,8 @@
         effects.clear();
         slept.clear();
         frozenUntil = 0;
-        core = new Controller(settingsOf(name), world.random.nextLong(), value -> StoredValueCodec.bytes(value).length);
+        core = new Controller(
+                settingsOf(name), world.random.nextLong(), value -> StoredValueCodec.encode(value).length);
         core.logCommands(true);
         ticks(life);
     }
--- a/src/test/java/dewlane/sim/SimState.java
+++ b/src/test/java/dewlane/sim/SimState.java
@@ -214,7 +214,7 @@
                 return new Input.TransactionCompleted(id, Transaction.Status.CONFLICT, revision);
             }
         }
-        int bytes = StoreProtocol.txn(transaction).length;
+        int bytes = StoreProtocol.transactionRequest(transaction).length;
         machineChanges += transaction.writes().stream()
                 .filter(w -> w.key().startsWith(StoreKeys.DECOMMISSIONS))
                 .count();
@@ -226,7 +226,7 @@
             revision++;
         }
         for (Transaction.Write w : transaction.writes()) {
-            int length = w.value() == null ? 0 : StoredValueCodec.bytes(w.value()).length;
+            int length = w.value() == null ? 0 : StoredValueCodec.encode(w.value()).length;
             longestValue = Math.max(longestValue, length);
             if (w.value() == null) {
                 if (keys.remove(w.key()) != null) {
--- a/src/test/java/dewlane/sim/UpgradeTest.java
+++ b/src/test/java/dewlane/sim/UpgradeTest.java
@@ -70,7 +70,7 @@
 
     private static int largestSlice(World world) {
         return world.state.all(StoreKeys.SLICES).values().stream()
-                .mapToInt(v -> StoredValueCodec.bytes(v).length)
+                .mapToInt(v -> StoredValueCodec.encode(v).length)
                 .max()
                 .orElse(0);
     }
--- a/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -32,12 +32,12 @@
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/catalog", CloudProtocol.CATALOG);
-        assertEquals("/machines", CloudProtocol.MACHINES);
-        assertEquals("/machines/delete", CloudProtocol.DELETE);
-        assertEquals(100, CloudProtocol.MAX_DELETE);
-        assertEquals("/machines?limit=500", CloudProtocol.page((String) null));
-        assertEquals("/machines?limit=500&since=vm-000231", CloudProtocol.page("vm-000231"));
+        assertEquals("/catalog", CloudProtocol.MACHINE_TYPES_PATH);
+        assertEquals("/machines", CloudProtocol.INSTANCES_PATH);
+        assertEquals("/machines/delete", CloudProtocol.DELETE_PATH);
+        assertEquals(100, CloudProtocol.MAX_DELETED_INSTANCES);
+        assertEquals("/machines?limit=500", CloudProtocol.pagePath((String) null));
+        assertEquals("/machines?limit=500&since=vm-000231", CloudProtocol.pagePath("vm-000231"));
     }
 
     @Test
@@ -45,7 +45,7 @@
         List<MachineType> expected = List.of(
                 new MachineType("g8", 96, 8, 768.5, 200, 0.5, 12.25, 4.5, 45, List.of("a", "b")),
                 new MachineType("c2", 2, 0, 8, 20, 0.25, 0.1, 0.03, 30, List.of()));
-        assertEquals(expected, CloudProtocol.catalog(Golden.bytes(CATALOG)));
+        assertEquals(expected, CloudProtocol.machineTypes(Golden.bytes(CATALOG)));
     }
 
     @Test
@@ -69,13 +69,13 @@
     void rentalIsWritten(boolean spot, int count) {
         String expected = "{\"indent\":\"cask-0-4-17\",\"rack\":\"g8\",\"cellar\":\"a\",\"consignment\":" + spot
                 + ",\"count\":" + count + "}";
-        Golden.assertMessage(expected, CloudProtocol.rent("cask-0-4-17", "g8", "a", spot, count));
+        Golden.assertMessage(expected, CloudProtocol.createRequest("cask-0-4-17", "g8", "a", spot, count));
     }
 
     @Test
     void rentedMachinesAreRead() throws IOException {
         byte[] body = Golden.bytes("{\"casks\":[\"vm-000231\",\"vm-000232\"]}");
-        assertEquals(List.of("vm-000231", "vm-000232"), CloudProtocol.rented(body));
+        assertEquals(List.of("vm-000231", "vm-000232"), CloudProtocol.createdInstances(body));
     }
 
     @ParameterizedTest
@@ -88,12 +88,12 @@
                 "no JSON                     | false"
             })
     void lackOfCapacityIsRead(String body, boolean expected) {
-        assertEquals(expected, CloudProtocol.noCapacity(Golden.bytes(body)));
+        assertEquals(expected, CloudProtocol.isNoCapacity(Golden.bytes(body)));
     }
 
     @Test
     void deletionIsWritten() {
-        byte[] message = CloudProtocol.delete(List.of("vm-000231", "vm-000232"));
+        byte[] message = CloudProtocol.deleteRequest(List.of("vm-000231", "vm-000232"));
         Golden.assertMessage("{\"casks\":[\"vm-000231\",\"vm-000232\"]}", message);
     }
 }
--- a/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
@@ -37,7 +37,7 @@
 
     @Test
     void pathIsFixed() {
-        assertEquals("/peer/status", PeerProtocol.STATUS);
+        assertEquals("/peer/status", PeerProtocol.STATUS_PATH);
     }
 
     @ParameterizedTest
--- a/src/test/java/dewlane/wire/SliceSizeTest.java
+++ b/src/test/java/dewlane/wire/SliceSizeTest.java
@@ -44,7 +44,7 @@
             Slice slice = slice(1 + random.nextInt(600), random.nextInt(200));
             int bound = SliceSizes.bound(slice);
             while (true) {
-                int bytes = StoredValueCodec.bytes(slice).length;
+                int bytes = StoredValueCodec.encode(slice).length;
                 assertTrue(bytes <= bound, bytes + " bytes, bound " + bound);
                 assertTrue(SliceSizes.bound(slice) <= bound, "the bound itself never grows");
                 if (slice.attempts().isEmpty()) {
@@ -84,7 +84,7 @@
                 int offset = run.first() - slice.first();
                 run.done().stream().forEach(task -> done.set(task + offset));
                 assertEquals(slice.launchCount(), run.launchCount());
-                assertTrue(StoredValueCodec.bytes(run).length <= 2048);
+                assertTrue(StoredValueCodec.encode(run).length <= 2048);
             }
             assertEquals(slice.first() + slice.count(), next);
             assertEquals(slice.attempts(), attempts);
--- a/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
@@ -127,20 +127,20 @@
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/txn", StoreProtocol.TXN);
-        assertEquals("/grants", StoreProtocol.GRANTS);
-        assertEquals("/store/dewlane/map", StoreProtocol.get("dewlane/map"));
+        assertEquals("/txn", StoreProtocol.TRANSACTION_PATH);
+        assertEquals("/grants", StoreProtocol.LEASES_PATH);
+        assertEquals("/store/dewlane/map", StoreProtocol.valuePath("dewlane/map"));
         assertEquals(
                 "/store?prefix=dewlane/&since=dewlane/final0&limit=200",
-                StoreProtocol.list("dewlane/", "dewlane/final0", 200));
-        assertEquals("/watch?prefix=dewlane/&since=88&blockMs=5000", StoreProtocol.watch("dewlane/", 88, 5000));
-        assertEquals("/grants/17/touch", StoreProtocol.touch(17));
+                StoreProtocol.listPath("dewlane/", "dewlane/final0", 200));
+        assertEquals("/watch?prefix=dewlane/&since=88&blockMs=5000", StoreProtocol.watchPath("dewlane/", 88, 5000));
+        assertEquals("/grants/17/touch", StoreProtocol.renewalPath(17));
     }
 
     @Test
     void leaseIsAskedForAndGranted() throws IOException {
-        Golden.assertMessage("{\"ttlMs\":10000}", StoreProtocol.grant(10_000));
-        assertEquals(17, StoreProtocol.granted(Golden.bytes("{\"tenancy\":17}")));
+        Golden.assertMessage("{\"ttlMs\":10000}", StoreProtocol.grantRequest(10_000));
+        assertEquals(17, StoreProtocol.grantedLease(Golden.bytes("{\"tenancy\":17}")));
     }
 
     @Test
@@ -160,7 +160,7 @@
     void everyValueIsWritten(String key, String json, StoredValue value) {
         Transaction transaction = new Transaction.Builder().put(key, value).build();
         String expected = "{\"when\":[],\"apply\":[{\"set\":\"" + key + "\",\"value\":" + json + "}]}";
-        Golden.assertMessage(expected, StoreProtocol.txn(transaction));
+        Golden.assertMessage(expected, StoreProtocol.transactionRequest(transaction));
     }
 
     @Test
@@ -168,7 +168,7 @@
         Transaction transaction = new Transaction.Builder()
                 .put("dewlane/map", new StoredValue.Unreadable("x"))
                 .build();
-        assertThrows(IllegalArgumentException.class, () -> StoreProtocol.txn(transaction));
+        assertThrows(IllegalArgumentException.class, () -> StoreProtocol.transactionRequest(transaction));
     }
 
     @Test
@@ -186,7 +186,7 @@
                 {"set":"dewlane/team/vision","value":{"cpus":12.5,"gpus":2.0}},\
                 {"set":"dewlane/node/cask-0","value":{"incarnation":4,"format":2},"tenancy":17},\
                 {"delete":"dewlane/job/wk-1"}]}""";
-        Golden.assertMessage(expected, StoreProtocol.txn(transaction));
+        Golden.assertMessage(expected, StoreProtocol.transactionRequest(transaction));
     }
 
     @Test
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -152,7 +152,7 @@
     @MethodSource("values")
     void whatSaysNothingNewIsWrittenAsTheVersionBeforeWritesIt(String file, String key, StoredValue value)
             throws IOException {
-        String written = new String(StoredValueCodec.bytes(value), StandardCharsets.UTF_8);
+        String written = new String(StoredValueCodec.encode(value), StandardCharsets.UTF_8);
         String expected = new String(recorded(file), StandardCharsets.UTF_8);
         if (value instanceof StoredValue.Presence) {
             expected = expected.replace("}", ",\"format\":1}");
@@ -183,17 +183,18 @@
         Map<String, Object> in = Json.object(recorded(file));
         in.put("newer", Map.of("list", List.of(1L, "two", true, 2.5)));
         StoredValue value = StoredValueCodec.decode(key, in);
-        Map<String, Object> again = Json.object(StoredValueCodec.bytes(value));
+        Map<String, Object> again = Json.object(StoredValueCodec.encode(value));
         assertEquals(in, again);
     }
 
     @Test
     void jobsThatAwaitNoneHaveNoFieldForIt() {
         StoredValue.JobRecord plain = new StoredValue.JobRecord(job(), List.of(), 0);
-        assertTrue(!new String(StoredValueCodec.bytes(plain), StandardCharsets.UTF_8).contains("awaits"));
+        assertTrue(!new String(StoredValueCodec.encode(plain), StandardCharsets.UTF_8).contains("awaits"));
         StoredValue.JobRecord waiting =
                 new StoredValue.JobRecord(job().withDependencies(List.of("wk-000398", "wk-7")), List.of(), 0);
-        StoredValue read = StoredValueCodec.decode(StoreKeys.job("wk-000412"), parsed(StoredValueCodec.bytes(waiting)));
+        StoredValue read =
+                StoredValueCodec.decode(StoreKeys.job("wk-000412"), parsed(StoredValueCodec.encode(waiting)));
         assertEquals(
                 waiting.job().dependencies().size(),
                 ((StoredValue.JobRecord) read).job().dependencies().size());
@@ -242,7 +243,7 @@
                 ("{\"rows\":[{\"key\":\"dewlane/newer/1\",\"value\":{},\"entry\":8}]," + "\"more\":true,\"ledger\":9}")
                         .getBytes(StandardCharsets.UTF_8));
         assertEquals(List.of(), page.rows());
-        assertEquals("dewlane/newer/1", page.last());
+        assertEquals("dewlane/newer/1", page.lastKey());
     }
 
     @Test
--- a/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
@@ -40,7 +40,7 @@
     @ParameterizedTest
     @CsvSource({"IDLE, IDLE", "STANDARD, STANDARD", "HIGH, HIGH", "CRITICAL, CRITICAL"})
     void priorityHasItsWord(String word, Priority priority) throws IOException {
-        Golden.assertMessage(jobJson(word), StoredValueCodec.bytes(jobRecord(priority)));
+        Golden.assertMessage(jobJson(word), StoredValueCodec.encode(jobRecord(priority)));
         assertEquals(jobRecord(priority), decode(StoreKeys.job("wk-1"), jobJson(word)));
     }
 
@@ -48,7 +48,7 @@
     @CsvSource({"RETURN, SCALE_IN", "DELETE, DELETE", "GONE, TERMINATED"})
     void fateOfAMachineHasItsWord(String word, DecommissionState fate) throws IOException {
         StoredValue.DecommissionRecord machine = new StoredValue.DecommissionRecord(fate, "silent", List.of());
-        Golden.assertMessage(machineJson(word), StoredValueCodec.bytes(machine));
+        Golden.assertMessage(machineJson(word), StoredValueCodec.encode(machine));
         assertEquals(machine, decode(StoreKeys.decommission("vm-1"), machineJson(word)));
     }
 
@@ -61,7 +61,7 @@
     @ParameterizedTest
     @EnumSource
     void everyFateIsReadAsItIsWritten(DecommissionState fate) {
-        assertEquals(fate, StoredWords.machineFate(StoredWords.word(fate)));
+        assertEquals(fate, StoredWords.decommissionState(StoredWords.word(fate)));
     }
 
     @ParameterizedTest
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -81,8 +81,8 @@
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/v2/runs", UserProtocol.RUNS);
-        assertEquals("abort", UserProtocol.ABORT);
+        assertEquals("/v2/runs", UserProtocol.JOBS_PATH);
+        assertEquals("abort", UserProtocol.CANCEL_ACTION);
     }
 
     @Test
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -99,8 +99,8 @@
     void aBadFieldIsToldAndTheIdKept(String good, String bad) {
         UserProtocol.Submission s = submission(GOOD.replace(good, bad == null ? "" : bad));
         assertNull(s.job());
-        assertNotNull(s.reason());
-        assertEquals("wk-000412", s.uid());
+        assertNotNull(s.rejection());
+        assertEquals("wk-000412", s.jobId());
     }
 
     @Test
@@ -117,17 +117,17 @@
     @ValueSource(
             strings = {"", "x", "[]", "null", "{", "{}", "{\"uid\":\"wk-\"}", "{\"uid\":7}", "{\"uid\":\"wk-1/2\"}"})
     void aBodyWithoutAnIdIsMalformed(String body) {
-        assertNull(submission(body).uid());
+        assertNull(submission(body).jobId());
     }
 
     @Test
     void deepNestingIsRefusedNotFollowed() {
-        assertNull(submission("{\"uid\":" + "[".repeat(30_000)).uid());
+        assertNull(submission("{\"uid\":" + "[".repeat(30_000)).jobId());
     }
 
     @Test
     void aReportIsRead() throws IOException {
-        Heartbeat heartbeat = WorkerProtocol.report(
+        Heartbeat heartbeat = WorkerProtocol.heartbeat(
                 """
                 {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":1,
                 "tally":88,"seal":41,"recallS":null,"bottles":[{"bottle":"wk-000412/3","try":2,"condition":"running"},
@@ -141,7 +141,8 @@
                                 "wk-000398", 0, 1, Heartbeat.Phase.EXITED, Heartbeat.ExitReason.DONE, false)),
                 heartbeat.tasks());
         assertThrows(
-                IOException.class, () -> WorkerProtocol.report("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
+                IOException.class,
+                () -> WorkerProtocol.heartbeat("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
     }
 
     private static Map<String, StoredValue> valuesByKey() {
@@ -192,7 +193,7 @@
     @Test
     void valuesComeBackFromTheStateServiceAsTheyWentIn() throws IOException {
         for (Map.Entry<String, StoredValue> e : valuesByKey().entrySet()) {
-            byte[] json = StoredValueCodec.bytes(e.getValue());
+            byte[] json = StoredValueCodec.encode(e.getValue());
             assertEquals(e.getValue(), StoredValueCodec.decode(e.getKey(), Json.object(json)));
         }
     }
--- a/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
@@ -55,8 +55,8 @@
 
     @Test
     void pathsAreFixed() {
-        assertEquals("/v1/report", WorkerProtocol.REPORT);
-        assertEquals("/do", WorkerProtocol.COMMAND);
+        assertEquals("/v1/report", WorkerProtocol.HEARTBEAT_PATH);
+        assertEquals("/do", WorkerProtocol.COMMAND_PATH);
     }
 
     @Test
@@ -74,13 +74,13 @@
                 task(9, Phase.EXITED, ExitReason.ERROR, false));
         Heartbeat expected =
                 new Heartbeat("vm-000231", "10.1.0.232:9000", "g8", "a", true, 2, 88, 5_000_000_041L, 29.5, tasks);
-        assertEquals(expected, WorkerProtocol.report(Golden.bytes(REPORT)));
+        assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(REPORT)));
     }
 
     @Test
     void reportWithoutTasksAndNoticeIsRead() throws IOException {
         Heartbeat expected = new Heartbeat("vm-1", "h:1", "g4", "b", false, 1, 1, 0, Double.NaN, List.of());
-        assertEquals(expected, WorkerProtocol.report(Golden.bytes(WITHOUT_TASKS)));
+        assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(WITHOUT_TASKS)));
     }
 
     @ParameterizedTest
@@ -97,29 +97,30 @@
             })
     void malformedReportIsRefused(String good, String bad, String reason) {
         byte[] body = Golden.bytes(REPORT.replace(good, bad));
-        IOException refusal = assertThrows(IOException.class, () -> WorkerProtocol.report(body));
+        IOException refusal = assertThrows(IOException.class, () -> WorkerProtocol.heartbeat(body));
         assertEquals(reason, refusal.getMessage());
     }
 
     @Test
     void answerWithEveryKindOfOrderIsWritten() {
         Golden.assertMessage(
-                "{\"seal\":5000000041," + ORDERS_TEXT + "}", WorkerProtocol.answer(5_000_000_041L, ORDERS));
+                "{\"seal\":5000000041," + ORDERS_TEXT + "}", WorkerProtocol.heartbeatAnswer(5_000_000_041L, ORDERS));
     }
 
     @Test
     void answerWithoutOrdersIsWritten() {
-        Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerProtocol.answer(41, List.of()));
+        Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerProtocol.heartbeatAnswer(41, List.of()));
     }
 
     @Test
     void directCommandIsWritten() {
-        Golden.assertMessage("{\"seal\":41,\"pour\":3," + ORDERS_TEXT + "}", WorkerProtocol.command(3, 41, ORDERS));
+        Golden.assertMessage(
+                "{\"seal\":41,\"pour\":3," + ORDERS_TEXT + "}", WorkerProtocol.commandRequest(3, 41, ORDERS));
     }
 
     @Test
     void redirectNamesTheControllerIfThereIsOne() {
-        Golden.assertMessage("{\"steward\":\"cask-2\"}", WorkerProtocol.redirect("cask-2"));
-        Golden.assertMessage("{}", WorkerProtocol.redirect(null));
+        Golden.assertMessage("{\"steward\":\"cask-2\"}", WorkerProtocol.redirectAnswer("cask-2"));
+        Golden.assertMessage("{}", WorkerProtocol.redirectAnswer(null));
     }
 }
