--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/DeployFile.java
@@ -13,18 +13,26 @@
 
 /** The settings file that a deployment gives each controller, and the operators' own beside it. */
 public record DeployFile(Settings settings, Endpoints endpoints) {
+    private static final double BYTES_PER_KB = 1024;
     private static final String VALUE_KB = "value_kb";
     private static final String TXN_OPS = "txn_ops";
-    private static final int LEAST_OPS = StoreLimits.MIN_TRANSACTION_WRITES;
+    private static final int MIN_TXN_OPS = StoreLimits.MIN_TRANSACTION_WRITES;
 
     /**
      * Reads and checks both files.
      *
      * @param operators the operators' own settings, or null for the defaults
+     * @throws SettingsException if a file cannot be read, or names the first field that cannot be used
      */
     public static DeployFile read(String file, String operators) throws SettingsException {
         Tuning tuning = operators == null ? Tuning.defaults() : tuning(TomlTable.read(operators));
         TomlTable top = TomlTable.read(file);
+        Endpoints endpoints = endpoints(top);
+        checkUnused(top);
+        return new DeployFile(settings(top, endpoints, tuning), endpoints);
+    }
+
+    private static Endpoints endpoints(TomlTable top) throws SettingsException {
         Map<String, String> peers = new LinkedHashMap<>();
         for (TomlTable peer : top.tables("known")) {
             peer.text("area");
@@ -32,84 +40,104 @@
         }
         TomlTable services = top.table("services");
         TomlTable resources = top.table("settings").table("resources");
-        Endpoints endpoints = new Endpoints(
+        return new Endpoints(
                 top.address("serve_on"),
                 top.address("peer_bind"),
                 Map.copyOf(peers),
                 services.address("cloud"),
                 services.address("state"),
                 resources.count("max_sockets", Endpoints.fewestSockets(peers.size())));
+    }
+
+    /** Checks the fields that every deployment gives and the controller has no use for. */
+    private static void checkUnused(TomlTable top) throws SettingsException {
         top.text("area");
-        TomlTable all = top.table("settings");
-        all.count("initial_size", 1);
-        all.number("time_bound_ms", 0);
-        Map<String, TeamQuota> teams = new LinkedHashMap<>();
-        for (TomlTable t : all.tables("teams")) {
-            teams.put(
-                    t.text("name"),
-                    new TeamQuota(
-                            t.text("name"),
-                            t.number("cpus", 0, 0),
-                            t.number("gpus", 0, 0),
-                            t.number("cpus_max", 0, 0),
-                            t.number("gpus_max", 0, 0)));
-        }
-        List<ServiceLevelObjective> objectives = new ArrayList<>();
-        for (TomlTable objective : all.tables("objectives")) {
-            objectives.add(new ServiceLevelObjective(
-                    objective.text("kind"),
-                    objective.has("class") ? objective.text("class") : null,
-                    objective.number("within_s", 0, Double.POSITIVE_INFINITY)));
-        }
-        TomlTable workers = all.table("workers");
-        TomlTable state = all.table("state");
-        TomlTable cloud = all.table("cloud");
+        TomlTable settings = top.table("settings");
+        settings.count("initial_size", 1);
+        settings.number("time_bound_ms", 0);
+    }
+
+    private static Settings settings(TomlTable top, Endpoints endpoints, Tuning tuning) throws SettingsException {
+        TomlTable settings = top.table("settings");
+        Map<String, TeamQuota> teams = teams(settings);
+        List<ServiceLevelObjective> objectives = objectives(settings);
+        TomlTable workers = settings.table("workers");
+        TomlTable store = settings.table("state");
+        TomlTable cloud = settings.table("cloud");
+        TomlTable resources = settings.table("resources");
         resources.positive("cpu_share");
         resources.positive("ram_mb");
-        Settings settings = new Settings(
+        return new Settings(
                 top.text("node_name"),
                 endpoints.peerNames(),
-                Map.copyOf(teams),
-                List.copyOf(objectives),
-                all.texts("zones"),
+                teams,
+                objectives,
+                settings.texts("zones"),
                 workers.positive("report_s"),
                 workers.positive("lease_s"),
                 workers.positive("cancel_s"),
-                stateLimits(state),
+                storeLimits(store),
                 cloud.positive("rps"),
                 cloud.number("list_lag_s", 0),
                 tuning);
-        return new DeployFile(settings, endpoints);
+    }
+
+    private static Map<String, TeamQuota> teams(TomlTable settings) throws SettingsException {
+        Map<String, TeamQuota> teams = new LinkedHashMap<>();
+        for (TomlTable team : settings.tables("teams")) {
+            TeamQuota quota = new TeamQuota(
+                    team.text("name"),
+                    team.number("cpus", 0, 0),
+                    team.number("gpus", 0, 0),
+                    team.number("cpus_max", 0, 0),
+                    team.number("gpus_max", 0, 0));
+            teams.put(quota.name(), quota);
+        }
+        return Map.copyOf(teams);
+    }
+
+    private static List<ServiceLevelObjective> objectives(TomlTable settings) throws SettingsException {
+        List<ServiceLevelObjective> objectives = new ArrayList<>();
+        for (TomlTable objective : settings.tables("objectives")) {
+            objectives.add(new ServiceLevelObjective(
+                    objective.text("kind"),
+                    objective.has("class") ? objective.text("class") : null,
+                    objective.number("within_s", 0, Double.POSITIVE_INFINITY)));
+        }
+        return List.copyOf(objectives);
     }
 
     /** The limits in force now and, where a key of {@code next} says so, those that replace them without notice. */
-    private static StoreLimits stateLimits(TomlTable state) throws SettingsException {
+    private static StoreLimits storeLimits(TomlTable store) throws SettingsException {
         StoreLimits.Limits present = new StoreLimits.Limits(
-                state.positive("rps"), state.positive("write_rps"), valueBytes(state), state.count(TXN_OPS, LEAST_OPS));
-        if (!state.has("next")) {
+                store.positive("rps"),
+                store.positive("write_rps"),
+                valueBytes(store),
+                store.count(TXN_OPS, MIN_TXN_OPS));
+        if (!store.has("next")) {
             return new StoreLimits(present, present);
         }
-        TomlTable next = state.table("next");
+        TomlTable next = store.table("next");
         return new StoreLimits(
                 present,
                 new StoreLimits.Limits(
                         next.has("rps") ? next.positive("rps") : present.requestsPerS(),
                         next.has("write_rps") ? next.positive("write_rps") : present.writesPerS(),
                         next.has(VALUE_KB) ? valueBytes(next) : present.maxValueBytes(),
-                        next.has(TXN_OPS) ? next.count(TXN_OPS, LEAST_OPS) : present.maxTransactionWrites()));
+                        next.has(TXN_OPS) ? next.count(TXN_OPS, MIN_TXN_OPS) : present.maxTransactionWrites()));
     }
 
     private static int valueBytes(TomlTable limits) throws SettingsException {
-        return (int) (1024 * limits.number(VALUE_KB, StoreLimits.MIN_VALUE_BYTES / 1024.0));
+        return (int) (BYTES_PER_KB * limits.number(VALUE_KB, StoreLimits.MIN_VALUE_BYTES / BYTES_PER_KB));
     }
 
-    private static Tuning tuning(TomlTable in) throws SettingsException {
-        Tuning d = Tuning.defaults();
+    private static Tuning tuning(TomlTable operators) throws SettingsException {
+        Tuning defaults = Tuning.defaults();
         return new Tuning(
-                (long) (1000 * in.number("member_ttl_s", 1, d.memberLeaseTtlMs() / 1000.0)),
-                in.number("silent_s", 5, d.machineTimeoutS()),
-                in.number("idle_s", 1, d.scaleInIdleS()),
-                in.number("boot_patience", 1, d.bootTimeoutFactor()),
-                d.partitionedQuotaCpus());
+                (long) (1000 * operators.number("member_ttl_s", 1, defaults.memberLeaseTtlMs() / 1000.0)),
+                operators.number("silent_s", 5, defaults.machineTimeoutS()),
+                operators.number("idle_s", 1, defaults.scaleInIdleS()),
+                operators.number("boot_patience", 1, defaults.bootTimeoutFactor()),
+                defaults.partitionedQuotaCpus());
     }
 }
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -16,7 +16,7 @@
 
 /** Good and bad settings files. */
 class DeployFileTest {
-    private static final Path GOOD = Path.of("src/test/resources/deploy.toml");
+    private static final Path GOOD = Path.of("docs/example-settings.toml");
 
     @TempDir
     private Path dir;
