--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -63,7 +63,7 @@
         Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.encode(value).length);
         Job job = new Job(
                 "wk-1",
-                "lot",
+                "class",
                 "team",
                 Priority.HIGH,
                 2,
--- /dev/null
+++ b/src/test/java/dewlane/WireWordsTest.java
@@ -0,0 +1,107 @@
+package dewlane;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The protocols' own words are mapped to the field's terms in {@code dewlane.wire} and stand nowhere else. */
+class WireWordsTest {
+    private static final Path SOURCES = Path.of("src/main/java/dewlane");
+    private static final Path WIRE = SOURCES.resolve("wire");
+    private static final Pattern STRING_LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
+
+    /** Field names of the five protocols that are no ordinary words of the code. */
+    private static final Set<String> PROTOCOL_WORDS = Set.of(
+            "rack",
+            "racks",
+            "cask",
+            "casks",
+            "cellar",
+            "cellars",
+            "consignment",
+            "bottle",
+            "bottles",
+            "pour",
+            "tally",
+            "seal",
+            "steward",
+            "recallS",
+            "kept",
+            "fault",
+            "order",
+            "orders",
+            "restS",
+            "try",
+            "indent",
+            "heldS",
+            "hourly",
+            "marketPrice",
+            "readyS",
+            "ramGb",
+            "vcpus",
+            "uid",
+            "lot",
+            "house",
+            "rank",
+            "blend",
+            "pullGb",
+            "samePlace",
+            "scatter",
+            "maturingS",
+            "rackingS",
+            "corkingS",
+            "shipByS",
+            "awaits",
+            "ledger",
+            "entry",
+            "tenancy",
+            "condition");
+
+    private static List<Path> sources(Path folder) throws IOException {
+        try (Stream<Path> files = Files.walk(folder)) {
+            return files.filter(file -> file.toString().endsWith(".java")).toList();
+        }
+    }
+
+    private static Set<String> protocolWordsIn(Path file) throws IOException {
+        Matcher literals = STRING_LITERAL.matcher(Files.readString(file));
+        return literals.results()
+                .map(literal -> literal.group(1))
+                .filter(PROTOCOL_WORDS::contains)
+                .collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    @Test
+    void noClassOutsideWireHasAWordOfAProtocol() throws IOException {
+        Set<String> found = new TreeSet<>();
+        for (Path file : sources(SOURCES)) {
+            if (!file.startsWith(WIRE)) {
+                protocolWordsIn(file).forEach(word -> found.add(file.getFileName() + ": " + word));
+            }
+        }
+        assertEquals(Set.of(), found);
+    }
+
+    /** The list above is worth something only if its words are those that the protocols use. */
+    @Test
+    void eachWordStandsInWire() throws IOException {
+        Set<String> used = new TreeSet<>();
+        for (Path file : sources(WIRE)) {
+            used.addAll(protocolWordsIn(file));
+        }
+        Set<String> unused = new TreeSet<>(PROTOCOL_WORDS);
+        unused.removeAll(used);
+        assertTrue(unused.isEmpty(), "in no class of wire: " + unused);
+    }
+}
