--- a/src/main/java/dewlane/core/store/DecommissionIndex.java
+++ b/src/main/java/dewlane/core/store/DecommissionIndex.java
@@ -1,24 +1,23 @@
 package dewlane.core.store;
 
 import dewlane.core.message.Input;
-import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue.DecommissionRecord;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The records that let go of machines, by their keys and by the names of the machines. */
+/** The decommission records, by their keys and by the names of the machines that they are about. */
 public final class DecommissionIndex {
-    /** A record of one or several machines, its key, and the version of that. */
-    public record Entry(String key, DecommissionRecord record, long revision) {
-        /** The machines that the record is about. */
-        public List<String> machines() {
-            return record.machines().isEmpty()
-                    ? List.of(key.substring(StoreKeys.DECOMMISSIONS.length()))
-                    : record.machines();
-        }
-    }
+    /**
+     * A decommission record as it is stored.
+     *
+     * @param key the record's key
+     * @param machines the names of the machines that the record is about
+     * @param record the record
+     * @param revision the revision of the record's latest change
+     */
+    public record Entry(String key, List<String> machines, DecommissionRecord record, long revision) {}
 
     private final Map<String, Entry> byMachine = new LinkedHashMap<>();
     private final Map<String, Entry> byKey = new LinkedHashMap<>();
@@ -30,22 +29,29 @@
         byKey.clear();
     }
 
-    /** Takes a change of a record; returns the new one, or null if the record is gone or the change is an old one. */
-    Entry apply(Input.KeyChange change) {
+    /**
+     * Applies a change of a record.
+     *
+     * @param name the last part of the key, which names the machine unless the record lists several
+     * @return the new entry, or null if the record is gone or the change is older than what is known
+     */
+    Entry apply(String name, Input.KeyChange change) {
         Entry known = byKey.get(change.key());
         if (known != null && known.revision > change.revision()) {
             return null;
         }
         if (known != null) {
             byKey.remove(change.key());
-            known.machines().forEach(name -> byMachine.remove(name, known));
+            known.machines.forEach(machine -> byMachine.remove(machine, known));
         }
         if (change.value() == null) {
             return null;
         }
-        Entry entry = new Entry(change.key(), (DecommissionRecord) change.value(), change.revision());
+        DecommissionRecord record = (DecommissionRecord) change.value();
+        List<String> machines = record.machines().isEmpty() ? List.of(name) : record.machines();
+        Entry entry = new Entry(change.key(), machines, record, change.revision());
         byKey.put(entry.key, entry);
-        entry.machines().forEach(name -> byMachine.put(name, entry));
+        machines.forEach(machine -> byMachine.put(machine, entry));
         return entry;
     }
 
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -6,19 +6,20 @@
 import java.util.Collection;
 import java.util.TreeMap;
 
-/** A job that has a record or slices in the state service, with what follows from the jobs that need it. */
+/**
+ * A job that has a record or slices in the store: what is stored of it, and its {@link JobUrgency}, which follows from
+ * other jobs as well.
+ */
 public final class JobEntry {
-    /** Stands for a job without a deadline of its own or of a dependant. */
-    public static final long NO_DEADLINE = Long.MAX_VALUE;
+    /** Stands for a job without a deadline of its own or of a dependent. */
+    public static final long NO_DEADLINE = JobUrgency.NO_DEADLINE;
 
     private final String id;
     private final TreeMap<Integer, SliceEntry> slices = new TreeMap<>();
+    private final JobUrgency urgency = new JobUrgency();
     private JobRecord record;
     private long revision;
     private Job.Requirements requirements;
-    private Priority priority;
-    private long deadlineMs = NO_DEADLINE;
-    private long waitingSinceMs;
 
     JobEntry(String id) {
         this.id = id;
@@ -34,7 +35,7 @@
         return record == null ? null : record.job();
     }
 
-    /** The job's shape; only of a job that has a record. */
+    /** What a task of the job needs of a machine; only of a job that has a record. */
     public Job.Requirements requirements() {
         return requirements;
     }
@@ -49,101 +50,101 @@
         return record;
     }
 
-    /** When the job was cancelled; 0: it was not. */
+    /** Time of day at which the job was cancelled; 0 if it was not. */
     public long cancelledAtMs() {
         return record == null ? 0 : record.cancelledAtMs();
     }
 
-    /** The revision of the latest change. */
+    /** The revision of the record's latest change; 0 if there is no record. */
     public long revision() {
         return revision;
     }
 
-    /** The highest priority of the job and of all jobs that need it, directly or through others. */
+    /** Takes another value of the record. */
+    void store(JobRecord stored, long atRevision) {
+        boolean isFirst = record == null;
+        record = stored;
+        revision = atRevision;
+        requirements = stored.job().requirements();
+        if (isFirst) {
+            urgency.start(stored.job());
+        }
+    }
+
+    /** The record is gone from the store. */
+    void removeRecord() {
+        record = null;
+        revision = 0;
+    }
+
+    /** The highest priority of the job and of all jobs that depend on it, directly or through others. */
     public Priority priority() {
-        return priority;
+        return urgency.priority();
     }
 
     /**
-     * Time of day by which the job should end: its own deadline, or an earlier one that leaves the jobs that need it
-     * the time they are estimated to take.
+     * Time of day by which the job should end: its own deadline, or an earlier one that leaves its dependents the time
+     * they are estimated to take.
      */
     public long deadlineMs() {
-        return deadlineMs;
+        return urgency.deadlineMs();
     }
 
-    /** Time of day from which the job's waiting counts: its acceptance, or the end of the last job that it awaited. */
+    /** Time of day from which the job's waiting counts: its acceptance, or the end of the last of its dependencies. */
     public long waitingSinceMs() {
-        return waitingSinceMs;
+        return urgency.waitingSinceMs();
     }
 
-    /** Time of day of the job's own deadline, counted from its submission however long it awaits others. */
+    /** Time of day of the job's own deadline, counted from its acceptance however long it awaits others. */
     public long ownDeadlineMs() {
-        Job job = record.job();
-        return job.deadlineS() > 0 ? job.acceptedAtMs() + (long) (1000 * job.deadlineS()) : NO_DEADLINE;
+        return JobUrgency.ownDeadlineMs(record.job());
     }
 
-    /** Sets the priority and deadline that follow from the jobs that depend on this one. */
+    /** Sets the priority and the deadline (time of day) that follow from the jobs that depend on this one. */
     public void inheritUrgency(Priority highest, long earliestDeadlineMs) {
-        priority = highest;
-        deadlineMs = earliestDeadlineMs;
+        urgency.inherit(highest, earliestDeadlineMs);
     }
 
     /** The last job that this one awaited ended at the given time of day. */
     public void dependencyEnded(long atMs) {
-        waitingSinceMs = Math.max(waitingSinceMs, atMs);
+        urgency.dependencyEnded(atMs);
     }
 
-    void store(JobRecord stored, long at) {
-        boolean first = record == null;
-        record = stored;
-        revision = at;
-        requirements = stored.job().requirements();
-        if (first) {
-            inheritUrgency(stored.job().priority(), ownDeadlineMs());
-            waitingSinceMs = stored.job().acceptedAtMs();
-        }
-    }
-
-    void removeRecord() {
-        record = null;
-        revision = 0;
-    }
-
-    /** The slices that the job is cut into. */
+    /** The slices that the job is cut into, in the order of their numbers. */
     public Collection<SliceEntry> slices() {
         return slices.values();
     }
 
+    /** The slices by their numbers. */
     TreeMap<Integer, SliceEntry> slicesByNumber() {
         return slices;
     }
 
     /** How many tasks are done. */
     public int doneCount() {
-        int n = 0;
+        int count = 0;
         for (SliceEntry slice : slices.values()) {
-            n += slice.value().done().cardinality();
+            count += slice.value().done().cardinality();
         }
-        return n;
+        return count;
     }
 
     /** How many attempts may be on a machine. */
     public int liveAttemptCount() {
-        int n = 0;
+        int count = 0;
         for (SliceEntry slice : slices.values()) {
-            n += slice.value().attempts().size();
+            count += slice.value().attempts().size();
         }
-        return n;
+        return count;
     }
 
-    /** Tasks that are neither done nor may be on a machine. */
+    /** How many tasks are neither done nor may be on a machine. */
     public int pendingCount() {
-        int n = 0;
+        int count = 0;
         for (SliceEntry slice : slices.values()) {
-            n += slice.value().pendingCount();
+            count += slice.value().pendingCount();
         }
-        return n;
+        return count;
     }
 
     /** True if every task has a done mark. */
@@ -151,7 +152,7 @@
         return record != null && doneCount() == record.job().tasks();
     }
 
-    /** A number that no slice of the job has had, since slices go only with their job. */
+    /** A number that no slice of the job has had, since slices are deleted only with their job. */
     public int nextSliceNumber() {
         return slices.isEmpty() ? 0 : slices.lastKey() + 1;
     }
@@ -165,9 +166,9 @@
         int first = slice.stored().first();
         int count = slice.stored().count();
         for (SliceEntry later : slices.tailMap(slice.number(), false).values()) {
-            int from = later.stored().first();
-            if (from >= first && from < first + count) {
-                count = from - first;
+            int laterFirst = later.stored().first();
+            if (laterFirst >= first && laterFirst < first + count) {
+                count = laterFirst - first;
             }
         }
         return count;
--- /dev/null
+++ b/src/main/java/dewlane/core/store/JobTable.java
@@ -0,0 +1,170 @@
+package dewlane.core.store;
+
+import dewlane.core.message.Input.KeyChange;
+import dewlane.core.schema.StoreKey;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.Slice;
+import dewlane.core.schema.StoredValue.SliceAssignment;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/** The part of the replica that holds jobs and their slices, and applies the changes of their keys. */
+final class JobTable {
+    private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
+    /** Jobs of which only slices are left. */
+    private final Set<JobEntry> endedJobsWithSlices = new LinkedHashSet<>();
+
+    private final UnreadableKeys unreadable = new UnreadableKeys();
+    private final Consumer<ReplicaChange> listener;
+
+    JobTable(Consumer<ReplicaChange> listener) {
+        this.listener = listener;
+    }
+
+    /** Forgets everything, and tells the listener so for each slice and each job. */
+    void clear() {
+        for (JobEntry job : List.copyOf(jobs.values())) {
+            for (SliceEntry slice : List.copyOf(job.slices())) {
+                listener.accept(new ReplicaChange.SliceChanged(job, slice, slice.value(), null));
+            }
+            removeRecord(job);
+        }
+        jobs.clear();
+        endedJobsWithSlices.clear();
+        unreadable.clear();
+    }
+
+    Collection<JobEntry> all() {
+        return jobs.values();
+    }
+
+    /** The job, or null. */
+    JobEntry get(String id) {
+        return jobs.get(id);
+    }
+
+    Collection<JobEntry> endedJobsWithSlices() {
+        return endedJobsWithSlices;
+    }
+
+    UnreadableKeys unreadable() {
+        return unreadable;
+    }
+
+    /** Applies a change of a job's record. */
+    void applyJob(String id, KeyChange change) {
+        unreadable.markReadable(id, change.key());
+        if (change.value() != null) {
+            storeRecord(getOrCreate(id), (JobRecord) change.value(), change.revision());
+            return;
+        }
+        JobEntry job = jobs.get(id);
+        if (job != null && job.revision() < change.revision()) {
+            removeRecord(job);
+            job.slices().removeIf(slice -> slice.revision() == 0);
+            updateEndedJob(job);
+        }
+    }
+
+    /** Applies a change of a slice. */
+    void applySlice(StoreKey.OfSlice key, KeyChange change) {
+        unreadable.markReadable(key.job(), change.key());
+        if (change.value() != null) {
+            JobEntry job = getOrCreate(key.job());
+            storeSlice(job, key.number(), (Slice) change.value(), change.revision());
+            updateEndedJob(job);
+            return;
+        }
+        JobEntry job = jobs.get(key.job());
+        if (job != null) {
+            removeSlice(job, key.number(), change.revision());
+            updateEndedJob(job);
+        }
+    }
+
+    private JobEntry getOrCreate(String id) {
+        return jobs.computeIfAbsent(id, JobEntry::new);
+    }
+
+    private void storeRecord(JobEntry job, JobRecord record, long revision) {
+        if (revision < job.revision()) {
+            return;
+        }
+        JobRecord before = job.record();
+        job.store(record, revision);
+        endedJobsWithSlices.remove(job);
+        listener.accept(new ReplicaChange.JobChanged(job, before, record));
+        if (before == null) {
+            createAssignedSlices(job);
+        }
+    }
+
+    private void removeRecord(JobEntry job) {
+        JobRecord before = job.record();
+        job.removeRecord();
+        if (before != null) {
+            listener.accept(new ReplicaChange.JobChanged(job, before, null));
+        }
+    }
+
+    /** A slice that has no key yet is as the job's record assigns it, at version 0. */
+    private void createAssignedSlices(JobEntry job) {
+        List<SliceAssignment> assignments = job.record().assignments();
+        for (int number = 0; number < assignments.size(); number++) {
+            if (!job.slicesByNumber().containsKey(number)) {
+                SliceEntry slice = new SliceEntry(job.id(), number);
+                slice.store(assignments.get(number).slice(), 0);
+                job.slicesByNumber().put(number, slice);
+                slice.restrictTo(job.remainingCount(slice));
+            }
+        }
+    }
+
+    private void storeSlice(JobEntry job, int number, Slice value, long revision) {
+        SliceEntry slice = job.slicesByNumber().computeIfAbsent(number, absent -> new SliceEntry(job.id(), absent));
+        if (revision < slice.revision()) {
+            return;
+        }
+        Slice before = slice.value();
+        slice.store(value, revision);
+        slice.restrictTo(job.remainingCount(slice));
+        // The tasks that it takes over leave the other slices first, so that no attempt is in two slices in between.
+        job.slicesByNumber().headMap(number).values().forEach(lower -> restrictToRemaining(job, lower));
+        listener.accept(new ReplicaChange.SliceChanged(job, slice, before, slice.value()));
+    }
+
+    private void restrictToRemaining(JobEntry job, SliceEntry slice) {
+        int count = job.remainingCount(slice);
+        if (count != slice.value().count()) {
+            Slice before = slice.value();
+            slice.restrictTo(count);
+            listener.accept(new ReplicaChange.SliceChanged(job, slice, before, slice.value()));
+        }
+    }
+
+    private void removeSlice(JobEntry job, int number, long revision) {
+        SliceEntry slice = job.slicesByNumber().get(number);
+        if (slice != null && slice.revision() < revision) {
+            job.slicesByNumber().remove(number);
+            listener.accept(new ReplicaChange.SliceChanged(job, slice, slice.value(), null));
+        }
+    }
+
+    /** A job without a record is forgotten with its last slice. */
+    private void updateEndedJob(JobEntry job) {
+        if (job.record() != null) {
+            return;
+        }
+        if (job.slices().isEmpty()) {
+            endedJobsWithSlices.remove(job);
+            jobs.remove(job.id());
+        } else {
+            endedJobsWithSlices.add(job);
+        }
+    }
+}
--- a/src/main/java/dewlane/core/store/SliceEntry.java
+++ b/src/main/java/dewlane/core/store/SliceEntry.java
@@ -31,19 +31,21 @@
         return value;
     }
 
-    /** The revision of the latest change; 0 while the job's deal stands for the slice. */
+    /** The revision of the latest change; 0 while the slice has no key and the job's assignment stands for it. */
     public long revision() {
         return revision;
     }
 
+    /** The slice's contents as its key holds them. */
     Slice stored() {
         return stored;
     }
 
-    void store(Slice slice, long at) {
+    /** Takes another value of the key. */
+    void store(Slice slice, long atRevision) {
         stored = slice;
         value = slice;
-        revision = at;
+        revision = atRevision;
     }
 
     /** Restricts the slice to its first tasks, as another one holds the rest. */
--- a/src/main/java/dewlane/core/store/UnreadableKeys.java
+++ b/src/main/java/dewlane/core/store/UnreadableKeys.java
@@ -1,6 +1,5 @@
 package dewlane.core.store;
 
-import dewlane.core.schema.StoreKeys;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -14,9 +13,9 @@
         byJob.clear();
     }
 
-    /** The value of a job's or slice's key cannot be read. */
-    void add(String key) {
-        byJob.computeIfAbsent(jobOf(key), k -> new HashSet<>()).add(key);
+    /** The key of the job or of one of its slices has a value that cannot be read. */
+    void markUnreadable(String job, String key) {
+        byJob.computeIfAbsent(job, absent -> new HashSet<>()).add(key);
     }
 
     /** The key of the job or of one of its slices has a value that can be read, or is gone. */
@@ -36,13 +35,4 @@
     Set<String> jobs() {
         return byJob.keySet();
     }
-
-    private static String jobOf(String key) {
-        if (key.startsWith(StoreKeys.JOBS)) {
-            return key.substring(StoreKeys.JOBS.length());
-        }
-        String name = key.substring(StoreKeys.SLICES.length());
-        int slash = name.lastIndexOf('/');
-        return slash < 0 ? name : name.substring(0, slash);
-    }
 }
