--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -333,7 +333,7 @@
             context.info("map " + d.after().epoch() + ": " + d.after().members() + ", led by "
                     + Partitioner.leaderOf(d.after()));
         } else if (delta instanceof ReplicaChange.ValueUnreadable d) {
-            unreadableLog.report(d);
+            unreadableLog.record(d);
         }
     }
 }
--- a/src/main/java/dewlane/core/schema/Transaction.java
+++ b/src/main/java/dewlane/core/schema/Transaction.java
@@ -12,16 +12,25 @@
     /** Sets the key, or deletes it if the value is null. A lease of 0 attaches it to none. */
     public record Write(String key, StoredValue value, long lease) {}
 
-    /** What the state service said, as far as it said anything. */
+    /** How a transaction ended, as far as the store's answer tells. */
     public enum Status {
+        /** All writes were applied. */
         COMMITTED,
+        /** A precondition did not hold, and nothing was applied. */
         CONFLICT,
+        /** Nothing was applied: the store does not accept such a transaction, whatever it holds. */
         INVALID,
-        /** Not executed: more changes or requests than the rate allows. */
+        /** Nothing was applied: more writes or requests than the rate allows. */
         RATE_LIMITED,
-        /** Not executed: the state service is out, for all or for this controller. */
+        /** Nothing was applied: the store is unavailable, to all or to this controller. */
         UNAVAILABLE,
-        UNKNOWN
+        /** There was no answer; the transaction may have been applied or may yet be. */
+        UNKNOWN;
+
+        /** True if sending the same transaction again cannot end otherwise. */
+        public boolean isDefinite() {
+            return this == COMMITTED || this == CONFLICT || this == INVALID;
+        }
     }
 
     /** Collects the parts of a transaction. */
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -9,56 +9,61 @@
 import dewlane.core.schema.StoredValue.JobResult;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
-/** Reads final states that the replica does not know, within a part of the state service's request rate. */
+/** Reads results of jobs that the replica does not hold, within a fraction of the store's request rate. */
 public final class JobResultReader {
-    /** The part of the requests that all controllers' reads together may take. */
-    private static final double REQUEST_SHARE = 0.2;
+    /** The fraction of the request rate that all controllers' reads together may take. */
+    private static final double REQUEST_FRACTION = 0.2;
 
-    private static final double LEAST_BURST = 5;
+    private static final double MIN_BURST = 5;
 
     /** Told what a read found. */
     public interface Listener {
-        /** The job is over. */
+        /** The job has ended. */
         void found(JobResult result);
 
-        /** The job has no final state: it is not over, or was never accepted. */
+        /** The job has no result: it has not ended, or was never accepted. */
         void absent();
 
-        /** The state service did not say. */
+        /** The store did not answer, or what it holds cannot be read. */
         void unavailable();
     }
 
-    private record Read(String job, Listener listener) {}
+    private record PendingRead(String job, Listener listener) {}
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final TokenBucket rate;
-    private final Long2ObjectOpenHashMap<Read> reads = new Long2ObjectOpenHashMap<>();
-    private long nextRead = 1;
+    private final Long2ObjectOpenHashMap<PendingRead> inFlight = new Long2ObjectOpenHashMap<>();
+    private long nextId = 1;
 
+    /** A reader that adds what it finds to the replica. */
     public JobResultReader(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
         double controllers = settings.peers().size() + 1;
-        double perS = settings.storeRequestsPerS() * REQUEST_SHARE / controllers;
-        this.rate = new TokenBucket(perS, Math.max(LEAST_BURST, perS));
+        double readsPerS = settings.storeRequestsPerS() * REQUEST_FRACTION / controllers;
+        this.rate = new TokenBucket(readsPerS, Math.max(MIN_BURST, readsPerS));
     }
 
-    /** Asks for a job's final state; false if that is more than the rate allows now, and then nobody is told. */
+    /**
+     * Reads a job's result.
+     *
+     * @return false if the rate allows no read now; the listener is then never called
+     */
     public boolean read(String job, Listener listener) {
         if (!rate.tryAcquire(context.nowMs())) {
             return false;
         }
-        long id = nextRead++;
-        reads.put(id, new Read(job, listener));
+        long id = nextId++;
+        inFlight.put(id, new PendingRead(job, listener));
         context.emit(new Effect.ReadValue(id, StoreKeys.jobResult(job)));
         return true;
     }
 
-    /** Takes an answer of the state service. */
+    /** The store answered a read, or did not. */
     public void onValueRead(Input.ValueRead in) {
-        Read read = reads.remove(in.id());
+        PendingRead read = inFlight.remove(in.id());
         if (read == null) {
             return;
         }
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -10,88 +10,99 @@
 import java.util.List;
 
 /**
- * Lets questions be answered from the replica without showing a state older than one that any controller has shown: a
- * request to the state service that was sent after a question came names a revision, and once the replica has reached
- * it, nothing that was told before the question is missing from it.
+ * Makes reads of the replica linearizable: a request to the store that was sent after a question arrived names a
+ * revision, and once the replica has reached it, nothing that any controller had shown before the question is missing
+ * from it.
  *
- * <p>One request serves all questions that came before it was sent. A read for each used up the state service's request
- * rate when hundreds of jobs were asked about, until leases could not be renewed either and nothing ran.
+ * <p>One request serves all questions that arrived before it was sent. One for each would use up the store's request
+ * rate when hundreds of jobs are asked about, until leases could not be renewed either.
  */
 public final class ReadBarrier {
-    /** The part of the state service's requests that all controllers' barriers together may take. */
-    private static final double REQUEST_SHARE = 0.2;
-    /** A question that waited for so long is answered as if the state service had not. */
-    private static final long PATIENCE_MS = 4000;
+    /** The fraction of the store's request rate that all controllers' barriers together may take. */
+    private static final double REQUEST_FRACTION = 0.2;
+    /** A question that has waited for so long fails as if the store had not answered. */
+    private static final long TIMEOUT_MS = 4000;
 
-    private record Question(long at, Runnable proceed, Runnable fail) {}
+    /** What is to be run once the replica is known to be current, or if that cannot be known. */
+    private record Question(long arrivedAtMs, Runnable onCurrent, Runnable onUnavailable) {}
 
     /** Questions that may be answered once the replica has reached the revision. */
     private record Batch(long revision, List<Question> questions) {}
 
     private final ControllerContext context;
     private final StoreReplica replica;
-    private final long pauseMs;
+    private final long requestIntervalMs;
     /** Questions for which no request has been sent yet. */
     private List<Question> arrived = new ArrayList<>();
-    /** Questions that the request under way is for. */
-    private List<Question> asked = List.of();
+    /** Questions that the request in flight is for. */
+    private List<Question> requested = List.of();
+    /** Questions whose revision is known, in the order of the revisions. */
+    private final Deque<Batch> batches = new ArrayDeque<>();
 
-    private final Deque<Batch> proven = new ArrayDeque<>();
-    private boolean asking;
-    private long askedAt = Long.MIN_VALUE / 2;
+    private boolean requestInFlight;
+    private long requestedAtMs = Long.MIN_VALUE / 2;
 
+    /** A barrier in front of the replica, without questions. */
     public ReadBarrier(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
         int controllers = settings.peers().size() + 1;
-        this.pauseMs = Math.round(1000 * controllers / (settings.storeRequestsPerS() * REQUEST_SHARE));
+        this.requestIntervalMs = Math.round(1000 * controllers / (settings.storeRequestsPerS() * REQUEST_FRACTION));
     }
 
-    /** Runs {@code proceed} once the replica holds all that is durable now, or {@code fail} if that cannot be known. */
-    public void await(Runnable proceed, Runnable fail) {
-        arrived.add(new Question(context.nowMs(), proceed, fail));
+    /**
+     * Asks for the replica to be brought up to date.
+     *
+     * @param onCurrent run once the replica holds all that is durable now
+     * @param onUnavailable run instead if that cannot be known
+     */
+    public void await(Runnable onCurrent, Runnable onUnavailable) {
+        arrived.add(new Question(context.nowMs(), onCurrent, onUnavailable));
         sendRequest();
     }
 
-    /** Takes the answer to the request under way. */
+    /** The store answered the request in flight, or did not. */
     public void onRevisionRead(Input.RevisionRead in) {
-        asking = false;
-        List<Question> batch = asked;
-        asked = List.of();
+        requestInFlight = false;
+        List<Question> answered = requested;
+        requested = List.of();
         if (in.known()) {
-            proven.add(new Batch(in.revision(), batch));
+            batches.add(new Batch(in.revision(), answered));
             onReplicaAdvanced();
         } else {
-            batch.forEach(q -> q.fail().run());
+            answered.forEach(question -> question.onUnavailable().run());
         }
         sendRequest();
     }
 
-    /** The replica has come further. */
+    /** The replica has reached a later revision. */
     void onReplicaAdvanced() {
-        while (!proven.isEmpty() && proven.peek().revision() <= replica.revision()) {
-            proven.poll().questions().forEach(q -> q.proceed().run());
+        while (!batches.isEmpty() && batches.peek().revision() <= replica.revision()) {
+            batches.poll().questions().forEach(question -> question.onCurrent().run());
         }
     }
 
-    /** Asks for what waits, and gives up on what has waited for too long. */
+    /** Sends a request for the questions that have arrived, and gives up on those that have waited too long. */
     public void tick() {
-        while (!proven.isEmpty() && late(proven.peek().questions().get(0))) {
-            proven.poll().questions().forEach(q -> q.fail().run());
+        while (!batches.isEmpty() && isLate(batches.peek())) {
+            batches.poll().questions().forEach(question -> question.onUnavailable()
+                    .run());
         }
         sendRequest();
     }
 
-    private boolean late(Question question) {
-        return context.nowMs() - question.at() > PATIENCE_MS;
+    /** The first question of a batch is its oldest. */
+    private boolean isLate(Batch batch) {
+        return context.nowMs() - batch.questions().get(0).arrivedAtMs() > TIMEOUT_MS;
     }
 
     private void sendRequest() {
-        if (!asking && !arrived.isEmpty() && context.nowMs() - askedAt >= pauseMs) {
-            asking = true;
-            askedAt = context.nowMs();
-            asked = arrived;
+        boolean isDue = context.nowMs() - requestedAtMs >= requestIntervalMs;
+        if (!requestInFlight && !arrived.isEmpty() && isDue) {
+            requestInFlight = true;
+            requestedAtMs = context.nowMs();
+            requested = arrived;
             arrived = new ArrayList<>();
             context.emit(new Effect.ReadRevision());
         }
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -6,10 +6,13 @@
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 
-/** Keeps the replica up to date: reads the whole state once, then follows it by one watch after the other. */
+/**
+ * Keeps the replica up to date: lists the whole store once, then follows it by one watch after the other. A watch that
+ * has fallen behind what the store still remembers leads to another listing.
+ */
 public final class StoreWatcher {
-    /** A listing that failed is tried again after so long. */
-    private static final long LIST_AGAIN_MS = 500;
+    /** Time between the starts of two listings. */
+    private static final long LIST_RETRY_MS = 500;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -17,14 +20,16 @@
     private final ReplicaFreshness freshness;
     private final ReadBarrier barrier;
     private final ControllerCounters counters;
-    private boolean listing;
-    private long listedAt;
-    /** When the watch under way, or the listing before it, was asked for: its answer shows all that was by then. */
-    private long watchedAt;
+    private boolean listInFlight;
+    private long listRequestedAtMs;
+    /** When the watch in flight was requested: its answer shows everything that was durable by then. */
+    private long watchRequestedAtMs;
 
     private boolean loaded;
-    private long loadedFrom;
+    /** The revision from which on the replica is complete, see {@link #isCaughtUp()}. */
+    private long completeAtRevision;
 
+    /** Begins without a listing; the first is requested by a tick. */
     public StoreWatcher(
             ControllerContext context,
             StoreReplica replica,
@@ -40,50 +45,54 @@
         this.counters = counters;
     }
 
-    /** True if the state has been read and is followed. */
+    /** True if the store has been listed and is being watched. */
     public boolean isLoaded() {
         return loaded;
     }
 
-    /** True if the replica holds all that was durable at some moment, with nothing of a later one in between. */
+    /** True if the replica holds all that was durable at some moment, and nothing of a later one. */
     public boolean isCaughtUp() {
-        return loaded && replica.revision() >= loadedFrom;
+        return loaded && replica.revision() >= completeAtRevision;
     }
 
-    /** Asks for the whole state if it is not followed. */
+    /** Requests a listing if the store is not being watched. */
     public void tick() {
-        if (!loaded && !listing && context.nowMs() - listedAt > LIST_AGAIN_MS) {
-            listing = true;
-            listedAt = context.nowMs();
+        if (!loaded && !listInFlight && context.nowMs() - listRequestedAtMs > LIST_RETRY_MS) {
+            listInFlight = true;
+            listRequestedAtMs = context.nowMs();
             context.emit(new Effect.ListStore());
         }
     }
 
-    /** The whole state was read. */
+    /** The store was listed. */
     public void onListed(Input.StoreListed in) {
         connectivity.onContact();
-        listing = false;
+        listInFlight = false;
         loaded = true;
-        // Changes between the listing's first and last page are only complete once the watch has passed them.
-        loadedFrom = in.latestRevision();
+        // Changes between the listing's first and last page are complete only once the watch has passed them.
+        completeAtRevision = in.latestRevision();
         replica.load(in.rows(), in.revision());
-        freshness.onRefreshed(listedAt);
+        freshness.onRefreshed(listRequestedAtMs);
         barrier.onReplicaAdvanced();
-        context.info("read " + replica.jobs().size() + " jobs from the state service at revision " + in.revision());
+        context.info("read " + replica.jobs().size() + " jobs from the store at revision " + in.revision());
         watch(in.revision());
     }
 
-    /** The state could not be read. */
+    /** The store could not be listed. */
     public void onListFailed() {
-        listing = false;
+        listInFlight = false;
     }
 
-    private void watch(long since) {
-        watchedAt = context.nowMs();
-        context.emit(new Effect.Watch(since));
+    private void watch(long afterRevision) {
+        watchRequestedAtMs = context.nowMs();
+        context.emit(new Effect.Watch(afterRevision));
     }
 
-    /** A watch was answered; true if it brought changes. */
+    /**
+     * A watch was answered.
+     *
+     * @return true if it brought changes
+     */
     public boolean onEvents(Input.WatchEvents in) {
         if (!loaded) {
             return false;
@@ -93,25 +102,26 @@
             replica.apply(change);
         }
         counters.add(Counter.CHANGES_SEEN, in.changes().size());
-        log(in);
+        logProgress(in);
         replica.advance(in.revision());
         barrier.onReplicaAdvanced();
-        freshness.onRefreshed(watchedAt);
+        freshness.onRefreshed(watchRequestedAtMs);
         watch(in.revision());
         return !in.changes().isEmpty();
     }
 
-    private void log(Input.WatchEvents in) {
+    private void logProgress(Input.WatchEvents in) {
         if (context.logsCommands() && !in.changes().isEmpty()) {
-            context.debug("the state is read up to revision " + in.revision() + ": "
-                    + in.changes().size() + " changes, asked for " + (context.nowMs() - watchedAt) + " ms ago");
+            context.debug("the replica is at revision " + in.revision() + ": "
+                    + in.changes().size() + " changes, requested " + (context.nowMs() - watchRequestedAtMs)
+                    + " ms ago");
         }
     }
 
     /** A watch ended without an answer. */
     public void onWatchFailed(Input.WatchFailed in) {
         if (in.revisionCompacted()) {
-            context.info("the watch fell behind, reading the state anew");
+            context.info("the watch fell behind, listing the store again");
             loaded = false;
         } else if (loaded) {
             watch(replica.revision());
