--- a/src/main/java/dewlane/core/membership/Authority.java
+++ b/src/main/java/dewlane/core/membership/Authority.java
@@ -1,15 +1,15 @@
 package dewlane.core.membership;
 
 /**
- * What a controller may do at one instant, by its place in the map, by whom it reaches, and by the age of its view of
- * the state.
+ * What a controller may do at one instant, given its place in the partition map, whom it reaches, and the age of its
+ * view of the store.
  *
- * @param member the map holds this start of the controller
+ * @param member the partition map holds this start of the controller
  * @param superseded a peer has shown a newer map, which this controller should have read by now
- * @param isolated neither the state service nor a peer was reached for longer than the controller's own lease
- * @param reachesStore the state service answered lately
- * @param viewAllowsRenewal the view of cancellations is young enough to renew a worker's lease
- * @param viewAllowsLaunch the view of cancellations is young enough to start a task
+ * @param isolated neither the store nor a peer was reached for longer than the controller's own lease
+ * @param reachesStore the store answered lately
+ * @param viewAllowsRenewal the view of cancellations is fresh enough to renew a worker's lease
+ * @param viewAllowsLaunch the view of cancellations is fresh enough to start a task
  */
 public record Authority(
         boolean member,
@@ -20,27 +20,27 @@
         boolean viewAllowsLaunch) {
     /** The first thing that keeps a controller from doing all it is for. */
     enum Restriction {
-        NOT_A_MEMBER("decides nothing: it is not in the map"),
-        SUPERSEDED("answers no worker: a peer has a newer map"),
-        ISOLATED("answers no worker: it reaches neither the state service nor a peer"),
+        NOT_A_MEMBER("decides nothing: it is not in the partition map"),
+        SUPERSEDED("answers no worker: a peer has a newer partition map"),
+        ISOLATED("answers no worker: it reaches neither the store nor a peer"),
         VIEW_EXPIRED("answers no worker: its view of cancellations is too old to renew a lease"),
-        STORE_UNREACHABLE("keeps what runs and decides nothing new: the state service does not answer"),
-        VIEW_STALE("keeps what runs and starts nothing: its view of cancellations is old"),
+        STORE_UNREACHABLE("keeps what runs and decides nothing new: the store does not answer"),
+        VIEW_STALE("keeps what runs and launches nothing: its view of cancellations is old"),
         NONE("serves in full");
 
         private final String description;
 
-        Restriction(String meaning) {
-            this.description = meaning;
+        Restriction(String description) {
+            this.description = description;
         }
 
-        /** What the controller does under the limit, and why, for the log. */
+        /** What the controller does under the restriction, and why, for the log. */
         String description() {
             return description;
         }
     }
 
-    /** True if a worker's report may be answered, which renews the worker's lease. */
+    /** True if a worker's heartbeat may be answered, which renews the worker's lease. */
     public boolean mayRenewWorkerLeases() {
         return member && !superseded && !isolated && viewAllowsRenewal;
     }
@@ -50,12 +50,12 @@
         return viewAllowsLaunch;
     }
 
-    /** True if new decisions may be made, which are then written under conditions. */
+    /** True if new decisions may be made, which are then written under preconditions. */
     public boolean mayDecide() {
         return member && reachesStore;
     }
 
-    /** The first of the limits that holds. */
+    /** The first of the restrictions that holds. */
     Restriction restriction() {
         if (!member) {
             return Restriction.NOT_A_MEMBER;
--- a/src/main/java/dewlane/core/membership/AuthorityMonitor.java
+++ b/src/main/java/dewlane/core/membership/AuthorityMonitor.java
@@ -4,7 +4,7 @@
 import dewlane.core.store.ReplicaFreshness;
 import dewlane.core.store.StoreConnectivity;
 
-/** Tells the controller's {@link Authority} at this instant, and logs once a second whether its limit has changed. */
+/** Works out the controller's {@link Authority} at this instant, and logs its restriction whenever that changes. */
 public final class AuthorityMonitor {
     private final ControllerContext context;
     private final Membership membership;
@@ -12,7 +12,7 @@
     private final ReplicaFreshness freshness;
     private Authority.Restriction logged = Authority.Restriction.NOT_A_MEMBER;
 
-    /** Nothing is logged until the first tick. */
+    /** A monitor that logs nothing until the first tick. */
     public AuthorityMonitor(
             ControllerContext context, Membership membership, StoreConnectivity store, ReplicaFreshness freshness) {
         this.context = context;
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -1,78 +1,76 @@
 package dewlane.core.membership;
 
 import dewlane.core.message.ControllerContext;
-import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.schema.Partitioner;
-import dewlane.core.schema.SchemaVersion;
-import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue.Member;
 import dewlane.core.schema.StoredValue.PartitionMap;
 import dewlane.core.schema.StoredValue.Presence;
 import dewlane.core.schema.StoredValue.QuotaTransfer;
 import dewlane.core.schema.Transaction;
-import dewlane.core.schema.TransactionPriority;
 import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.StoreConnectivity;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.stream.Collectors;
+import java.util.function.Consumer;
 
 /**
- * Keeps this controller's lease, its place in the map, and the map free of controllers whose lease ended.
+ * This controller's place among the members of the partition map: joins, evicts members whose lease has expired, and
+ * has machines and quota reassigned.
  *
  * <p>Every change of the map has a higher epoch, and so has every start of a controller: a controller that restarts
- * within its old lease takes its old place again, so no machine changes hands, but under an epoch whose tokens it has
- * never used.
+ * before its old lease expires takes its old place again, so no machine changes hands, but under an epoch whose fencing
+ * tokens it has never used.
  */
 public final class Membership {
-    private static final long ISOLATED_MS = 2000;
-    /** Take-overs that come close together share a map. */
-    private static final long CLAIM_MS = 2000;
+    /** After a silence of its lease and so much more, the others have evicted this controller. */
+    private static final long ISOLATION_MARGIN_MS = 2000;
+    /** A newer map that a peer has shown should have come by the watch within so long. */
+    private static final long WATCH_DELAY_MS = 1000;
+
+    /** The incarnation of a controller that has not joined. */
+    private static final long NOT_JOINED = 0;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final StoreConnectivity store;
     private final PeerTable peers;
-    private final TransactionQueue transactions;
+    private final MemberLease lease;
+    private final MissingMembers missingMembers;
+    private final MachineClaims claims;
+    private final ControllerSchemaVersions schemaVersions;
     private final PartitionMapBuilder maps;
+    private final PartitionMapWriter writer;
     private final String self;
-    private final Map<String, Long> missingSince = new HashMap<>();
-    private final Set<String> claims = new HashSet<>();
-    /** What is to be lent with the next map: a share's change for this controller and its opposite for another. */
-    private final List<QuotaTransfer> lending = new ArrayList<>();
+    /** Transfers for the next map: what another controller gets, and the opposite for this one. */
+    private final List<QuotaTransfer> pendingTransfers = new ArrayList<>();
 
-    private long lease;
-    private boolean leaseAsked;
-    private long touchedAt;
-    private boolean touching;
-    private long askedAt;
-    private boolean writing;
-    private long writtenAt;
-    private long joinedAs;
-    private long newerSince;
-    private long claimedAt = Long.MIN_VALUE / 2;
+    private long incarnation = NOT_JOINED;
+    /** Since when peers have shown a newer map; 0 if none has. */
+    private long newerMapSinceMs;
 
+    /** A controller that has not joined; the sizer keeps the maps that it writes within the size of a value. */
     public Membership(
             ControllerContext context,
             StoreReplica replica,
             StoreConnectivity store,
             PeerTable peers,
             TransactionQueue transactions,
-            ValueSizer size) {
-        this.maps = new PartitionMapBuilder(context, replica, size);
+            ValueSizer sizer) {
         this.context = context;
         this.replica = replica;
         this.store = store;
         this.peers = peers;
-        this.transactions = transactions;
         this.self = context.settings().controllerName();
+        this.lease = new MemberLease(context);
+        this.missingMembers = new MissingMembers(context, replica);
+        this.claims = new MachineClaims(context, replica);
+        this.schemaVersions = new ControllerSchemaVersions(context, replica);
+        this.maps = new PartitionMapBuilder(context, replica, schemaVersions, sizer);
+        this.writer = new PartitionMapWriter(replica, transactions);
     }
 
     /** True if the store has answered lately. */
@@ -80,226 +78,159 @@
         return store.isReachable();
     }
 
-    /** True while the map holds this start of this controller. */
+    /** True while the partition map holds this start of this controller. */
     public boolean isMember() {
         PartitionMap map = replica.partitionMap();
-        return map != null && joinedAs != 0 && map.incarnation(self) == joinedAs;
+        return map != null && incarnation != NOT_JOINED && map.incarnation(self) == incarnation;
+    }
+
+    /** True if this controller is the leader, which alone scales out and deletes instances. */
+    public boolean isLeader() {
+        return isMember() && self.equals(Partitioner.leaderOf(replica.partitionMap()));
+    }
+
+    /** The epoch at which this controller last joined; 0 if it has not. */
+    public long incarnation() {
+        return incarnation;
     }
 
     /**
-     * True if this controller reaches neither the state service nor another controller for so long that its lease must
-     * have ended. The others have taken its part over then, and its workers had better go to them; in an outage for all
-     * the others are heard, and the workers are kept.
+     * True if this controller has reached neither the store nor another controller for so long that its lease must have
+     * expired. The others have taken over its partition then, and its workers had better go to them; in an outage for
+     * all the others are heard, and the workers are kept.
      */
     boolean isIsolated() {
-        long ms = context.settings().tuning().memberLeaseTtlMs() + ISOLATED_MS;
+        long ms = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
         return store.silenceMs() > ms && peers.noneHeardWithin(ms);
     }
 
-    /** The epoch at which this controller last joined. */
-    public long incarnation() {
-        return joinedAs;
-    }
-
     /** True if a peer has shown a newer map for longer than the watch should take, so that this one is out of date. */
     boolean isSuperseded() {
-        return newerSince != 0 && context.nowMs() - newerSince > 1000;
+        return newerMapSinceMs != 0 && context.nowMs() - newerMapSinceMs > WATCH_DELAY_MS;
     }
 
     /** A peer has shown the epoch of its partition map. */
     public void onPeerEpoch(long epoch) {
         if (replica.partitionMap() == null || epoch <= replica.partitionMap().epoch()) {
-            newerSince = 0;
-        } else if (newerSince == 0) {
-            newerSince = context.nowMs();
+            newerMapSinceMs = 0;
+        } else if (newerMapSinceMs == 0) {
+            newerMapSinceMs = context.nowMs();
         }
     }
 
     /**
      * True if every controller of the deployment has shown that it knows the present form of stored values. One that is
-     * down counts as older until it has: it may come back as it was. What those that are not there have shown is in the
-     * map, from which an older version drops it as it joins.
+     * down counts as older until it has: it may come back as it was.
      */
     public boolean allControllersUpgraded() {
-        return replica.partitionMap() != null
-                && context.settings().peers().stream().allMatch(this::isUpgraded);
+        return schemaVersions.allAreCurrent();
     }
 
-    private boolean isUpgraded(String node) {
-        Presence presence = replica.presences().get(node);
-        int format = presence != null
-                ? presence.schemaVersion()
-                : replica.partitionMap().schemaVersions().getOrDefault(node, SchemaVersion.FIRST);
-        return format >= SchemaVersion.CURRENT;
+    /** The store answered a request for a lease; 0 if it granted none. */
+    public void onLeaseGranted(long granted) {
+        lease.onGranted(granted);
     }
 
-    /** True if this controller is the leader, which alone scales out and deletes instances. */
-    public boolean isLeader() {
-        return isMember() && self.equals(Partitioner.leaderOf(replica.partitionMap()));
+    /** The store answered a lease renewal, or did not. */
+    public void onLeaseRenewal(Input.LeaseRenewalCompleted renewal) {
+        if (lease.onRenewal(renewal.lease(), renewal.expired())) {
+            context.info("lease expired, joining again");
+            incarnation = NOT_JOINED;
+        }
     }
 
-    /** The store answered a request for a lease; 0 if it granted none. */
-    public void onLeaseGranted(long granted) {
-        leaseAsked = false;
-        if (granted != 0) {
-            lease = granted;
-            touchedAt = context.nowMs();
-        }
+    /** Has a machine that cannot reach its owner reassigned to this controller, as soon as a map can be written. */
+    public void claimMachine(String machine) {
+        claims.add(machine);
     }
 
-    /** The store answered a lease renewal. */
-    public void onLeaseRenewal(Input.LeaseRenewalCompleted touched) {
-        touching = false;
-        if (touched.lease() == lease && touched.expired()) {
-            context.info("lease ended, joining again");
-            lease = 0;
-            joinedAs = 0;
-        }
+    /**
+     * Transfers some of this controller's share of a team's quota to another one, as soon as a map can be written.
+     *
+     * @param to the controller that gets it
+     */
+    public void transferQuota(String team, String to, double cpus, double gpus) {
+        pendingTransfers.add(new QuotaTransfer(team, to, cpus, gpus));
+        pendingTransfers.add(new QuotaTransfer(team, self, -cpus, -gpus));
     }
 
-    /** Renews the lease, joins the partition map, and evicts members whose lease expired. */
-    public void tick(boolean loaded) {
-        long now = context.nowMs();
-        if (lease == 0) {
-            if (!leaseAsked || now - askedAt > 3000) {
-                leaseAsked = true;
-                askedAt = now;
-                context.emit(new Effect.GrantLease(context.settings().tuning().memberLeaseTtlMs()));
-            }
-        } else if (now - touchedAt >= context.settings().tuning().memberLeaseTtlMs() / 4
-                && (!touching || now - touchedAt > 1500)) {
-            touching = true;
-            touchedAt = now;
-            context.emit(new Effect.RenewLease(lease));
+    /**
+     * Keeps the lease, and writes the next partition map if there is cause.
+     *
+     * @param caughtUp true if the replica is complete, so that a map may be built on it
+     */
+    public void tick(boolean caughtUp) {
+        lease.tick();
+        if (!caughtUp || !lease.isHeld() || !writer.isReady()) {
+            return;
         }
-        if (loaded && lease != 0 && !writing && replica.revision() >= writtenAt) {
-            if (!isMember()) {
-                join();
-            } else {
-                evictMissing();
-                if (!writing) {
-                    writeClaims();
-                }
-                if (!writing && !lending.isEmpty()) {
-                    writeQuotaTransfers();
-                }
-            }
+        if (!isMember()) {
+            join();
+            return;
+        }
+        evictMissing();
+        if (writer.isReady()) {
+            writeClaims();
+        }
+        if (writer.isReady()) {
+            writeQuotaTransfers();
         }
     }
 
     private void join() {
-        PartitionMap map = replica.partitionMap();
-        long epoch = map == null ? 1 : map.epoch() + 1;
-        List<Member> members = map == null
-                ? new ArrayList<>()
-                : map.members().stream()
-                        .filter(member -> !member.name().equals(self))
-                        .collect(Collectors.toCollection(ArrayList::new));
+        List<Member> members = new ArrayList<>();
+        if (replica.partitionMap() != null) {
+            members.addAll(replica.partitionMap().members());
+            members.removeIf(member -> member.name().equals(self));
+        }
+        long epoch = maps.nextEpoch();
         members.add(new Member(self, epoch));
-        write(
-                new Transaction.Builder()
-                        .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
-                        .put(StoreKeys.PARTITION_MAP, maps.next(epoch, members, Map.of()))
-                        .putWithLease(StoreKeys.presence(self), new Presence(epoch), lease)
-                        .build(),
-                epoch);
+        PartitionMap map = maps.withMembers(members, Map.of());
+        writer.writeJoin(map, self, new Presence(epoch), lease.id(), onWritten(epoch));
     }
 
     private void evictMissing() {
-        PartitionMap map = replica.partitionMap();
-        int rank = 0;
-        for (Member member : map.members()) {
-            if (member.name().equals(self)) {
-                break;
-            }
-            rank += replica.presences().containsKey(member.name()) ? 1 : 0;
-        }
-        Transaction.Builder transaction =
-                new Transaction.Builder().require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision());
-        List<Member> left = new ArrayList<>();
-        for (Member member : map.members()) {
-            boolean here = member.name().equals(self) || replica.presences().containsKey(member.name());
-            if (here) {
-                missingSince.remove(member.name());
-                left.add(member);
-                continue;
-            }
-            long since = missingSince.computeIfAbsent(member.name(), k -> context.nowMs());
-            if (context.nowMs() - since >= 300L * rank) {
-                transaction.require(StoreKeys.presence(member.name()), 0);
-                context.info("controller " + member.name() + " let its lease end, leaving it out of the map");
-            } else {
-                left.add(member);
-            }
+        List<Member> evicted = missingMembers.dueForEviction();
+        if (evicted.isEmpty()) {
+            return;
         }
-        if (left.size() < map.members().size()) {
-            missingSince.clear();
-            write(
-                    transaction
-                            .put(StoreKeys.PARTITION_MAP, maps.next(map.epoch() + 1, left, Map.of()))
-                            .build(),
-                    joinedAs);
+        for (Member member : evicted) {
+            context.info("controller " + member.name() + " let its lease expire, evicting it from the partition map");
         }
+        missingMembers.reset();
+        List<Member> remaining = new ArrayList<>(replica.partitionMap().members());
+        remaining.removeAll(evicted);
+        writer.writeEviction(maps.withMembers(remaining, Map.of()), evicted, onWritten(incarnation));
     }
 
-    /** Takes a machine over that cannot reach its owner; the map says so as soon as it can be written. */
-    public void claimMachine(String machine) {
-        claims.add(machine);
-    }
-
-    /**
-     * Lends another controller some of this one's share of a team's limit; the map says so as soon as it can be
-     * written.
-     */
-    public void transferQuota(String team, String to, double cpus, double gpus) {
-        lending.add(new QuotaTransfer(team, to, cpus, gpus));
-        lending.add(new QuotaTransfer(team, self, -cpus, -gpus));
+    private void writeClaims() {
+        Map<String, String> due = claims.takeDue();
+        if (!due.isEmpty()) {
+            writer.write(maps.withMembers(replica.partitionMap().members(), due), onWritten(incarnation));
+        }
     }
 
     private void writeQuotaTransfers() {
-        // One that has left in the meantime would take its loan with it.
-        boolean there =
-                lending.stream().allMatch(transfer -> replica.partitionMap().hasMember(transfer.controller()));
-        PartitionMap lent = maps.withQuotaTransfers(there ? lending : List.of());
-        lending.clear();
-        write(
-                new Transaction.Builder()
-                        .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
-                        .put(StoreKeys.PARTITION_MAP, lent)
-                        .build(),
-                joinedAs);
-    }
-
-    private void writeClaims() {
-        PartitionMap map = replica.partitionMap();
-        claims.removeIf(m -> self.equals(Partitioner.ownerOf(map, m))
-                || replica.decommissionsByMachine().containsKey(m));
-        if (!claims.isEmpty() && context.nowMs() - claimedAt > CLAIM_MS) {
-            claimedAt = context.nowMs();
-            context.info("taking over machines that cannot reach their controller: " + claims);
-            Map<String, String> claimed = new HashMap<>();
-            claims.stream().limit(PartitionMapBuilder.MAX_REASSIGNED_MACHINES).forEach(m -> claimed.put(m, self));
-            claims.removeAll(claimed.keySet());
-            write(
-                    new Transaction.Builder()
-                            .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
-                            .put(StoreKeys.PARTITION_MAP, maps.next(map.epoch() + 1, map.members(), claimed))
-                            .build(),
-                    joinedAs);
+        if (pendingTransfers.isEmpty()) {
+            return;
         }
+        // A controller that has left in the meantime would take its transfer with it.
+        boolean allPresent = pendingTransfers.stream()
+                .allMatch(transfer -> replica.partitionMap().hasMember(transfer.controller()));
+        PartitionMap map = maps.withQuotaTransfers(allPresent ? pendingTransfers : List.of());
+        pendingTransfers.clear();
+        writer.write(map, onWritten(incarnation));
     }
 
-    private void write(Transaction transaction, long incarnation) {
-        writing = true;
-        transactions.submit(TransactionPriority.MEMBERSHIP, transaction, (status, revision) -> {
-            writing = false;
-            writtenAt = revision;
+    /** What follows from a write by which this controller is a member since the given epoch. */
+    private Consumer<Transaction.Status> onWritten(long joinedAtEpoch) {
+        return status -> {
             if (status == Transaction.Status.COMMITTED) {
-                joinedAs = incarnation;
+                incarnation = joinedAtEpoch;
             } else if (status == Transaction.Status.INVALID) {
-                // The lease ended while the write was under way.
-                lease = 0;
+                // The lease has expired while the write was in flight.
+                lease.drop();
             }
-        });
+        };
     }
 }
--- a/src/main/java/dewlane/core/membership/PartitionMapBuilder.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapBuilder.java
@@ -1,7 +1,6 @@
 package dewlane.core.membership;
 
 import dewlane.core.message.ControllerContext;
-import dewlane.core.schema.SchemaVersion;
 import dewlane.core.schema.StoredValue.Member;
 import dewlane.core.schema.StoredValue.PartitionMap;
 import dewlane.core.schema.StoredValue.QuotaTransfer;
@@ -13,122 +12,130 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes the map that follows the present one, no larger than a value may be. */
+/** Builds the partition map that follows the present one, no larger than a value may be. */
 final class PartitionMapBuilder {
-    /** A machine that is dropped from those moved falls back to its part by hash; the map's value stays small. */
+    /** A machine that is dropped from those reassigned falls back to its partition by hash; the map stays small. */
     static final int MAX_REASSIGNED_MACHINES = 200;
 
     private final ControllerContext context;
     private final StoreReplica replica;
-    private final ValueSizer size;
+    private final ControllerSchemaVersions schemaVersions;
+    private final ValueSizer sizer;
 
-    PartitionMapBuilder(ControllerContext context, StoreReplica replica, ValueSizer size) {
+    PartitionMapBuilder(
+            ControllerContext context,
+            StoreReplica replica,
+            ControllerSchemaVersions schemaVersions,
+            ValueSizer sizer) {
         this.context = context;
         this.replica = replica;
-        this.size = size;
+        this.schemaVersions = schemaVersions;
+        this.sizer = sizer;
     }
 
-    /** A map with the given members, and further machines that are moved. */
-    PartitionMap next(long epoch, List<Member> members, Map<String, String> claimed) {
-        Map<String, String> moved = new HashMap<>(claimed);
+    /**
+     * The next map with the given members.
+     *
+     * @param claimed machines to be reassigned, in addition to those that are, and their new owners
+     */
+    PartitionMap withMembers(List<Member> members, Map<String, String> claimed) {
+        PartitionMap present = replica.partitionMap();
+        // Quota is shared among as many controllers as there are, so transfers hold only for the same members.
+        boolean keepsTransfers = present != null && members.equals(present.members());
+        return shrinkToFit(new PartitionMap(
+                nextEpoch(),
+                List.copyOf(members),
+                reassignedMachines(members, claimed),
+                keepsTransfers ? present.quotaTransfers() : List.of(),
+                schemaVersions.forNextMap(),
+                present == null ? UnknownFields.NONE : present.unknown()));
+    }
+
+    /** The next map with the same members and further transfers of quota. */
+    PartitionMap withQuotaTransfers(List<QuotaTransfer> further) {
+        PartitionMap present = replica.partitionMap();
+        PartitionMap next = new PartitionMap(
+                nextEpoch(),
+                present.members(),
+                present.reassignedMachines(),
+                combined(present.quotaTransfers(), further),
+                schemaVersions.forNextMap(),
+                present.unknown());
+        if (fits(next)) {
+            return next;
+        }
+        // Without transfers, shares are equal: whoever needs more gets it transferred anew.
+        context.info("the partition map has no room for another quota transfer, quota shares are equal again");
+        return shrinkToFit(next.withQuotaTransfers(List.of()));
+    }
+
+    /** The epoch of the next map; the first one has epoch 1. */
+    long nextEpoch() {
+        return replica.partitionMap() == null ? 1 : replica.partitionMap().epoch() + 1;
+    }
+
+    /** The claimed machines, and those of the present map whose owner remains a member. */
+    private Map<String, String> reassignedMachines(List<Member> members, Map<String, String> claimed) {
+        Map<String, String> reassigned = new HashMap<>(claimed);
         if (replica.partitionMap() != null) {
-            replica.partitionMap().reassignedMachines().forEach((machine, taker) -> {
-                boolean there =
-                        members.stream().anyMatch(member -> member.name().equals(taker));
-                if (there
+            replica.partitionMap().reassignedMachines().forEach((machine, owner) -> {
+                boolean remains =
+                        members.stream().anyMatch(member -> member.name().equals(owner));
+                if (remains
                         && !replica.decommissionsByMachine().containsKey(machine)
-                        && moved.size() < MAX_REASSIGNED_MACHINES) {
-                    moved.putIfAbsent(machine, taker);
+                        && reassigned.size() < MAX_REASSIGNED_MACHINES) {
+                    reassigned.putIfAbsent(machine, owner);
                 }
             });
         }
-        // Shares are of as many controllers as there are.
-        boolean same = replica.partitionMap() != null
-                && members.equals(replica.partitionMap().members());
-        return shrunk(new PartitionMap(
-                epoch,
-                List.copyOf(members),
-                Map.copyOf(moved),
-                same ? replica.partitionMap().quotaTransfers() : List.of(),
-                formats(),
-                replica.partitionMap() == null
-                        ? UnknownFields.NONE
-                        : replica.partitionMap().unknown()));
-    }
-
-    /** What the controllers have shown to know; of those that are not there, what the present map says of them. */
-    private Map<String, Integer> formats() {
-        Map<String, Integer> formats = new HashMap<>(
-                replica.partitionMap() == null
-                        ? Map.of()
-                        : replica.partitionMap().schemaVersions());
-        replica.presences().forEach((name, presence) -> formats.put(name, presence.schemaVersion()));
-        formats.put(context.settings().controllerName(), SchemaVersion.CURRENT);
-        formats.values().removeIf(format -> format <= SchemaVersion.FIRST);
-        return Map.copyOf(formats);
+        return Map.copyOf(reassigned);
     }
 
-    /** The present map with further loans of shares. */
-    PartitionMap withQuotaTransfers(List<QuotaTransfer> lending) {
-        PartitionMap map = replica.partitionMap();
-        List<QuotaTransfer> loans = new ArrayList<>(map.quotaTransfers());
-        for (QuotaTransfer transfer : lending) {
-            QuotaTransfer had = loans.stream()
-                    .filter(o ->
-                            o.team().equals(transfer.team()) && o.controller().equals(transfer.controller()))
-                    .findFirst()
-                    .orElse(null);
-            loans.remove(had);
-            loans.add(
-                    had == null
-                            ? transfer
-                            : new QuotaTransfer(
-                                    transfer.team(),
-                                    transfer.controller(),
-                                    had.cpus() + transfer.cpus(),
-                                    had.gpus() + transfer.gpus()));
-        }
-        PartitionMap lent = new PartitionMap(
-                map.epoch() + 1, map.members(), map.reassignedMachines(), List.copyOf(loans), formats(), map.unknown());
-        if (fits(lent)) {
-            return lent;
+    /** Transfers of the same team and controller add up. */
+    private static List<QuotaTransfer> combined(List<QuotaTransfer> present, List<QuotaTransfer> further) {
+        List<QuotaTransfer> sums = new ArrayList<>(present);
+        for (QuotaTransfer transfer : further) {
+            QuotaTransfer sum = transfer;
+            for (QuotaTransfer earlier : sums) {
+                if (earlier.isForSameShareAs(transfer)) {
+                    sum = earlier.plus(transfer);
+                    sums.remove(earlier);
+                    break;
+                }
+            }
+            sums.add(sum);
         }
-        // Equal shares take no room: whoever needs more borrows anew.
-        context.info("the map has no room for another loan, shares of teams' limits are equal again");
-        return shrunk(new PartitionMap(
-                lent.epoch(),
-                lent.members(),
-                lent.reassignedMachines(),
-                List.of(),
-                lent.schemaVersions(),
-                lent.unknown()));
+        return List.copyOf(sums);
     }
 
     private boolean fits(PartitionMap map) {
-        return size.bytes(map) <= context.settings().maxValueBytes();
+        return sizer.bytes(map) <= context.settings().maxValueBytes();
     }
 
     /**
-     * The map with as many moved machines as its value has room for. A machine that is dropped falls back to its part
-     * by hash, and is moved again if it still cannot reach that; loans go before the last of them.
+     * The map with as many reassigned machines as its value has room for. A machine that is dropped falls back to its
+     * partition by hash, and is claimed again if it still cannot reach that owner; quota transfers are dropped before
+     * the last of the machines.
      */
-    private PartitionMap shrunk(PartitionMap map) {
+    private PartitionMap shrinkToFit(PartitionMap map) {
         PartitionMap fitting = map;
         while (!fits(fitting)
                 && !(fitting.reassignedMachines().isEmpty()
                         && fitting.quotaTransfers().isEmpty())) {
-            Map<String, String> half = new HashMap<>();
-            fitting.reassignedMachines().entrySet().stream()
-                    .limit(fitting.reassignedMachines().size() / 2)
-                    .forEach(e -> half.put(e.getKey(), e.getValue()));
-            fitting = new PartitionMap(
-                    map.epoch(),
-                    map.members(),
-                    Map.copyOf(half),
-                    half.isEmpty() ? List.of() : fitting.quotaTransfers(),
-                    map.schemaVersions(),
-                    map.unknown());
+            Map<String, String> half = firstHalf(fitting.reassignedMachines());
+            fitting = fitting.withReassignedMachines(half);
+            if (half.isEmpty()) {
+                fitting = fitting.withQuotaTransfers(List.of());
+            }
         }
         return fitting;
     }
+
+    private static Map<String, String> firstHalf(Map<String, String> machines) {
+        Map<String, String> half = new HashMap<>();
+        machines.entrySet().stream()
+                .limit(machines.size() / 2)
+                .forEach(entry -> half.put(entry.getKey(), entry.getValue()));
+        return Map.copyOf(half);
+    }
 }
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -8,47 +8,57 @@
 
 /** What the other controllers last said of themselves, and when. */
 public final class PeerTable {
-    /** What a peer said is good for so long. */
-    private static final long FRESH_MS = 5000;
+    /** How long a peer's status is relied on. */
+    private static final long STATUS_TTL_MS = 5000;
+
+    /** A peer's latest status and the steady time of its arrival. */
+    private record Received(PeerStatus status, long atMs) {}
 
     private final ControllerContext context;
     private final StoreReplica replica;
-    private final Map<String, PeerStatus> statuses = new HashMap<>();
-    private final Map<String, Long> heardAt = new HashMap<>();
+    private final Map<String, Received> latest = new HashMap<>();
 
+    /** A table without any peer's status. */
     public PeerTable(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
     }
 
-    /** A peer told its status. */
+    /** A peer has sent its status. */
     public void update(PeerStatus status) {
-        statuses.put(status.controller(), status);
-        heardAt.put(status.controller(), context.nowMs());
+        latest.put(status.controller(), new Received(status, context.nowMs()));
     }
 
-    /** Names this start of a controller: one that restarted has not heard its machines yet. */
-    public String incarnationId(String node) {
+    /**
+     * Names one start of a controller: one that has restarted has not received its machines' heartbeats yet.
+     *
+     * @return null if the controller is not a member
+     */
+    public String incarnationId(String controller) {
         long incarnation =
-                replica.partitionMap() == null ? 0 : replica.partitionMap().incarnation(node);
-        return incarnation == 0 ? null : node + "@" + incarnation;
+                replica.partitionMap() == null ? 0 : replica.partitionMap().incarnation(controller);
+        return incarnation == 0 ? null : controller + "@" + incarnation;
     }
 
-    /** True if a peer said within the last few seconds that it reaches the state service. */
+    /** True if a peer said within the last few seconds that it reaches the store. */
     public boolean anyReachesStore() {
-        return statuses.values().stream()
-                .anyMatch(status -> status.storeReachable() && heardWithin(status.controller(), FRESH_MS));
+        return latest.values().stream()
+                .anyMatch(received -> received.status().storeReachable() && isWithin(received, STATUS_TTL_MS));
     }
 
-    /** True if the controller said something within the given time. */
-    public boolean heardWithin(String node, long ms) {
-        Long at = heardAt.get(node);
-        return at != null && context.nowMs() - at <= ms;
+    /** True if the controller's status came within the given time, in milliseconds. */
+    public boolean heardWithin(String controller, long ms) {
+        Received received = latest.get(controller);
+        return received != null && isWithin(received, ms);
     }
 
-    /** True if there are other controllers and none of them was heard within the given time. */
+    /** True if there are other controllers and the status of none of them came within the given time. */
     boolean noneHeardWithin(long ms) {
         return !context.settings().peers().isEmpty()
-                && heardAt.values().stream().allMatch(at -> context.nowMs() - at > ms);
+                && latest.values().stream().noneMatch(received -> isWithin(received, ms));
+    }
+
+    private boolean isWithin(Received received, long ms) {
+        return context.nowMs() - received.atMs() <= ms;
     }
 }
--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -160,6 +160,16 @@
             this(epoch, members, reassignedMachines, List.of());
         }
 
+        /** The same map with other reassigned machines. */
+        public PartitionMap withReassignedMachines(Map<String, String> machines) {
+            return new PartitionMap(epoch, members, machines, quotaTransfers, schemaVersions, unknown);
+        }
+
+        /** The same map with other transfers of quota. */
+        public PartitionMap withQuotaTransfers(List<QuotaTransfer> transfers) {
+            return new PartitionMap(epoch, members, reassignedMachines, transfers, schemaVersions, unknown);
+        }
+
         /** True if the controller is a member. */
         public boolean hasMember(String name) {
             return incarnation(name) != 0;
@@ -176,8 +186,25 @@
         }
     }
 
-    /** What a controller's share of a team's limit has beyond an equal one, or less if it is negative. */
-    record QuotaTransfer(String team, String controller, double cpus, double gpus) {}
+    /**
+     * By how much a controller's share of a team's limit differs from an equal one.
+     *
+     * @param team the team's name
+     * @param controller the controller's name
+     * @param cpus CPUs beyond an equal share; negative if there are fewer
+     * @param gpus GPUs beyond an equal share; negative if there are fewer
+     */
+    record QuotaTransfer(String team, String controller, double cpus, double gpus) {
+        /** True if both are about the same controller's share of the same team's limit. */
+        public boolean isForSameShareAs(QuotaTransfer other) {
+            return team.equals(other.team) && controller.equals(other.controller);
+        }
+
+        /** Both transfers in one; the other one must be for the same share. */
+        public QuotaTransfer plus(QuotaTransfer other) {
+            return new QuotaTransfer(team, controller, cpus + other.cpus, gpus + other.gpus);
+        }
+    }
 
     /** A controller and the epoch at which it joined. */
     record Member(String name, long incarnation) {}
