--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -16,7 +16,7 @@
 
 /** Good and bad settings files. */
 class DeployFileTest {
-    private static final Path GOOD = Path.of("src/test/resources/deploy.toml");
+    private static final Path GOOD = Path.of("docs/example-settings.toml");
 
     @TempDir
     private Path dir;
@@ -32,7 +32,7 @@
     void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
         DeployFile file = DeployFile.read(GOOD.toString(), null);
         assertEquals("node-0", file.settings().controllerName());
-        assertEquals("127.0.0.1:18085", file.endpoints().state());
+        assertEquals("127.0.0.1:18085", file.endpoints().store());
         assertEquals(16_384, file.settings().maxValueBytes());
         assertEquals(10, file.settings().objectiveS("guarantee", "any"));
         assertTrue(file.settings().teams().get("blue").hasLimit());
