--- a/src/main/java/dewlane/core/schema/Partitioner.java
+++ b/src/main/java/dewlane/core/schema/Partitioner.java
@@ -6,40 +6,43 @@
 import it.unimi.dsi.fastutil.HashCommon;
 
 /**
- * Divides machines into parts, one per controller of the map, by rendezvous hash: a controller that leaves or joins
- * moves only its own machines.
+ * Divides machines and keys into partitions, one per member of the partition map, by rendezvous hash: a member that
+ * leaves or joins moves only its own machines.
  */
 public final class Partitioner {
     private Partitioner() {}
 
-    /** The controller whose part a machine or a key belongs to, or null without a map. */
+    /** The controller whose partition a machine or a key belongs to, or null without a map. */
     public static String ownerOf(PartitionMap map, String name) {
         if (map == null) {
             return null;
         }
-        String taker = map.reassignedMachines().get(name);
-        if (taker != null && map.hasMember(taker)) {
-            return taker;
+        String reassignedTo = map.reassignedMachines().get(name);
+        if (reassignedTo != null && map.hasMember(reassignedTo)) {
+            return reassignedTo;
         }
-        String best = null;
-        long bestWeight = 0;
+        String owner = null;
+        long ownerWeight = 0;
         for (Member member : map.members()) {
-            long weight = HashCommon.murmurHash3(((long) name.hashCode() << 32)
-                    ^ HashCommon.mix(member.name().hashCode()));
-            if (best == null || weight > bestWeight) {
-                best = member.name();
-                bestWeight = weight;
+            long weight = weight(name, member.name());
+            if (owner == null || weight > ownerWeight) {
+                owner = member.name();
+                ownerWeight = weight;
             }
         }
-        return best;
+        return owner;
     }
 
-    /** The controller that may launch a slice's tasks. */
+    private static long weight(String name, String controller) {
+        return HashCommon.murmurHash3(((long) name.hashCode() << 32) ^ HashCommon.mix(controller.hashCode()));
+    }
+
+    /** The controller that may launch a slice's tasks: the slice's owner, or whose partition its key is in. */
     public static String ownerOf(PartitionMap map, String sliceKey, Slice slice) {
         return map != null && map.hasMember(slice.owner()) ? slice.owner() : ownerOf(map, sliceKey);
     }
 
-    /** The controller that has been in the map for longest. */
+    /** The controller that has been a member for longest, or null without a map. */
     public static String leaderOf(PartitionMap map) {
         if (map == null) {
             return null;
--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -7,13 +7,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Everything dewlane keeps in the state service. Values are never changed in place. */
+/**
+ * Everything dewlane keeps in the store, one type for each kind of key (see {@link StoreKeys}). Values are never
+ * changed in place.
+ */
 public sealed interface StoredValue {
 
     /**
-     * A job that is not final, or is cancelled with tasks that may still be on machines.
+     * A job that has not ended, or is cancelled with tasks that may still be on machines.
      *
-     * @param assignments how its tasks were dealt at acceptance; deal N holds until slice N has a key of its own
+     * @param job the job as it was submitted
+     * @param assignments how its tasks were cut into slices at acceptance; assignment N holds until slice N has a key
+     *     of its own
+     * @param cancelledAtMs time of day of the cancellation; 0 if the job was not cancelled
+     * @param unknown fields of newer versions, to be written back
      */
     record JobRecord(Job job, List<SliceAssignment> assignments, long cancelledAtMs, UnknownFields unknown)
             implements StoredValue {
@@ -22,12 +29,15 @@
         }
 
         /**
-         * The same record with the mark that the job is cancelled. Nothing of it is launched any more, so how it was
-         * dealt is left out where a value has no room for it.
+         * The same record with the mark that the job is cancelled. Nothing of it is launched any more, so its
+         * assignments are left out where a value has no room for them.
+         *
+         * @param atMs time of day of the cancellation
+         * @param maxBytes the size that a value may have
          */
-        public JobRecord asCancelled(long atMs, ValueSizer size, int mostBytes) {
+        public JobRecord asCancelled(long atMs, ValueSizer sizer, int maxBytes) {
             JobRecord marked = new JobRecord(job, assignments, atMs, unknown);
-            return size.bytes(marked) <= mostBytes ? marked : new JobRecord(job, List.of(), atMs, unknown);
+            return sizer.bytes(marked) <= maxBytes ? marked : new JobRecord(job, List.of(), atMs, unknown);
         }
 
         /** True if the job was cancelled. */
@@ -36,7 +46,13 @@
         }
     }
 
-    /** A run of a job's tasks and the controller they are dealt to. */
+    /**
+     * A range of a job's tasks and the controller that is to run them.
+     *
+     * @param owner the controller's name
+     * @param first the number of the first task within the job
+     * @param count how many tasks there are
+     */
     record SliceAssignment(String owner, int first, int count) {
         /** The slice as it stands until its first change is stored. */
         public Slice slice() {
@@ -44,15 +60,24 @@
         }
     }
 
-    /** The final state of a job; never deleted. */
+    /**
+     * The result of a job that has ended; never changed and never deleted.
+     *
+     * @param cancelled true if the job was cancelled, false if every task is done
+     * @param endedAtMs time of day at which the job ended
+     */
     record JobResult(boolean cancelled, long endedAtMs) implements StoredValue {}
 
     /**
-     * A run of a job's tasks.
+     * A range of a job's tasks, with their outcomes and attempts.
      *
-     * @param owner the controller it is dealt to; another acts once that one left the map
-     * @param launchCount number of the latest launch
+     * @param owner the controller that launches its tasks; another one does once that one is no member any more
+     * @param first the number of the first task within the job
+     * @param count how many tasks there are
+     * @param launchCount how many launches have been written, so the number of the latest one
      * @param done tasks that are done, as offsets from {@code first}
+     * @param attempts launches that may be on a machine, at most one for each task
+     * @param unknown fields of newer versions, to be written back
      */
     record Slice(
             String owner,
@@ -68,31 +93,31 @@
         }
 
         /** The same slice with other outcomes. */
-        public Slice withOutcomes(BitSet nowDone, List<Attempt> left) {
-            return new Slice(owner, first, count, launchCount, nowDone, List.copyOf(left), unknown);
+        public Slice withOutcomes(BitSet nowDone, List<Attempt> remainingAttempts) {
+            return new Slice(owner, first, count, launchCount, nowDone, List.copyOf(remainingAttempts), unknown);
         }
 
         /** The same slice owned by the launching controller, after one more launch. */
-        public Slice withLaunch(String launcher, List<Attempt> live) {
-            return new Slice(launcher, first, count, launchCount + 1, done, List.copyOf(live), unknown);
+        public Slice withLaunch(String launcher, List<Attempt> liveAttempts) {
+            return new Slice(launcher, first, count, launchCount + 1, done, List.copyOf(liveAttempts), unknown);
         }
 
-        /** The same slice dealt to another controller. */
+        /** The same slice assigned to another controller. */
         public Slice withOwner(String other) {
             return new Slice(other, first, count, launchCount, done, attempts, unknown);
         }
 
-        /** The run of {@code length} tasks that begins {@code from} tasks after the first. */
+        /** The {@code length} tasks that begin {@code from} tasks after the first, as a slice of their own. */
         public Slice subrange(int from, int length) {
             BitSet doneThere = done.get(from, from + length);
-            List<Attempt> there = new ArrayList<>();
+            List<Attempt> attemptsThere = new ArrayList<>();
             for (Attempt attempt : attempts) {
                 int offset = attempt.task() - first;
                 if (offset >= from && offset < from + length) {
-                    there.add(attempt);
+                    attemptsThere.add(attempt);
                 }
             }
-            return new Slice(owner, first + from, length, launchCount, doneThere, List.copyOf(there), unknown);
+            return new Slice(owner, first + from, length, launchCount, doneThere, List.copyOf(attemptsThere), unknown);
         }
 
         /** True if every task of the slice is done. */
@@ -105,18 +130,18 @@
             return done.get(task - first);
         }
 
-        /** Tasks that are neither done nor may be on a machine. */
+        /** How many tasks are neither done nor may be on a machine. */
         public int pendingCount() {
             return count - done.cardinality() - attempts.size();
         }
 
         /** Tasks that are done or may be on a machine, as offsets from {@code first}. */
         public BitSet occupied() {
-            BitSet taken = (BitSet) done.clone();
+            BitSet occupied = (BitSet) done.clone();
             for (Attempt attempt : attempts) {
-                taken.set(attempt.task() - first);
+                occupied.set(attempt.task() - first);
             }
-            return taken;
+            return occupied;
         }
 
         /** The attempt that may be running the task, or null. */
@@ -131,14 +156,16 @@
     }
 
     /**
-     * The live controllers. Each change has a higher epoch.
+     * The live controllers and who owns what beyond the hash of {@link Partitioner}.
      *
-     * @param reassignedMachines machines that could not reach the controller of their part, and the one that took them
-     *     over
-     * @param quotaTransfers by how much shares of teams' limits differ from equal ones; those of a team add up to
-     *     nothing
+     * @param epoch grows with each change of the map; fencing tokens are derived from it
+     * @param members the live controllers
+     * @param reassignedMachines machines that could not reach the controller of their partition, and the controller
+     *     that owns them instead
+     * @param quotaTransfers by how much shares of teams' limits differ from equal ones; those of a team add up to zero
      * @param schemaVersions by controller, live or not, the newest form of stored values that it has shown to know, see
      *     {@link SchemaVersion}. Version 0.1 drops this field from each map that it writes, and it writes one to join
+     * @param unknown fields of newer versions, to be written back
      */
     record PartitionMap(
             long epoch,
@@ -175,7 +202,7 @@
             return incarnation(name) != 0;
         }
 
-        /** The epoch at which the controller joined, or 0 if it is not in the map. */
+        /** The epoch at which the controller joined, or 0 if it is no member. */
         public long incarnation(String name) {
             for (Member member : members) {
                 if (member.name().equals(name)) {
@@ -206,12 +233,18 @@
         }
     }
 
-    /** A controller and the epoch at which it joined. */
+    /**
+     * A live controller.
+     *
+     * @param name the controller's name
+     * @param incarnation the epoch of the map by which this start of the controller joined
+     */
     record Member(String name, long incarnation) {}
 
     /**
      * Attached to a controller's lease: it is there as long as the controller renews.
      *
+     * @param incarnation the epoch of the map by which this start of the controller joined
      * @param schemaVersion the newest form of stored values that the controller knows, see {@link SchemaVersion}
      */
     record Presence(long incarnation, int schemaVersion) implements StoredValue {
@@ -220,13 +253,22 @@
         }
     }
 
-    /** Changed by every launch for a team with a limit, so that launches for it are one after the other. */
+    /**
+     * What a team uses as of the latest launch for it. Each launch for a team with a small limit writes this, so that
+     * they are made one after the other.
+     *
+     * @param cpus CPUs in use
+     * @param gpus GPUs in use
+     */
     record TeamUsageRecord(double cpus, double gpus) implements StoredValue {}
 
     /**
      * Why no launch may be written for a machine any more.
      *
-     * @param machines the machines, if the record is about several; else its key names the one
+     * @param state what is to become of the machine
+     * @param reason a word for the log
+     * @param machines the machines, if the record is about several; otherwise its key names the one
+     * @param unknown fields of newer versions, to be written back
      */
     record DecommissionRecord(DecommissionState state, String reason, List<String> machines, UnknownFields unknown)
             implements StoredValue {
@@ -235,16 +277,20 @@
         }
     }
 
-    /** A value that this version cannot read. Whatever depends on it is held until it can be read or is replaced. */
-    record Unreadable(String reason) implements StoredValue {}
-
     /** What is to become of a machine. */
     enum DecommissionState {
-        /** idle, to be returned unless a launch came first */
+        /** Idle, to be deleted unless a launch came first. */
         SCALE_IN,
-        /** silent or faulty, to be deleted whatever is on it */
+        /** Silent or faulty, to be deleted whatever is on it. */
         DELETE,
-        /** proven gone */
+        /** Proven gone. */
         TERMINATED
     }
+
+    /**
+     * A value that this version cannot read. Whatever depends on it is held until it can be read or is replaced.
+     *
+     * @param reason what is wrong with it, for the log
+     */
+    record Unreadable(String reason) implements StoredValue {}
 }
--- a/src/main/java/dewlane/core/schema/Transaction.java
+++ b/src/main/java/dewlane/core/schema/Transaction.java
@@ -3,14 +3,34 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A conditional write, applied as a whole or not at all. */
+/**
+ * A conditional write, applied as a whole or not at all.
+ *
+ * @param preconditions all of them must hold
+ * @param writes what is then done
+ */
 public record Transaction(List<Precondition> preconditions, List<Write> writes) {
+    private static final long NO_LEASE = 0;
 
-    /** The key must have this version; 0: it must not exist. */
+    /**
+     * A compare-and-swap condition on one key.
+     *
+     * @param version the revision of the key's latest change; 0 if the key must not exist
+     */
     public record Precondition(String key, long version) {}
 
-    /** Sets the key, or deletes it if the value is null. A lease of 0 attaches it to none. */
-    public record Write(String key, StoredValue value, long lease) {}
+    /**
+     * Sets or deletes one key.
+     *
+     * @param value the new value, or null to delete the key
+     * @param lease the lease to whose life the key is attached; 0 for none
+     */
+    public record Write(String key, StoredValue value, long lease) {
+        /** True if the key is attached to a lease. */
+        public boolean hasLease() {
+            return lease != NO_LEASE;
+        }
+    }
 
     /** How a transaction ended, as far as the store's answer tells. */
     public enum Status {
@@ -38,22 +58,22 @@
         private final List<Precondition> preconditions = new ArrayList<>();
         private final List<Write> writes = new ArrayList<>();
 
-        /** Makes the transaction conditional on the version of a key; 0: the key does not exist. */
+        /** Makes the transaction conditional on the version of a key; 0 if the key must not exist. */
         public Builder require(String key, long version) {
-            Precondition guard = new Precondition(key, version);
-            if (!preconditions.contains(guard)) {
-                preconditions.add(guard);
+            Precondition precondition = new Precondition(key, version);
+            if (!preconditions.contains(precondition)) {
+                preconditions.add(precondition);
             }
             return this;
         }
 
         /** Writes a key. */
         public Builder put(String key, StoredValue value) {
-            writes.add(new Write(key, value, 0));
+            writes.add(new Write(key, value, NO_LEASE));
             return this;
         }
 
-        /** Writes a key that goes when the lease ends. */
+        /** Writes a key that is deleted when the lease expires. */
         public Builder putWithLease(String key, StoredValue value, long lease) {
             writes.add(new Write(key, value, lease));
             return this;
@@ -61,16 +81,16 @@
 
         /** Deletes a key. */
         public Builder delete(String key) {
-            writes.add(new Write(key, null, 0));
+            writes.add(new Write(key, null, NO_LEASE));
             return this;
         }
 
-        /** How many conditions there are so far. */
+        /** How many preconditions there are so far. */
         public int preconditionCount() {
             return preconditions.size();
         }
 
-        /** How many changes there are so far. */
+        /** How many writes there are so far. */
         public int writeCount() {
             return writes.size();
         }
--- a/src/main/java/dewlane/core/schema/ValueSizer.java
+++ b/src/main/java/dewlane/core/schema/ValueSizer.java
@@ -1,7 +1,7 @@
 package dewlane.core.schema;
 
-/** Tells how many bytes a value takes in the state service. */
+/** Tells how many bytes a value takes in the store. */
 public interface ValueSizer {
-    /** Bytes of the value as it is stored. */
+    /** Bytes of the value as the store counts them. */
     int bytes(StoredValue value);
 }
--- a/src/main/java/dewlane/core/store/InvalidTransactions.java
+++ b/src/main/java/dewlane/core/store/InvalidTransactions.java
@@ -30,7 +30,7 @@
      */
     void record(Transaction transaction) {
         counters.increment(Counter.INVALID_TRANSACTIONS);
-        if (transaction.writes().stream().anyMatch(write -> write.lease() != 0)) {
+        if (transaction.writes().stream().anyMatch(Transaction.Write::hasLease)) {
             return;
         }
         String largestKey = null;
