--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -43,7 +43,7 @@
 
     /** Passes on at once what this controller has confirmed: others' watches may be refused just now. */
     void tick() {
-        if (cancellations.takeUnannounced() && membership.isMember()) {
+        if (cancellations.takeAnnouncementDue() && membership.isMember()) {
             context.emit(new Effect.BroadcastStatus(List.of(status(List.of()))));
         }
     }
@@ -81,11 +81,12 @@
     }
 
     private PeerStatus status(List<MachineStatus> page) {
+        cancellations.removeExpired();
         return new PeerStatus(
                 context.settings().controllerName(),
                 replica.partitionMap().epoch(),
                 membership.reachesStore(),
-                cancellations.recentlyConfirmed(),
+                cancellations.jobsToAnnounce(),
                 page);
     }
 }
--- a/src/main/java/dewlane/core/job/DependencyGraph.java
+++ b/src/main/java/dewlane/core/job/DependencyGraph.java
@@ -11,168 +11,183 @@
 import java.util.Set;
 
 /**
- * The only way for an item to start: it becomes ready once its source list is empty. A result strikes its item from the
- * source lists of its destinations once; later copies are dropped. A failure passes to all dependants.
+ * The dependency graph of jobs, and the only way for a job to become ready: once none of its dependencies is
+ * unsatisfied. The first result of a job counts, and satisfies its dependents once; later copies change nothing. A
+ * failure passes to all dependents, direct and transitive.
+ *
+ * <p>Collections that are returned are live views in a fixed order; callers neither change nor keep them.
  */
 public final class DependencyGraph {
-    /** What became of an item. */
+    /** How a job ended. */
     public enum Result {
+        /** All tasks are done, so dependents may start. */
         DONE,
+        /** The job will never be done, so neither will its dependents. */
         FAILED
     }
 
-    private static final class Item {
-        /** All items that it waits for, and those of them whose result is still to come. */
-        final Set<String> allDependencies = new LinkedHashSet<>();
+    private static final class Node {
+        /** Every dependency named when the job was added. */
+        private final Set<String> allDependencies = new LinkedHashSet<>();
+        /** The dependencies that have no result yet. */
+        private final Set<String> unsatisfied = new LinkedHashSet<>();
 
-        final Set<String> unsatisfied = new LinkedHashSet<>();
-        final Set<String> dependents = new LinkedHashSet<>();
-        Result result;
-        boolean known;
+        private final Set<String> dependents = new LinkedHashSet<>();
+        private Result result;
+        /** False while the job is only named by its dependents, or has only a result. */
+        private boolean added;
     }
 
-    private final Map<String, Item> items = new HashMap<>();
+    private final Map<String, Node> nodes = new HashMap<>();
     private final Set<String> ready = new LinkedHashSet<>();
     private final Set<String> failed = new LinkedHashSet<>();
 
     /**
-     * Adds an item with the items it waits for, which may be added later. Adding it again changes nothing.
+     * Adds a job with its dependencies, which may be added later. Adding it again changes nothing.
      *
-     * @return the items that failed by it: this one and its dependants, if one of its sources has failed
+     * @return the jobs that fail with it, itself first and then its dependents, if a dependency has failed; else none
      */
-    public List<String> add(String id, Collection<String> sources) {
-        Item item = items.computeIfAbsent(id, k -> new Item());
-        if (item.known) {
+    public List<String> add(String id, Collection<String> dependencies) {
+        Node node = nodeOf(id);
+        if (node.added) {
             return List.of();
         }
-        item.known = true;
-        boolean sourceFailed = false;
-        for (String source : sources) {
-            Item from = items.computeIfAbsent(source, k -> new Item());
-            item.allDependencies.add(source);
-            from.dependents.add(id);
-            if (from.result == Result.FAILED) {
-                sourceFailed = true;
-            } else if (from.result == null) {
-                item.unsatisfied.add(source);
-            }
+        node.added = true;
+        boolean dependencyFailed = false;
+        for (String dependency : dependencies) {
+            dependencyFailed |= link(id, node, dependency) == Result.FAILED;
         }
-        if (item.result == Result.FAILED) {
+        if (node.result == Result.FAILED) {
             failed.add(id);
-        } else if (sourceFailed) {
-            List<String> dependants = new ArrayList<>(List.of(id));
-            dependants.addAll(finish(id, Result.FAILED));
-            return dependants;
-        } else if (item.result == null && item.unsatisfied.isEmpty()) {
+        } else if (dependencyFailed) {
+            List<String> failedJobs = new ArrayList<>(List.of(id));
+            failedJobs.addAll(finish(id, Result.FAILED));
+            return failedJobs;
+        } else if (node.result == null && node.unsatisfied.isEmpty()) {
             ready.add(id);
         }
         return List.of();
     }
 
+    /** Makes a job depend on another, whose result is returned, or null if it has none yet. */
+    private Result link(String id, Node node, String dependency) {
+        Node dependencyNode = nodeOf(dependency);
+        node.allDependencies.add(dependency);
+        dependencyNode.dependents.add(id);
+        if (dependencyNode.result == null) {
+            node.unsatisfied.add(dependency);
+        }
+        return dependencyNode.result;
+    }
+
+    private Node nodeOf(String id) {
+        return nodes.computeIfAbsent(id, newId -> new Node());
+    }
+
     /**
-     * Takes an item's result, of which only the first counts.
+     * Records a job's result, of which only the first counts.
      *
-     * @return the dependants that failed with it
+     * @return the dependents, direct and transitive, that fail with it
      */
     public List<String> finish(String id, Result result) {
-        List<String> dependants = new ArrayList<>();
+        List<String> failedDependents = new ArrayList<>();
         Deque<String> queue = new ArrayDeque<>(List.of(id));
         while (!queue.isEmpty()) {
-            String at = queue.poll();
-            Item item = items.computeIfAbsent(at, k -> new Item());
-            if (item.result != null) {
+            String current = queue.poll();
+            Node node = nodeOf(current);
+            if (node.result != null) {
                 continue;
             }
-            item.result = result;
-            ready.remove(at);
-            if (!at.equals(id)) {
-                dependants.add(at);
+            node.result = result;
+            ready.remove(current);
+            if (!current.equals(id)) {
+                failedDependents.add(current);
             }
             if (result == Result.FAILED) {
-                if (item.known) {
-                    failed.add(at);
+                if (node.added) {
+                    failed.add(current);
                 }
-                queue.addAll(item.dependents);
+                queue.addAll(node.dependents);
             } else {
-                item.dependents.forEach(to -> satisfy(at, to));
+                node.dependents.forEach(dependent -> satisfy(current, dependent));
             }
         }
-        return dependants;
+        return failedDependents;
     }
 
-    private void satisfy(String source, String destination) {
-        Item item = items.get(destination);
-        if (item.unsatisfied.remove(source) && item.unsatisfied.isEmpty() && item.known && item.result == null) {
-            ready.add(destination);
+    private void satisfy(String dependency, String dependent) {
+        Node node = nodes.get(dependent);
+        if (node.unsatisfied.remove(dependency) && node.unsatisfied.isEmpty() && node.added && node.result == null) {
+            ready.add(dependent);
         }
     }
 
-    /** Drops an item that is over. Its result is kept for as long as others that are there name it. */
+    /** Removes an ended job. Its result is kept for as long as other jobs in the graph depend on it. */
     public void forget(String id) {
         ready.remove(id);
         failed.remove(id);
-        Item item = items.get(id);
-        if (item == null) {
+        Node node = nodes.get(id);
+        if (node == null) {
             return;
         }
-        for (String source : item.allDependencies) {
-            Item from = items.get(source);
-            from.dependents.remove(id);
-            dropIfUnused(source, from);
+        for (String dependency : node.allDependencies) {
+            Node dependencyNode = nodes.get(dependency);
+            dependencyNode.dependents.remove(id);
+            removeIfUnused(dependency, dependencyNode);
         }
-        item.allDependencies.clear();
-        item.unsatisfied.clear();
-        item.known = false;
-        dropIfUnused(id, item);
+        node.allDependencies.clear();
+        node.unsatisfied.clear();
+        node.added = false;
+        removeIfUnused(id, node);
     }
 
-    private void dropIfUnused(String id, Item item) {
-        if (!item.known && item.dependents.isEmpty()) {
-            items.remove(id);
+    private void removeIfUnused(String id, Node node) {
+        if (!node.added && node.dependents.isEmpty()) {
+            nodes.remove(id);
         }
     }
 
-    /** Ready items, in the order in which they became ready. */
+    /** The ready jobs, in the order in which they became ready. */
     public Collection<String> ready() {
         return ready;
     }
 
-    /** Items that failed, by themselves or by one that they wait for, and are not forgotten yet. */
+    /** The jobs that failed, by themselves or through a dependency, and are not forgotten yet. */
     public Collection<String> failed() {
         return failed;
     }
 
-    /** True if the job has nothing left to wait for. */
+    /** True if the job has no unsatisfied dependency, and no result yet. */
     public boolean isReady(String id) {
         return ready.contains(id);
     }
 
-    /** True if the job failed, by itself or by one that it waits for. */
+    /** True if the job failed, by itself or through a dependency. */
     public boolean hasFailed(String id) {
         return failed.contains(id);
     }
 
-    /** Items that the item still waits for. */
+    /** The unsatisfied dependencies of the job: those that have no result yet. */
     public Collection<String> dependencies(String id) {
-        Item item = items.get(id);
-        return item == null ? List.of() : item.unsatisfied;
+        Node node = nodes.get(id);
+        return node == null ? List.of() : node.unsatisfied;
     }
 
-    /** All items that the item waits for or has waited for. */
+    /** All dependencies of the job, satisfied or not. */
     public Collection<String> allDependencies(String id) {
-        Item item = items.get(id);
-        return item == null ? List.of() : item.allDependencies;
+        Node node = nodes.get(id);
+        return node == null ? List.of() : node.allDependencies;
     }
 
-    /** Items that wait for the item, or did. */
+    /** The direct dependents of the job that are in the graph. */
     public Collection<String> dependents(String id) {
-        Item item = items.get(id);
-        return item == null ? List.of() : item.dependents;
+        Node node = nodes.get(id);
+        return node == null ? List.of() : node.dependents;
     }
 
-    /** True if the item was added and not forgotten. */
+    /** True if the job was added and not forgotten. */
     public boolean isKnown(String id) {
-        Item item = items.get(id);
-        return item != null && item.known;
+        Node node = nodes.get(id);
+        return node != null && node.added;
     }
 }
--- a/src/main/java/dewlane/core/job/SliceSizeBound.java
+++ b/src/main/java/dewlane/core/job/SliceSizeBound.java
@@ -10,90 +10,101 @@
 import java.util.Set;
 
 /**
- * An upper bound of the bytes that a slice takes in the state service, now and after any outcomes of its attempts: what
- * a launch leaves within the limit can be written again whatever becomes of it. Outcomes break up ranges of tasks, so
+ * An upper bound of the bytes that a slice takes in the store, now and after any outcomes of its attempts: what a
+ * launch leaves within the limit can be written again whatever becomes of it. Outcomes break up ranges of tasks, so
  * each attempt counts as two tasks that stand alone.
  */
 public final class SliceSizeBound {
-    /** Names of fields, quotes and brackets. */
-    private static final int FRAME = 64;
-    /** Brackets and commas of one launch, and of one machine within it. */
-    private static final int LAUNCH_FRAME = 5;
+    /** Names of fields, quotes and brackets of a slice. */
+    private static final int SLICE_OVERHEAD_BYTES = 64;
+    /** Brackets and commas of one launch. */
+    private static final int LAUNCH_OVERHEAD_BYTES = 5;
+    /** Brackets, quotes and commas of one machine within a launch. */
+    private static final int MACHINE_OVERHEAD_BYTES = 8;
 
-    private static final int PLACE_FRAME = 8;
-    /** What a machine's entry, a task and the rest of a slice typically take, with names of usual length. */
-    private static final int TYPICAL_PLACE = 22;
+    // What the entries of a slice take with names of usual length.
+    private static final int TYPICAL_MACHINE_BYTES = 22;
+    private static final int TYPICAL_TASK_BYTES = 8;
+    private static final int TYPICAL_SLICE_BYTES = 220;
 
-    private static final int TYPICAL_TASK = 8;
-    private static final int TYPICAL_FRAME = 220;
-
-    private record Place(int number, String machine, long session, long token) {}
+    /** The machine's entry within a launch; all attempts of the launch on that machine share it. */
+    private record LaunchOnMachine(int number, String machine, long incarnation, long fencingToken) {
+        static LaunchOnMachine of(Attempt attempt) {
+            return new LaunchOnMachine(
+                    attempt.number(), attempt.machine(), attempt.incarnation(), attempt.fencingToken());
+        }
+    }
 
-    private final int taskBytes;
+    private final int attemptTaskBytes;
+    /** The token of the first attempt of each launch, by launch number; others are stored as differences to it. */
     private final Map<Integer, Long> firstTokens = new HashMap<>();
-    private final Set<Place> places = new HashSet<>();
-    private int bytes;
 
+    private final Set<LaunchOnMachine> machineEntries = new HashSet<>();
+    private int totalBytes;
+
+    /** The bound of the slice with its present attempts. */
     public SliceSizeBound(Slice slice) {
-        taskBytes = 2 * (digits(slice.count()) + 1);
-        bytes = FRAME
+        attemptTaskBytes = 2 * (digits(slice.count()) + 1);
+        totalBytes = SLICE_OVERHEAD_BYTES
                 + slice.owner().length()
                 + digits(slice.first())
                 + digits(slice.count())
                 + digits(slice.launchCount() + 1L)
                 + doneBytes(slice.done());
         if (!slice.unknown().equals(UnknownFields.NONE)) {
-            bytes += 2 * slice.unknown().byName().toString().length();
+            totalBytes += 2 * slice.unknown().byName().toString().length();
         }
         slice.attempts().forEach(this::add);
     }
 
-    /** The bound for a slice as it is. */
+    /** The bound in bytes for a slice as it is. */
     static int ofSlice(Slice slice) {
-        return new SliceSizeBound(slice).bytes;
+        return new SliceSizeBound(slice).totalBytes;
     }
 
-    /** Tasks of a job that a slice holds if all of them run at once, so many on a machine. */
+    /**
+     * How many tasks a slice may have so that it stays within the limit if all of them run at once.
+     *
+     * @param tasksPerMachine how many of them run on one machine
+     * @return at least 1
+     */
     public static int tasksWithin(int limitBytes, int tasksPerMachine) {
-        int perMachine = TYPICAL_PLACE + tasksPerMachine * TYPICAL_TASK;
-        return Math.max(1, (limitBytes - TYPICAL_FRAME) * tasksPerMachine / perMachine);
+        int bytesPerMachine = TYPICAL_MACHINE_BYTES + tasksPerMachine * TYPICAL_TASK_BYTES;
+        return Math.max(1, (limitBytes - TYPICAL_SLICE_BYTES) * tasksPerMachine / bytesPerMachine);
     }
 
     /** Counts one more attempt. */
     public void add(Attempt attempt) {
-        bytes += cost(attempt);
+        totalBytes += bytesOf(attempt);
         firstTokens.putIfAbsent(attempt.number(), attempt.fencingToken());
-        places.add(place(attempt));
+        machineEntries.add(LaunchOnMachine.of(attempt));
     }
 
     /** True if the slice stays within the limit with one more attempt. */
     public boolean fits(Attempt attempt, int limitBytes) {
-        return bytes + cost(attempt) <= limitBytes;
+        return totalBytes + bytesOf(attempt) <= limitBytes;
     }
 
-    private int cost(Attempt attempt) {
-        int cost = taskBytes;
-        Long first = firstTokens.get(attempt.number());
-        if (first == null) {
-            cost += LAUNCH_FRAME
+    private int bytesOf(Attempt attempt) {
+        int attemptBytes = attemptTaskBytes;
+        Long firstToken = firstTokens.get(attempt.number());
+        if (firstToken == null) {
+            attemptBytes += LAUNCH_OVERHEAD_BYTES
                     + digits(attempt.number())
                     + digits(attempt.launchedAtMs())
                     + digits(attempt.fencingToken());
-            first = attempt.fencingToken();
+            firstToken = attempt.fencingToken();
         }
-        if (!places.contains(place(attempt))) {
-            cost += PLACE_FRAME
+        if (!machineEntries.contains(LaunchOnMachine.of(attempt))) {
+            attemptBytes += MACHINE_OVERHEAD_BYTES
                     + attempt.machine().length()
                     + digits(attempt.incarnation())
-                    + digits(Math.abs(attempt.fencingToken() - first));
+                    + digits(Math.abs(attempt.fencingToken() - firstToken));
         }
-        return cost;
-    }
-
-    private static Place place(Attempt attempt) {
-        return new Place(attempt.number(), attempt.machine(), attempt.incarnation(), attempt.fencingToken());
+        return attemptBytes;
     }
 
+    /** The bytes of the done marks, which are stored as ranges of tasks. */
     private static int doneBytes(BitSet done) {
         int sum = 0;
         for (int from = done.nextSetBit(0); from >= 0; ) {
--- a/src/main/java/dewlane/core/job/package-info.java
+++ b/src/main/java/dewlane/core/job/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What may run: dependencies between jobs, cancellations, and the sizes of slices.
+ * Which jobs may run: dependencies between jobs, cancellations, and how large slices of a job may be.
  *
- * <p>Guards the rules that no task starts before all jobs that its job depends on are done, and that cancelled work
- * ends. May depend on {@code store} and below.
+ * <p>Guards the rules that no task starts before all dependencies of its job are done, and that the tasks of a
+ * cancelled job end. May depend on {@code store} and below.
  */
 package dewlane.core.job;
