--- /dev/null
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -0,0 +1,73 @@
+package dewlane.core.admission;
+
+import dewlane.core.job.CancellationTracker;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.JobResult;
+import dewlane.core.schema.Transaction;
+import dewlane.core.schema.TransactionPriority;
+import dewlane.core.schema.ValueSizer;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.StoreReplica;
+import dewlane.core.store.TransactionQueue;
+
+/** Makes cancellations durable: one transaction marks the job's record as cancelled and stores its result. */
+public final class CancellationWriter {
+    /** Told how a write ended, in one call. */
+    interface Listener {
+        /** The job is durably cancelled. */
+        void committed();
+
+        /** The job's record has changed or is gone, so nothing was written. */
+        void conflict();
+
+        /** The store did not execute the write, or did not say so. */
+        void unavailable();
+    }
+
+    private final ControllerContext context;
+    private final StoreReplica replica;
+    private final TransactionQueue transactions;
+    private final CancellationTracker cancellations;
+    private final ValueSizer sizer;
+
+    /** Writes through the queue, and has the tracker announce what is committed. */
+    public CancellationWriter(
+            ControllerContext context,
+            StoreReplica replica,
+            TransactionQueue transactions,
+            CancellationTracker cancellations,
+            ValueSizer sizer) {
+        this.context = context;
+        this.replica = replica;
+        this.transactions = transactions;
+        this.cancellations = cancellations;
+        this.sizer = sizer;
+    }
+
+    /** Writes the cancellation of an active job, on condition that its record is as the replica shows it. */
+    void write(JobEntry entry, Listener listener) {
+        String job = entry.id();
+        JobResult result = new JobResult(true, context.wallClockMs());
+        JobRecord cancelled = entry.record()
+                .asCancelled(context.wallClockMs(), sizer, context.settings().maxValueBytes());
+        Transaction transaction = new Transaction.Builder()
+                .require(StoreKeys.job(job), entry.revision())
+                .put(StoreKeys.job(job), cancelled)
+                .put(StoreKeys.jobResult(job), result)
+                .build();
+        transactions.submit(TransactionPriority.SAFETY, transaction, (status, revision) -> {
+            if (status == Transaction.Status.COMMITTED) {
+                context.info("job " + job + " cancelled");
+                cancellations.onConfirmed(job);
+                replica.recordResult(job, result);
+                listener.committed();
+            } else if (status == Transaction.Status.CONFLICT) {
+                listener.conflict();
+            } else {
+                listener.unavailable();
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/dewlane/core/admission/JobValidator.java
@@ -0,0 +1,63 @@
+package dewlane.core.admission;
+
+import dewlane.core.config.Settings;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+
+/** Decides from the settings and the cloud's machine types whether a job can ever run. */
+public final class JobValidator {
+    /** Covers rounding errors of amounts that come as decimal numbers. */
+    private static final double TOLERANCE = 1e-9;
+
+    /** Whether a job can ever run. */
+    sealed interface Validation {}
+
+    /** The job can run on at least one machine type. */
+    record Valid() implements Validation {}
+
+    /** No machine types are known yet, and nothing else forbids the job. */
+    record Undecided() implements Validation {}
+
+    /** The job can never run. */
+    record Invalid(String reason) implements Validation {}
+
+    private final Settings settings;
+    private final MachineRegistry machines;
+
+    /** Validates against the teams of the settings and the machine types of the registry. */
+    public JobValidator(Settings settings, MachineRegistry machines) {
+        this.settings = settings;
+        this.machines = machines;
+    }
+
+    /** Validates a job; machine types may appear later, so the answer holds for now. */
+    Validation validate(Job job) {
+        Settings.TeamQuota team = settings.teams().get(job.team());
+        if (team == null) {
+            return new Invalid("unknown team " + job.team());
+        }
+        if (exceeds(team.maxCpus(), job.cpus()) || exceeds(team.maxGpus(), job.gpus())) {
+            return new Invalid("a task needs more than the limit of " + job.team());
+        }
+        if (machines.types().isEmpty()) {
+            return new Undecided();
+        }
+        return fitsSomeType(job) ? new Valid() : new Invalid("a task fits no allowed machine type");
+    }
+
+    /** True if one task alone exceeds the limit; 0 is no limit. */
+    private static boolean exceeds(double limit, double perTask) {
+        return limit > 0 && perTask > limit + TOLERANCE;
+    }
+
+    private boolean fitsSomeType(Job job) {
+        for (MachineType type : machines.types()) {
+            boolean zoneAllowed = job.zone() == null || type.zones().contains(job.zone());
+            if (zoneAllowed && job.allowsType(type.name()) && type.capacityFor(job) > 0) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -1,7 +1,14 @@
 package dewlane.core.controller;
 
-import dewlane.core.admission.JobRequestHandler;
+import dewlane.core.admission.CancellationHandler;
+import dewlane.core.admission.CancellationWriter;
+import dewlane.core.admission.DependencyLookup;
+import dewlane.core.admission.JobLookup;
+import dewlane.core.admission.JobStatusHandler;
+import dewlane.core.admission.JobValidator;
+import dewlane.core.admission.NewJobWriter;
 import dewlane.core.admission.SubmissionHandler;
+import dewlane.core.admission.UserResponses;
 import dewlane.core.autoscaling.Autoscaler;
 import dewlane.core.autoscaling.CapacityDemand;
 import dewlane.core.autoscaling.InstanceInventory;
@@ -74,7 +81,8 @@
     private final SubmissionHandler submissions;
     private final FailureDetector failureDetector;
     private final Autoscaler autoscaler;
-    private final JobRequestHandler users;
+    private final JobStatusHandler statuses;
+    private final CancellationHandler cancellationHandler;
     private final ReadBarrier barrier;
     private final StoreWatcher state;
     private final QuotaRebalancer rebalancer;
@@ -113,20 +121,18 @@
         autoscaler = new Autoscaler(context, replica, machines, membership, inventory, demand);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
-        users = new JobRequestHandler(
-                context, replica, transactions, cancellations, dependencies, barrier, finals, size);
+        UserResponses responses = new UserResponses(context);
+        JobLookup lookup = new JobLookup(replica, dependencies, barrier, finals, responses);
+        statuses = new JobStatusHandler(lookup, dependencies, responses);
+        cancellationHandler = new CancellationHandler(
+                lookup, new CancellationWriter(context, replica, transactions, cancellations, size), responses);
         submissions = new SubmissionHandler(
-                context,
-                replica,
-                machines,
                 membership,
-                transactions,
-                distributor,
-                dependencies,
-                barrier,
-                finals,
-                users,
-                size);
+                statuses,
+                new JobValidator(settings, machines),
+                new DependencyLookup(replica, dependencies, barrier, finals),
+                new NewJobWriter(context, replica, transactions, distributor, size),
+                responses);
     }
 
     private SchedulingCycle placement(QuotaEnforcer quota, SliceAssigner distributor, ValueSizer size) {
@@ -225,9 +231,9 @@
         if (input instanceof Input.SubmitJob request) {
             submissions.onSubmit(request);
         } else if (input instanceof Input.GetJobStatus request) {
-            users.onGetStatus(request);
+            statuses.onGetStatus(request);
         } else if (input instanceof Input.CancelJob request) {
-            users.onCancel(request);
+            cancellationHandler.onCancel(request);
         } else {
             return false;
         }
