--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -10,7 +10,7 @@
 import dewlane.core.model.MachineType;
 import dewlane.core.model.ResourceUsage;
 import dewlane.core.quota.QuotaEnforcer;
-import dewlane.core.scheduling.SchedulingCycle;
+import dewlane.core.scheduling.MachineSchedulability;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.StoreReplica;
 import java.util.ArrayList;
@@ -60,7 +60,7 @@
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
-    private final SchedulingCycle placement;
+    private final MachineSchedulability schedulability;
     private final QuotaEnforcer quota;
     private final DependencyGraph release;
 
@@ -68,14 +68,14 @@
             ControllerContext context,
             StoreReplica replica,
             MachineRegistry machines,
-            SchedulingCycle placement,
+            MachineSchedulability schedulability,
             QuotaEnforcer quota,
             DependencyGraph release) {
         this.release = release;
         this.context = context;
         this.replica = replica;
         this.machines = machines;
-        this.placement = placement;
+        this.schedulability = schedulability;
         this.quota = quota;
     }
 
@@ -110,7 +110,9 @@
         Map<InstancePool, List<Bin>> bins = new LinkedHashMap<>();
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
-            if (type != null && isSchedulable(machine) && machine.usage().cpus() < type.cpus()) {
+            if (type != null
+                    && schedulability.isSchedulable(machine)
+                    && machine.usage().cpus() < type.cpus()) {
                 add(
                         bins,
                         new InstancePool(type.name(), machine.zone(), machine.isSpot()),
@@ -196,7 +198,7 @@
             if (type != null
                     && type.fits(shape)
                     && spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
-                    && isSchedulable(machine)) {
+                    && schedulability.isSchedulable(machine)) {
                 return true;
             }
         }
@@ -210,15 +212,6 @@
         return false;
     }
 
-    private boolean isSchedulable(Machine machine) {
-        if (machine.owner() == null || replica.decommissionsByMachine().containsKey(machine.name())) {
-            return false;
-        }
-        return machine.owner().equals(context.settings().controllerName())
-                ? placement.isSchedulable(machine)
-                : machines.isListedByOwner(machine);
-    }
-
     private int mostOnOne(Job job) {
         return machines.types().stream()
                 .mapToInt(type -> type.capacityFor(job))
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -7,7 +7,7 @@
 import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
-import dewlane.core.scheduling.SchedulingCycle;
+import dewlane.core.scheduling.MachineSchedulability;
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue.DecommissionRecord;
 import dewlane.core.schema.StoredValue.DecommissionState;
@@ -39,7 +39,7 @@
     private final Membership membership;
     private final AuthorityMonitor standing;
     private final TransactionQueue transactions;
-    private final SchedulingCycle placement;
+    private final MachineSchedulability schedulability;
     private final DependencyGraph release;
     private long records;
     private long returnedAt = Long.MIN_VALUE / 2;
@@ -51,7 +51,7 @@
             Membership membership,
             AuthorityMonitor standing,
             TransactionQueue transactions,
-            SchedulingCycle placement,
+            MachineSchedulability schedulability,
             DependencyGraph release) {
         this.release = release;
         this.context = context;
@@ -60,7 +60,7 @@
         this.membership = membership;
         this.standing = standing;
         this.transactions = transactions;
-        this.placement = placement;
+        this.schedulability = schedulability;
     }
 
     /** Decommissions machines that have been idle for long enough. */
@@ -78,7 +78,7 @@
             if (idle.size() < MOST_AT_ONCE
                     && machine.attempts().isEmpty()
                     && machine.usage().isEmpty()
-                    && placement.isSchedulable(machine)
+                    && schedulability.isSchedulable(machine)
                     && context.nowMs() - machine.idleSinceMs() >= (machine.isSpot() ? idleMs : idleMs / 2)) {
                 idle.add(machine);
             }
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -23,11 +23,10 @@
 import dewlane.core.model.PeerStatus;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
-import dewlane.core.scheduling.JobWriter;
-import dewlane.core.scheduling.LaunchPlanner;
+import dewlane.core.scheduling.MachineSchedulability;
+import dewlane.core.scheduling.PartitionSelector;
 import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.scheduling.SliceAssigner;
-import dewlane.core.scheduling.SliceGarbageCollector;
 import dewlane.core.schema.Partitioner;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.ValueSizer;
@@ -100,17 +99,19 @@
         dependencies = new DependencyTracker(context, replica, release, finals);
         QuotaEnforcer quota = new QuotaEnforcer(settings, replica, machines);
         PartitionCapacity capacity = new PartitionCapacity(context, replica, machines);
-        SliceAssigner distributor = new SliceAssigner(context, replica, machines, capacity, quota, release);
+        PartitionSelector partitions = new PartitionSelector(context, replica, capacity, quota, release);
+        SliceAssigner sliceAssigner = new SliceAssigner(context, machines, partitions);
+        MachineSchedulability schedulability = new MachineSchedulability(context, replica, machines);
         rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
-        placement = placement(quota, distributor, size);
+        placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
+                .cycle(quota, partitions, release, dependencies, cancellations, size);
         sessions =
                 new HeartbeatHandler(context, replica, machines, peers, membership, cancellations, standing, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
-        scaleDown = new ScaleIn(context, replica, machines, membership, standing, transactions, placement, release);
+        scaleDown =
+                new ScaleIn(context, replica, machines, membership, standing, transactions, schedulability, release);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
-        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
-        CapacityDemand demand = new CapacityDemand(context, replica, machines, placement, quota, release);
-        autoscaler = new Autoscaler(context, replica, machines, membership, inventory, demand);
+        autoscaler = autoscaler(quota, schedulability);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
         users = new JobRequestHandler(
@@ -121,7 +122,7 @@
                 machines,
                 membership,
                 transactions,
-                distributor,
+                sliceAssigner,
                 dependencies,
                 barrier,
                 finals,
@@ -129,23 +130,10 @@
                 size);
     }
 
-    private SchedulingCycle placement(QuotaEnforcer quota, SliceAssigner distributor, ValueSizer size) {
-        LaunchPlanner planner = new LaunchPlanner(context, replica, machines, quota, distributor, counters);
-        JobWriter writer = new JobWriter(
-                context,
-                replica,
-                machines,
-                membership,
-                transactions,
-                dependencies,
-                quota,
-                planner,
-                cancellations,
-                counters,
-                size);
-        SliceGarbageCollector cleaner = new SliceGarbageCollector(context, replica, transactions);
-        return new SchedulingCycle(
-                context, replica, machines, membership, release, quota, writer, planner, cleaner, counters);
+    private Autoscaler autoscaler(QuotaEnforcer quota, MachineSchedulability schedulability) {
+        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
+        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, release);
+        return new Autoscaler(context, replica, machines, membership, inventory, demand);
     }
 
     /** Handles one message that arrived at the given steady time and time of day. */
--- a/src/main/java/dewlane/core/scheduling/Candidate.java
+++ b/src/main/java/dewlane/core/scheduling/Candidate.java
@@ -2,5 +2,9 @@
 
 import dewlane.core.fleet.Machine;
 
-/** A machine with room for a task of a job, and what it costs to use it, in seconds of fetching an image. */
-record Candidate(Machine machine, double cost) {}
+/**
+ * A machine with capacity for a task of a job.
+ *
+ * @param costS what it costs to use the machine, as seconds of fetching an image
+ */
+record Candidate(Machine machine, double costS) {}
--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -14,19 +14,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds machines of this part for a job's tasks, those first that have the image and that others need least. */
+/** Finds machines of this partition for a job's tasks: first those that have the image and that others need least. */
 final class CandidateFinder {
-    /** A larger set of machines with room is sampled, not searched. */
-    private static final int SAMPLE_SIZE = 256;
+    /** A larger set of machines with capacity is sampled, not searched. */
+    private static final int MAX_SAMPLE_SIZE = 256;
     /** Seconds of fetching that are worth leaving a machine to tasks that have fewer types to choose from. */
     private static final double CONTENTION_COST_S = 8;
-    /** Seconds of fetching that are worth leaving an ordinary machine idle, so that it can be returned. */
+    /** Seconds of fetching that are worth leaving an on-demand machine idle, so that it can be scaled in. */
     private static final double ON_DEMAND_COST_S = 1.5;
+    /** Seconds of fetching that are worth using a machine that the task fills over one that is empty. */
+    private static final double FREE_CPUS_COST_S = 2;
+
+    /** The part of the cost that depends on the machine's type alone. */
+    private record TypeCost(double imageFetchS, double contentionS) {}
 
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final ControllerCounters counters;
-    private List<Machine> free = List.of();
+    private List<Machine> machinesWithCapacity = List.of();
 
     CandidateFinder(ControllerContext context, MachineRegistry machines, ControllerCounters counters) {
         this.context = context;
@@ -34,40 +39,49 @@
         this.counters = counters;
     }
 
-    /** Begins a pass with the machines that take tasks and are not full. */
-    void beginCycle(List<Machine> withRoom) {
-        free = withRoom;
+    /** Begins a cycle with the machines that can be given tasks and are not full. */
+    void beginCycle(List<Machine> withCapacity) {
+        machinesWithCapacity = withCapacity;
     }
 
-    /** Machines with room for a task of the job, the cheapest first. */
+    /** Machines with capacity for a task of the job, the cheapest first. */
     List<Candidate> find(JobEntry job) {
-        Job spec = job.job();
         List<Candidate> found = new ArrayList<>();
-        Map<String, double[]> byType = new HashMap<>();
-        int n = free.size();
-        int offset = n > SAMPLE_SIZE ? context.random().nextInt(n) : 0;
-        counters.add(Counter.MACHINES_CONSIDERED, Math.min(n, SAMPLE_SIZE));
-        for (int i = 0; i < Math.min(n, SAMPLE_SIZE); i++) {
-            Machine machine = free.get((offset + i) % n);
+        Map<String, TypeCost> costByType = new HashMap<>();
+        int total = machinesWithCapacity.size();
+        int sampled = Math.min(total, MAX_SAMPLE_SIZE);
+        int offset = total > MAX_SAMPLE_SIZE ? context.random().nextInt(total) : 0;
+        counters.add(Counter.MACHINES_CONSIDERED, sampled);
+        for (int i = 0; i < sampled; i++) {
+            Machine machine = machinesWithCapacity.get((offset + i) % total);
             MachineType type = machines.type(machine);
-            if (machine.capacityFor(type, spec) < 1
-                    || !spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
-                    || (machine.failedJobs().contains(job.id())
-                            && !machines.progress().getOrCreate(job.id()).isFaulty())) {
-                continue;
+            if (isCandidate(machine, type, job)) {
+                TypeCost typeCost = costByType.computeIfAbsent(type.name(), name -> typeCost(type, job));
+                found.add(new Candidate(machine, costS(machine, type, job.job(), typeCost)));
             }
-            double[] of = byType.computeIfAbsent(machine.typeName(), t -> new double[] {
-                spec.imageGb() / type.imageFetchGbPerS(),
-                machines.typeContention().contention(job.requirements(), type) * CONTENTION_COST_S
-            });
-            found.add(new Candidate(
-                    machine,
-                    (machine.isSpot() ? 0 : ON_DEMAND_COST_S)
-                            + (machine.images().contains(spec.image()) ? 0 : of[0])
-                            + of[1]
-                            + 2 * (type.cpus() - machine.usage().cpus() - spec.cpus()) / type.cpus()));
         }
-        found.sort(Comparator.comparingDouble(Candidate::cost));
+        found.sort(Comparator.comparingDouble(Candidate::costS));
         return found;
     }
+
+    private boolean isCandidate(Machine machine, MachineType type, JobEntry job) {
+        Job spec = job.job();
+        return machine.capacityFor(type, spec) >= 1
+                && spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
+                && (!machine.failedJobs().contains(job.id())
+                        || machines.progress().getOrCreate(job.id()).isFaulty());
+    }
+
+    private TypeCost typeCost(MachineType type, JobEntry job) {
+        double imageFetchS = job.job().imageGb() / type.imageFetchGbPerS();
+        double contention = machines.typeContention().contention(job.requirements(), type);
+        return new TypeCost(imageFetchS, contention * CONTENTION_COST_S);
+    }
+
+    private static double costS(Machine machine, MachineType type, Job job, TypeCost typeCost) {
+        double onDemandS = machine.isSpot() ? 0 : ON_DEMAND_COST_S;
+        double imageFetchS = machine.images().contains(job.image()) ? 0 : typeCost.imageFetchS;
+        double freeCpus = type.cpus() - machine.usage().cpus() - job.cpus();
+        return onDemandS + imageFetchS + typeCost.contentionS + FREE_CPUS_COST_S * freeCpus / type.cpus();
+    }
 }
--- a/src/main/java/dewlane/core/scheduling/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -7,20 +7,24 @@
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.BiConsumer;
 
 /**
- * One write about a job while it is put together: what becomes of its slices, which tasks are launched on which
- * machines, all within the changes and conditions that a transaction may have.
+ * One write about a job while it is put together: the new values of its slices and the tasks that are launched, within
+ * the writes and preconditions that a transaction may have.
  */
 final class JobUpdate {
-    final JobEntry job;
-    final JobProgress progress;
-    final List<JobProgress.Launch> launches = new ArrayList<>();
+    private final JobEntry job;
+    private final JobProgress progress;
+    private final int maxWrites;
+    private final int maxPreconditions;
+    private final List<JobProgress.Launch> launches = new ArrayList<>();
     /** Slices with the outcomes that are known here; they need not all be written now. */
     private final Map<SliceEntry, Slice> withOutcomes = new LinkedHashMap<>();
     /** Slices that are written. */
@@ -29,21 +33,30 @@
     private final Map<Integer, Slice> created = new LinkedHashMap<>();
     /** Slices that stay as they are, but on which the write depends. */
     private final Set<SliceEntry> unchanged = new HashSet<>();
-
+    /** Names of the machines on which tasks are launched. */
     private final Set<String> machines = new HashSet<>();
-    private final int maxWrites;
-    private final int maxPreconditions;
-    private int nextNumber;
-    /** True if the write holds only as long as the job and the map are as they are. */
+
+    private int nextSliceNumber;
+    /** True if the write holds only as long as the job and the partition map are as they are. */
     private boolean requiresJobAndMap;
 
-    /** With the room that a transaction leaves for slices and machines. */
-    JobUpdate(JobEntry job, JobProgress work, int mostOps, int mostGuards) {
+    /** An empty write, with the writes and preconditions that a transaction leaves for slices and machines. */
+    JobUpdate(JobEntry job, JobProgress progress, int maxWrites, int maxPreconditions) {
         this.job = job;
-        this.progress = work;
-        this.maxWrites = mostOps;
-        this.maxPreconditions = mostGuards;
-        this.nextNumber = job.nextSliceNumber();
+        this.progress = progress;
+        this.maxWrites = maxWrites;
+        this.maxPreconditions = maxPreconditions;
+        this.nextSliceNumber = job.nextSliceNumber();
+    }
+
+    /** The job that the write is about. */
+    JobEntry job() {
+        return job;
+    }
+
+    /** What this controller is doing for the job. */
+    JobProgress progress() {
+        return progress;
     }
 
     /** The slice with the outcomes that are known here, and with what this write decides. */
@@ -52,21 +65,39 @@
         return decided != null ? decided : withOutcomes.getOrDefault(slice, slice.value());
     }
 
-    /** Outcomes of the slice are known. */
-    void apply(SliceEntry slice, Slice value) {
+    /** Outcomes of the slice are known, which give it the value. They are written only by {@link #put}. */
+    void recordOutcomes(SliceEntry slice, Slice value) {
         withOutcomes.put(slice, value);
     }
 
-    Map<SliceEntry, Slice> withOutcomes() {
-        return withOutcomes;
+    /** True if outcomes of the slice are known. */
+    boolean hasOutcomes(SliceEntry slice) {
+        return withOutcomes.containsKey(slice);
+    }
+
+    /** Leaves the outcomes of the slice for a later write. */
+    void discardOutcomes(SliceEntry slice) {
+        withOutcomes.remove(slice);
+    }
+
+    /** Slices of which outcomes are known. */
+    Collection<SliceEntry> slicesWithOutcomes() {
+        return withOutcomes.keySet();
+    }
+
+    /** Calls the action with each slice of which outcomes are known, and its value with them. */
+    void forEachWithOutcomes(BiConsumer<SliceEntry, Slice> action) {
+        withOutcomes.forEach(action);
     }
 
+    /** Writes a value of the slice. */
     void put(SliceEntry slice, Slice value) {
         changed.put(slice, value);
     }
 
+    /** Writes a slice with a new number. */
     void create(Slice slice) {
-        created.put(nextNumber++, slice);
+        created.put(nextSliceNumber++, slice);
         requiresJobAndMap = true;
     }
 
@@ -76,27 +107,50 @@
         requiresJobAndMap = true;
     }
 
-    /** The write holds only under the present map and as long as the job is as it is. */
+    /** The write holds only under the present partition map and as long as the job is as it is. */
     void requireJobAndMap() {
         requiresJobAndMap = true;
     }
 
+    /** Adds a launch; the slice that holds the attempt is to be {@link #put}. */
     void launch(JobProgress.Launch launch) {
         launches.add(launch);
         machines.add(launch.machine().name());
         requiresJobAndMap = true;
     }
 
-    Map<SliceEntry, Slice> changed() {
-        return changed;
+    /** How many tasks are launched. */
+    int launchCount() {
+        return launches.size();
     }
 
-    boolean isEmpty() {
-        return changed.isEmpty() && created.isEmpty();
+    /** True if tasks are launched. */
+    boolean hasLaunches() {
+        return !launches.isEmpty();
+    }
+
+    /** Slices that are written, without new ones. */
+    Collection<SliceEntry> changedSlices() {
+        return changed.keySet();
     }
 
-    boolean usesNoMachine() {
-        return machines.isEmpty();
+    /** True if a value of the slice is written. */
+    boolean changes(SliceEntry slice) {
+        return changed.containsKey(slice);
+    }
+
+    /** How many attempts the written slices hold, without new slices. */
+    int attemptCount() {
+        int sum = 0;
+        for (Slice slice : changed.values()) {
+            sum += slice.attempts().size();
+        }
+        return sum;
+    }
+
+    /** True if no slice is written. */
+    boolean isEmpty() {
+        return changed.isEmpty() && created.isEmpty();
     }
 
     /** How many more slices this write may change or create. */
@@ -104,16 +158,21 @@
         return maxWrites - changed.size() - created.size();
     }
 
-    /** True if a slice may be changed: it is already, or there is room for one more change. */
+    /** True if a slice may be changed: it is already, or one more write is allowed. */
     boolean mayChange(SliceEntry slice) {
         return changed.containsKey(slice) || remainingWrites() > 0;
     }
 
-    boolean hasNoAttempts() {
+    /** True if nothing of the job is left to run: every task is done, or it is cancelled and has no attempt left. */
+    boolean isJobOver() {
+        return job.isCancelled() ? hasNoAttempts() : isComplete();
+    }
+
+    private boolean hasNoAttempts() {
         return job.slices().stream().allMatch(slice -> value(slice).attempts().isEmpty());
     }
 
-    boolean allDone() {
+    private boolean isComplete() {
         int done = 0;
         for (SliceEntry slice : job.slices()) {
             done += value(slice).done().cardinality();
@@ -121,8 +180,8 @@
         return done == job.job().tasks();
     }
 
-    /** Writes the slices, on condition that they, and what the launches rest on, are as they were. */
-    void write(Transaction.Builder transaction, long mapVersion) {
+    /** Adds the slices to a transaction, on condition that they, and what the launches rest on, are as they were. */
+    void addTo(Transaction.Builder transaction, long partitionMapRevision) {
         changed.forEach((slice, value) ->
                 transaction.require(slice.key(), slice.revision()).put(slice.key(), value));
         unchanged.forEach(slice -> transaction.require(slice.key(), slice.revision()));
@@ -131,12 +190,18 @@
             transaction.require(key, 0).put(key, value);
         });
         if (requiresJobAndMap) {
-            // A cancelled job, a slice dealt anew or a newer map each stop a launch here.
-            transaction.require(StoreKeys.job(job.id()), job.revision()).require(StoreKeys.PARTITION_MAP, mapVersion);
-            // A record of the leader's means that the machine is gone or is being deleted: a launch there would be
-            // lost, not run twice, so what the transaction has no room for is left out.
-            int room = Math.max(0, maxPreconditions - transaction.preconditionCount());
-            machines.stream().limit(room).forEach(name -> transaction.require(StoreKeys.decommission(name), 0));
+            addLaunchPreconditions(transaction, partitionMapRevision);
         }
     }
+
+    private void addLaunchPreconditions(Transaction.Builder transaction, long partitionMapRevision) {
+        // A cancelled job, a reassigned slice or a newer partition map each stop a launch here.
+        transaction
+                .require(StoreKeys.job(job.id()), job.revision())
+                .require(StoreKeys.PARTITION_MAP, partitionMapRevision);
+        // A decommission record means that the machine is terminated or being deleted: a launch there would be lost,
+        // not run twice, so machines beyond the limit of preconditions are left out.
+        int remaining = Math.max(0, maxPreconditions - transaction.preconditionCount());
+        machines.stream().limit(remaining).forEach(name -> transaction.require(StoreKeys.decommission(name), 0));
+    }
 }
