--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -41,7 +41,10 @@
 import dewlane.core.store.StoreWatcher;
 import dewlane.core.store.TransactionQueue;
 import dewlane.core.store.UnreadableValueLog;
+import dewlane.core.worker.CommandDispatcher;
+import dewlane.core.worker.CommandPlanner;
 import dewlane.core.worker.FailureDetector;
+import dewlane.core.worker.HeartbeatAdmission;
 import dewlane.core.worker.HeartbeatHandler;
 import java.util.List;
 
@@ -67,7 +70,8 @@
     private final AuthorityMonitor standing;
     private final MachineRegistry machines;
     private final PeerTable peers;
-    private final HeartbeatHandler sessions;
+    private final CommandDispatcher commands;
+    private final HeartbeatHandler heartbeats;
     private final SchedulingCycle placement;
     private final DependencyTracker dependencies;
     private final JobResultReader finals;
@@ -103,8 +107,9 @@
         SliceAssigner distributor = new SliceAssigner(context, replica, machines, capacity, quota, release);
         rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
         placement = placement(quota, distributor, size);
-        sessions =
-                new HeartbeatHandler(context, replica, machines, peers, membership, cancellations, standing, counters);
+        commands = commandDispatcher();
+        HeartbeatAdmission admission = new HeartbeatAdmission(context, machines, peers, membership, standing, counters);
+        heartbeats = new HeartbeatHandler(context, replica, machines, admission, commands, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
         scaleDown = new ScaleIn(context, replica, machines, membership, standing, transactions, placement, release);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
@@ -148,6 +153,12 @@
                 context, replica, machines, membership, release, quota, writer, planner, cleaner, counters);
     }
 
+    private CommandDispatcher commandDispatcher() {
+        CommandPlanner planner =
+                new CommandPlanner(context, replica, machines.progress(), cancellations, standing, counters);
+        return new CommandDispatcher(context, replica, machines, membership, counters, planner);
+    }
+
     /** Handles one message that arrived at the given steady time and time of day. */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
         context.startMessage(nowMs, wallMs);
@@ -156,7 +167,7 @@
             passedAt = nowMs;
             dirty = false;
             placement.run();
-            sessions.sendCommands();
+            commands.sendDirectCommands();
         }
         return context.takeEffects();
     }
@@ -211,9 +222,9 @@
 
     private boolean takeFromWorkers(Input input) {
         if (input instanceof Input.HeartbeatReceived in) {
-            sessions.onHeartbeat(in.id(), in.heartbeat());
+            heartbeats.onHeartbeat(in.id(), in.heartbeat());
         } else if (input instanceof Input.CommandCompleted in) {
-            sessions.onCommandCompleted(in);
+            heartbeats.onCommandCompleted(in);
         } else {
             return false;
         }
@@ -301,7 +312,7 @@
             }
             standing.tick();
             failureDetector.tick();
-            sessions.tick();
+            commands.tick();
             autoscaler.tick();
             rebalancer.tick();
             scaleDown.tick();
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -10,8 +10,8 @@
 import java.util.StringJoiner;
 
 /**
- * Logs, at debug, each order to a worker: by which way it went, under which token and session, and up to which revision
- * of the state its sender had read. Lines are made only where they are wanted.
+ * Logs, at debug level, each command to a worker: the way it was sent, its fencing token and incarnation, and the
+ * revision that the replica had reached when it was planned. Lines are composed only if the log wants them.
  */
 final class CommandLog {
     private final ControllerContext context;
@@ -22,57 +22,62 @@
         this.replica = replica;
     }
 
-    /** Orders go out with the answer to a report. */
-    void answered(Machine machine, List<WorkerCommand> orders) {
-        sent(machine, "with the answer to report " + machine.worker().sequence(), orders);
+    /** Commands are sent in the response to the machine's latest heartbeat. */
+    void sentInResponse(Machine machine, List<WorkerCommand> commands) {
+        sent(machine, "in the response to heartbeat " + machine.worker().sequence(), commands);
     }
 
-    /** Orders go out by a direct command. */
-    void commanded(Machine machine, List<WorkerCommand> orders) {
-        sent(machine, "by command", orders);
+    /** Commands are sent straight to the worker. */
+    void sentDirectly(Machine machine, List<WorkerCommand> commands) {
+        sent(machine, "by direct command", commands);
     }
 
-    private void sent(Machine machine, String way, List<WorkerCommand> orders) {
-        if (!context.logsCommands() || orders.isEmpty()) {
+    private void sent(Machine machine, String way, List<WorkerCommand> commands) {
+        if (!context.logsCommands() || commands.isEmpty()) {
             return;
         }
         StringJoiner text = new StringJoiner(", ");
-        for (WorkerCommand command : orders) {
+        for (WorkerCommand command : commands) {
             text.add(command.action() + " " + name(command.job(), command.task(), command.attempt()));
         }
-        context.debug(machine.name() + " is told " + way + ", " + incarnationOf(machine) + ", state read to "
-                + replica.revision() + ": " + text);
+        context.debug("commands to " + machine.name() + " " + way + ", " + tokenAndIncarnation(machine)
+                + ", replica at revision " + replica.revision() + ": " + text);
     }
 
-    /** A direct command was answered, given up on, or not sent. */
-    void commandCompleted(Machine machine, Input.CommandCompleted in) {
+    /** A direct command was answered, abandoned, or never sent. */
+    void commandCompleted(Machine machine, Input.CommandCompleted completed) {
         if (!context.logsCommands()) {
             return;
         }
-        String what = in.heartbeat() != null
-                ? "answered by report " + in.heartbeat().sequence()
-                : in.delivered() ? "given up on" : "not sent";
-        context.debug("command to " + machine.name() + " with token " + in.fencingToken() + " " + what + " after "
-                + machine.commandChannel().commandAgeMs(context.nowMs()) + " ms");
+        long ageMs = machine.commandChannel().commandAgeMs(context.nowMs());
+        context.debug("command to " + machine.name() + " with token " + completed.fencingToken() + " "
+                + resultOf(completed) + " after " + ageMs + " ms");
     }
 
-    /** An attempt has ended and is not forgotten yet. */
+    private static String resultOf(Input.CommandCompleted completed) {
+        if (completed.heartbeat() != null) {
+            return "answered by heartbeat " + completed.heartbeat().sequence();
+        }
+        return completed.delivered() ? "abandoned" : "not sent";
+    }
+
+    /** An attempt has ended, and the command to forget it has to wait. */
     void forgetDeferred(Machine machine, AttemptId id) {
         if (context.logsCommands()) {
-            context.debug(name(id.job(), id.task(), id.number()) + " on " + machine.name() + " is not forgotten yet, "
-                    + incarnationOf(machine) + ": a launch of it is under way");
+            context.debug("forget of " + name(id.job(), id.task(), id.number()) + " on " + machine.name()
+                    + " deferred, " + tokenAndIncarnation(machine) + ": a launch of it is in flight");
         }
     }
 
-    /** All launches on their way to the machine are given up. */
+    /** All launches in flight to the machine are fenced off. */
     void fenceRaised(Machine machine, String reason) {
         if (context.logsCommands()) {
-            context.debug("fence of " + machine.name() + " raised, " + incarnationOf(machine) + ": " + reason);
+            context.debug("fence of " + machine.name() + " raised, " + tokenAndIncarnation(machine) + ": " + reason);
         }
     }
 
-    private static String incarnationOf(Machine machine) {
-        return "token " + machine.fencingToken() + " session "
+    private static String tokenAndIncarnation(Machine machine) {
+        return "token " + machine.fencingToken() + " incarnation "
                 + machine.worker().incarnation();
     }
 
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -1,173 +1,133 @@
 package dewlane.core.worker;
 
 import dewlane.core.fleet.AssignedAttempt;
+import dewlane.core.fleet.JobProgressTable;
 import dewlane.core.fleet.Machine;
-import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
-import dewlane.core.message.Counter;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.AttemptId;
 import dewlane.core.model.Heartbeat.Phase;
 import dewlane.core.model.Heartbeat.TaskStatus;
 import dewlane.core.model.WorkerCommand;
-import dewlane.core.store.JobEntry;
-import dewlane.core.store.SliceEntry;
+import dewlane.core.model.WorkerCommand.Action;
 import dewlane.core.store.StoreReplica;
+import dewlane.core.worker.AttemptReconciler.UnassignedAttempts;
 import java.util.ArrayList;
 import java.util.List;
 
-/** Works out what a machine is to be told. All of it follows from the replica and the machine's latest report. */
-final class CommandPlanner {
-    /** How long an attempt that the replica does not explain is left alone: the replica may lag. */
-    private static final long REPLICA_LAG_GRACE_MS = 5000;
-
+/**
+ * Plans the commands to a machine. All of them follow from the replica and the machine's latest heartbeat, so a command
+ * that is lost is planned again, and one that arrives twice changes nothing.
+ */
+public final class CommandPlanner {
+    /** As no response or command may be longer than 64 KiB. */
     private static final int MAX_COMMANDS = 400;
+
     private static final long RESEND_MS = 2000;
+    private static final double NO_GRACE_S = 0;
 
     private final ControllerContext context;
-    private final StoreReplica replica;
-    private final MachineRegistry machines;
+    private final JobProgressTable progress;
     private final CancellationTracker cancellations;
-    private final AuthorityMonitor standing;
-    private final ControllerCounters counters;
-    private final CommandLog orderLog;
+    private final AuthorityMonitor authority;
+    private final AttemptReconciler reconciler;
+    private final LaunchFence launchFence;
 
-    CommandPlanner(
+    /** Plans from the replica, for as long as the controller's authority allows it. */
+    public CommandPlanner(
             ControllerContext context,
             StoreReplica replica,
-            MachineRegistry machines,
+            JobProgressTable progress,
             CancellationTracker cancellations,
-            AuthorityMonitor standing,
-            ControllerCounters counters,
-            CommandLog orderLog) {
+            AuthorityMonitor authority,
+            ControllerCounters counters) {
         this.context = context;
-        this.replica = replica;
-        this.machines = machines;
+        this.progress = progress;
         this.cancellations = cancellations;
-        this.standing = standing;
-        this.counters = counters;
-        this.orderLog = orderLog;
+        this.authority = authority;
+        this.reconciler = new AttemptReconciler(context, replica);
+        this.launchFence = new LaunchFence(cancellations, counters, new CommandLog(context, replica));
     }
 
-    /** What the machine should do now. All of it is repeated in every answer until a report shows it done. */
-    List<WorkerCommand> plan(Machine machine, boolean inAnswer) {
-        List<AttemptId> forget = new ArrayList<>();
-        List<AttemptId> strangers = new ArrayList<>();
-        machine.worker().tasks().forEach((id, status) -> {
-            if (machine.attempt(id) == null) {
-                reconcile(machine, id, status, forget, strangers);
-            }
-        });
-        raiseFenceIfNeeded(machine, forget);
-        forget.removeIf(id -> isForgetDeferred(machine, id));
-        boolean mayLaunch = standing.current().maySendLaunches();
-        List<WorkerCommand> orders = new ArrayList<>();
-        for (AssignedAttempt assigned : machine.attempts()) {
-            WorkerCommand order = commandFor(machine, assigned, mayLaunch);
-            if (order != null && (inAnswer || isDue(machine, assigned.id()))) {
-                orders.add(order);
-            }
-        }
-        for (AttemptId id : strangers) {
-            if (!inAnswer && !isDue(machine, id)) {
-                continue;
-            }
-            orders.add(new WorkerCommand(WorkerCommand.Action.STOP, id.job(), id.task(), id.number(), 0));
-        }
-        for (AttemptId id : forget) {
-            orders.add(new WorkerCommand(WorkerCommand.Action.FORGET, id.job(), id.task(), id.number(), 0));
-        }
-        // The rest follows with the next answer: no answer or command may be longer than 64 KiB.
-        return orders.size() > MAX_COMMANDS ? orders.subList(0, MAX_COMMANDS) : orders;
+    /** All commands that apply now, for a response: it repeats them until a heartbeat shows them carried out. */
+    List<WorkerCommand> planResponse(Machine machine) {
+        return plan(machine, true);
     }
 
-    /** Refuses, from the next answer or command on, launches that must not be carried out any more. */
-    private void raiseFenceIfNeeded(Machine machine, List<AttemptId> forget) {
-        String reason = null;
-        if (forget.stream().anyMatch(machine.commandChannel()::isLaunchAbandoned)) {
-            reason = "a command that launches what is to be forgotten was given up on";
-        } else if (machine.attempts().stream().anyMatch(assigned -> isLaunchOfStoppedJobInFlight(machine, assigned))) {
-            reason = "a launch on its way is of a job that is over";
-        }
-        if (reason != null) {
-            counters.increment(Counter.FENCES_RAISED);
-            machine.commandChannel().raiseFence();
-            orderLog.fenceRaised(machine, reason);
-        }
+    /** The commands that apply now, without launches and stops that were sent a moment ago, for a direct command. */
+    List<WorkerCommand> planDirectCommand(Machine machine) {
+        return plan(machine, false);
     }
 
-    /** A launch that may still be on its way must not arrive after its job's cancellation. */
-    private boolean isLaunchOfStoppedJobInFlight(Machine machine, AssignedAttempt assigned) {
-        return cancellations.mustNotRun(assigned.job())
-                && !machine.worker().reports(assigned.id())
-                && assigned.attempt().incarnation() == machine.worker().incarnation()
-                && assigned.attempt().fencingToken() == machine.fencingToken();
+    private List<WorkerCommand> plan(Machine machine, boolean repeat) {
+        UnassignedAttempts unassigned = reconciler.unassigned(machine);
+        launchFence.raiseIfNeeded(machine, unassigned.exited());
+        launchFence.removeDeferred(machine, unassigned.exited());
+        List<WorkerCommand> commands = new ArrayList<>();
+        addForAssigned(machine, repeat, commands);
+        for (AttemptId id : unassigned.running()) {
+            if (repeat || isDue(machine, id)) {
+                commands.add(command(Action.STOP, id, NO_GRACE_S));
+            }
+        }
+        for (AttemptId id : unassigned.exited()) {
+            commands.add(command(Action.FORGET, id, NO_GRACE_S));
+        }
+        // The rest follows with the next response.
+        return commands.size() > MAX_COMMANDS ? commands.subList(0, MAX_COMMANDS) : commands;
     }
 
-    /** Forgetting waits until no copy of the launch can arrive; raising the fence instead would give up others too. */
-    private boolean isForgetDeferred(Machine machine, AttemptId id) {
-        boolean held = machine.commandChannel().isLaunchInFlight(id);
-        if (held) {
-            counters.increment(Counter.FORGETS_DEFERRED);
-            orderLog.forgetDeferred(machine, id);
+    private void addForAssigned(Machine machine, boolean repeat, List<WorkerCommand> commands) {
+        boolean maySendLaunches = authority.current().maySendLaunches();
+        for (AssignedAttempt assigned : machine.attempts()) {
+            WorkerCommand command = commandFor(machine, assigned, maySendLaunches);
+            if (command != null && (repeat || isDue(machine, assigned.id()))) {
+                commands.add(command);
+            }
         }
-        return held;
     }
 
     private boolean isDue(Machine machine, AttemptId id) {
         return !machine.commands().wasCommandedWithin(id, context.nowMs(), RESEND_MS);
     }
 
-    private WorkerCommand commandFor(Machine machine, AssignedAttempt assigned, boolean mayLaunch) {
+    /** The command about an attempt that the store holds against the machine, or null if there is none. */
+    private WorkerCommand commandFor(Machine machine, AssignedAttempt assigned, boolean maySendLaunches) {
         TaskStatus status = machine.worker().task(assigned.id());
-        Attempt attempt = assigned.attempt();
         if (status == null) {
-            // Only the token written with the launch may ever command it, or the proof of gone would not hold. And a
-            // launch written long ago must not be sent on a view that may lack its job's cancellation.
-            boolean launches = mayLaunch
-                    && !cancellations.mustNotRun(assigned.job())
-                    && attempt.incarnation() == machine.worker().incarnation()
-                    && attempt.fencingToken() == machine.fencingToken()
-                    && machines.progress().getOrCreate(assigned.job().id()).outcome(assigned.id()) == null;
-            return launches
-                    ? new WorkerCommand(
-                            WorkerCommand.Action.LAUNCH, assigned.job().id(), attempt.task(), attempt.number(), 0)
+            return maySendLaunches && mayLaunch(machine, assigned)
+                    ? command(Action.LAUNCH, assigned.id(), NO_GRACE_S)
                     : null;
         }
         if (status.phase() == Phase.EXITED) {
             return null;
         }
         if (cancellations.mustNotRun(assigned.job())) {
-            return new WorkerCommand(
-                    WorkerCommand.Action.STOP, assigned.job().id(), attempt.task(), attempt.number(), 0);
+            return command(Action.STOP, assigned.id(), NO_GRACE_S);
         }
         if (!machine.commands().isPreempted(assigned.id()) || status.phase() == Phase.SAVING) {
             return null;
         }
-        double graceS = machine.commands().preemptionGraceS(assigned.id());
-        return new WorkerCommand(
-                WorkerCommand.Action.STOP, assigned.job().id(), attempt.task(), attempt.number(), graceS);
+        return command(Action.STOP, assigned.id(), machine.commands().preemptionGraceS(assigned.id()));
     }
 
-    /** An attempt on the machine that the replica does not hold against it. */
-    private void reconcile(
-            Machine machine, AttemptId id, TaskStatus status, List<AttemptId> forget, List<AttemptId> strangers) {
-        if (replica.isUnreadable(id.job())) {
-            return;
-        }
-        JobEntry job = replica.job(id.job());
-        SliceEntry slice = job == null ? null : job.sliceOf(id.task());
-        boolean settled = slice != null ? slice.value().launchCount() >= id.number() : replica.result(id.job()) != null;
-        if (!settled) {
-            settled = machine.commands().unaccountedForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_MS;
-        }
-        if (settled && status.phase() == Phase.EXITED) {
-            forget.add(id);
-        } else if (settled) {
-            strangers.add(id);
-        }
+    /**
+     * True if a launch of the attempt may be sent. Only the fencing token that was written with the launch may ever
+     * command it, or the proof that an attempt is gone would not hold. Nor may a launch that was written long ago be
+     * sent on a view that may lack its job's cancellation.
+     */
+    private boolean mayLaunch(Machine machine, AssignedAttempt assigned) {
+        Attempt attempt = assigned.attempt();
+        return !cancellations.mustNotRun(assigned.job())
+                && attempt.incarnation() == machine.worker().incarnation()
+                && attempt.fencingToken() == machine.fencingToken()
+                && progress.getOrCreate(assigned.job().id()).outcome(assigned.id()) == null;
+    }
+
+    private static WorkerCommand command(Action action, AttemptId id, double graceS) {
+        return new WorkerCommand(action, id.job(), id.task(), id.number(), graceS);
     }
 }
--- /dev/null
+++ b/src/main/java/dewlane/core/worker/FailureAttribution.java
@@ -0,0 +1,50 @@
+package dewlane.core.worker;
+
+import dewlane.core.fleet.AssignedAttempt;
+import dewlane.core.fleet.JobProgress;
+import dewlane.core.fleet.JobProgress.Outcome;
+import dewlane.core.fleet.JobProgressTable;
+import dewlane.core.fleet.Machine;
+import dewlane.core.message.ControllerContext;
+
+/**
+ * Tells faulty machines from faulty jobs: counts each failed task against its job and its machine. A machine is at
+ * fault once tasks of two jobs have failed on it since a task last completed there.
+ */
+final class FailureAttribution {
+    /** A task that its worker refused is not launched again for this long. */
+    private static final long REFUSED_RETRY_MS = 1000;
+
+    private final ControllerContext context;
+    private final JobProgressTable progress;
+
+    FailureAttribution(ControllerContext context, JobProgressTable progress) {
+        this.context = context;
+        this.progress = progress;
+    }
+
+    /** An attempt on the machine has ended; called once for each. */
+    void attemptEnded(Machine machine, AssignedAttempt assigned, Outcome outcome) {
+        context.debug(
+                taskName(assigned) + " #" + assigned.attempt().number() + " on " + machine.name() + ": " + outcome);
+        if (outcome == Outcome.DONE) {
+            machine.clearFailedJobs();
+        } else if (outcome == Outcome.ERROR) {
+            failed(machine, assigned);
+        } else if (outcome == Outcome.REFUSED) {
+            progress.getOrCreate(assigned.job().id()).retryNotBefore(context.nowMs() + REFUSED_RETRY_MS);
+        }
+    }
+
+    private void failed(Machine machine, AssignedAttempt assigned) {
+        machine.addFailedJob(assigned.job().id());
+        JobProgress job = progress.getOrCreate(assigned.job().id());
+        job.recordFailure(machine.name(), context.nowMs());
+        context.info("task " + taskName(assigned) + " failed on " + machine.name() + " (" + job.failureCount()
+                + " failures of the job, " + machine.failedJobs().size() + " jobs on the machine)");
+    }
+
+    private static String taskName(AssignedAttempt assigned) {
+        return assigned.job().id() + "/" + assigned.attempt().task();
+    }
+}
--- /dev/null
+++ b/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
@@ -0,0 +1,84 @@
+package dewlane.core.worker;
+
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.membership.Membership;
+import dewlane.core.membership.PeerTable;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.model.Heartbeat;
+
+/**
+ * Decides what becomes of a machine whose worker sends heartbeats here although another controller owns it.
+ *
+ * <p>A worker that comes here although its owner lives cannot reach that owner: it was redirected there already and has
+ * come back. Unless this controller claims the machine, a network cut between the two lasts until the worker's lease
+ * has expired.
+ */
+final class MisroutedHeartbeatPolicy {
+    /** A worker that cannot reach its owner has tried all other controllers and is back here within this time. */
+    private static final long RETURN_WINDOW_MS = 30_000;
+
+    /** For how long a worker must have been coming here before its machine is claimed. */
+    private static final long MIN_MISROUTED_MS = 500;
+
+    /** The same while the owner says that it hears the machine. */
+    private static final long MIN_MISROUTED_WHILE_LISTED_MS = 3500;
+
+    /** An owner that was not heard for longer may be down. */
+    private static final long OWNER_HEARD_MS = 4000;
+
+    /** How long the worker of a machine that has changed hands may take to find its new owner. */
+    private static final long NEW_OWNER_GRACE_MS = 10_000;
+
+    private final ControllerContext context;
+    private final MachineRegistry machines;
+    private final PeerTable peers;
+    private final Membership membership;
+
+    MisroutedHeartbeatPolicy(
+            ControllerContext context, MachineRegistry machines, PeerTable peers, Membership membership) {
+        this.context = context;
+        this.machines = machines;
+        this.peers = peers;
+        this.membership = membership;
+    }
+
+    /** Claims the machine for this controller if its worker cannot reach its owner; returns true if so. */
+    boolean claimIfOwnerUnreachable(Machine machine, Heartbeat heartbeat) {
+        boolean claimed = cannotReachOwner(machine, heartbeat);
+        if (claimed) {
+            membership.claimMachine(machine.name());
+        }
+        return claimed;
+    }
+
+    /**
+     * True once the worker has come back with a heartbeat that is newer than its first one here and than the latest one
+     * that its owner has: late copies of old heartbeats move no machine.
+     */
+    private boolean cannotReachOwner(Machine machine, Heartbeat heartbeat) {
+        machines.discover(
+                heartbeat.machine(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+        if (!membership.reachesStore()
+                || machine.address() == null
+                || !machine.worker().precedes(heartbeat)) {
+            return false;
+        }
+        if (!ownerIsEstablished(machine)) {
+            machine.misroutedHeartbeats().reset();
+            return false;
+        }
+        long misroutedMs = machine.misroutedHeartbeats().record(heartbeat, context.nowMs(), RETURN_WINDOW_MS);
+        return misroutedMs > (machines.isListedByOwner(machine) ? MIN_MISROUTED_WHILE_LISTED_MS : MIN_MISROUTED_MS);
+    }
+
+    /**
+     * True if the worker should have reached its owner by now. Workers of an owner that died try one controller after
+     * the other until the partition map names the next one, and those of a new owner have yet to get there. Each claim
+     * makes a new map, which invalidates every launch in flight.
+     */
+    private boolean ownerIsEstablished(Machine machine) {
+        return peers.heardWithin(machine.owner(), OWNER_HEARD_MS)
+                && context.nowMs() - machine.ownerSinceMs() >= NEW_OWNER_GRACE_MS;
+    }
+}
--- /dev/null
+++ b/src/main/java/dewlane/core/worker/OutcomeRecorder.java
@@ -0,0 +1,59 @@
+package dewlane.core.worker;
+
+import dewlane.core.fleet.AssignedAttempt;
+import dewlane.core.fleet.JobProgress.Outcome;
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
+import dewlane.core.model.Job;
+import dewlane.core.model.MachineType;
+
+/**
+ * Records what a heartbeat proves about the attempts that the store holds against a machine: the outcomes, which are
+ * then to be made durable, and the images that the machine must hold by now.
+ */
+final class OutcomeRecorder {
+    private final ControllerContext context;
+    private final MachineRegistry machines;
+    private final FailureAttribution failures;
+
+    OutcomeRecorder(ControllerContext context, MachineRegistry machines) {
+        this.context = context;
+        this.machines = machines;
+        this.failures = new FailureAttribution(context, machines.progress());
+    }
+
+    /** Takes the machine's latest heartbeat, which its worker state holds already. */
+    void record(Machine machine, Heartbeat heartbeat) {
+        MachineType type = machines.type(machine);
+        for (AssignedAttempt assigned : machine.attempts()) {
+            TaskStatus status = machine.worker().task(assigned.id());
+            recordImage(machine, type, assigned, status);
+            Outcome outcome = status == null
+                    ? AttemptOutcomes.ifMissing(assigned.attempt(), heartbeat)
+                    : AttemptOutcomes.ofStatus(status);
+            if (outcome != null) {
+                recordOutcome(machine, assigned, outcome);
+            }
+        }
+    }
+
+    private static void recordImage(Machine machine, MachineType type, AssignedAttempt assigned, TaskStatus status) {
+        Job job = assigned.job().job();
+        if (status != null && status.phase() != Phase.EXITED && type != null && job != null) {
+            machine.images().use(job.image(), job.imageGb(), type.imageCacheGb());
+        }
+    }
+
+    private void recordOutcome(Machine machine, AssignedAttempt assigned, Outcome outcome) {
+        boolean first =
+                machines.progress().getOrCreate(assigned.job().id()).recordOutcome(assigned, outcome, context.nowMs());
+        if (first) {
+            machines.attemptEnded(machine, assigned);
+            failures.attemptEnded(machine, assigned, outcome);
+        }
+    }
+}
