--- /dev/null
+++ b/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
@@ -0,0 +1,75 @@
+package dewlane.core.worker;
+
+import dewlane.core.fleet.Machine;
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.membership.Membership;
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.Effect;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Has the cloud delete, without a decommission record, machines that keep a cancelled task for too long.
+ *
+ * <p>A machine that hangs, or does not hear, keeps a cancelled task past its deadline, also while the store is out for
+ * all or refuses the leader. Its deletion needs no record: the machine then is as silent as before, the record and the
+ * proof that its tasks are gone follow once they can be written, and the cloud ignores the name of a machine that is
+ * deleted already.
+ */
+final class CancelledTaskEviction {
+    /** As many as the cloud deletes by one request. */
+    private static final int MAX_MACHINES = 100;
+
+    /** Fraction of {@code cancel_s} after which a machine is deleted; a record should have been acted on by then. */
+    private static final double DEADLINE_FRACTION = 0.45;
+
+    /** The same while no record can be written: this controller, which knows of the cancellation, may fail first. */
+    private static final double DEADLINE_FRACTION_WITHOUT_STORE = 0.2;
+
+    private static final long RETRY_MS = 5000;
+
+    private final ControllerContext context;
+    private final MachineRegistry machines;
+    private final Membership membership;
+    private final CancelledTaskAge cancelledTasks;
+    private long requestedAtMs = Long.MIN_VALUE / 2;
+
+    CancelledTaskEviction(
+            ControllerContext context,
+            MachineRegistry machines,
+            Membership membership,
+            CancelledTaskAge cancelledTasks) {
+        this.context = context;
+        this.machines = machines;
+        this.membership = membership;
+        this.cancelledTasks = cancelledTasks;
+    }
+
+    /** Considers all machines of this partition, once a second. */
+    void tick() {
+        if (context.nowMs() - requestedAtMs < RETRY_MS) {
+            return;
+        }
+        List<String> overdue = overdueMachines();
+        if (!overdue.isEmpty()) {
+            requestedAtMs = context.nowMs();
+            context.info("deleting silent machines with cancelled tasks, without a decommission record: " + overdue);
+            context.emit(new Effect.DeleteInstances(overdue));
+        }
+    }
+
+    private List<String> overdueMachines() {
+        // There is less time left than for other silent machines: one that missed its heartbeats counts as silent.
+        long timeoutMs = context.settings().heartbeatTimeoutMs();
+        double fraction = membership.reachesStore() ? DEADLINE_FRACTION : DEADLINE_FRACTION_WITHOUT_STORE;
+        List<String> overdue = new ArrayList<>();
+        for (Machine machine : machines.owned()) {
+            if (overdue.size() < MAX_MACHINES
+                    && machine.reachability().silentForMs(context.nowMs()) > timeoutMs
+                    && cancelledTasks.exceedsOn(machine, fraction)) {
+                overdue.add(machine.name());
+            }
+        }
+        return overdue;
+    }
+}
