--- a/src/main/java/dewlane/core/fleet/AssignedAttempt.java
+++ b/src/main/java/dewlane/core/fleet/AssignedAttempt.java
@@ -5,7 +5,7 @@
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
 
-/** An attempt that the store holds against a machine. */
+/** An attempt that the store holds against a machine: it may be running there. */
 public final class AssignedAttempt {
     private final JobEntry job;
     private final SliceEntry slice;
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -1,85 +1,92 @@
 package dewlane.core.fleet;
 
 import dewlane.core.model.AttemptId;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.Set;
 
 /**
- * The commands to one machine: the token that they carry, and which launches may still arrive there.
+ * The commands to one machine: the fencing token that they carry, and which launches may still arrive there.
  *
- * <p>A launch reaches a worker in two ways: by a direct command, of which at most one is under way, and with the answer
- * to a report, of which the worker awaits at most one. A direct command is answered, or is given up on and may then be
- * carried out at any later time. An answer is received or dropped by the time at which the worker reports again.
+ * <p>A launch reaches a worker in two ways: by a direct command, of which at most one is in flight, and in the response
+ * to a heartbeat, of which the worker awaits at most one. A direct command is answered, or is abandoned and may then be
+ * carried out at any later time. A response has been received or dropped by the time the worker sends its next
+ * heartbeat.
  *
  * <p>Invariant: a worker is told to forget an attempt only with a token that is higher than those of all copies of its
- * launch that may still arrive. Else such a copy starts the attempt again, although its end is written and the task may
- * run elsewhere.
+ * launch that may still arrive. Otherwise such a copy starts the attempt again, although its end is written and the
+ * task may run elsewhere.
  */
 public final class CommandChannel {
     private static final int FENCE_BITS = 20;
+    private static final long NO_TOKEN = 0;
 
     private long epoch;
     private int fence;
-    /** The launches of the direct command under way, and its token; 0 while none is under way. */
+
+    /** The launches of the direct command in flight. */
     private final Set<AttemptId> commandLaunches = new HashSet<>();
+    /** The token of the direct command in flight. */
+    private long commandToken = NO_TOKEN;
+
+    private long commandSentAtMs;
 
-    private long commandToken;
-    private long commandSentAt;
-    /** The launches in the answer to the latest report, and its token; 0 before the first. */
-    private final Set<AttemptId> answerLaunches = new HashSet<>();
+    /** The launches in the response to the latest heartbeat. */
+    private final Set<AttemptId> responseLaunches = new HashSet<>();
+    /** The token of that response. */
+    private long responseToken = NO_TOKEN;
 
-    private long answerToken;
-    /** Launches of direct commands that were given up on, under the present token. */
+    /** Launches of abandoned direct commands, under the present token. */
     private final Set<AttemptId> abandonedLaunches = new HashSet<>();
 
-    /** The token of the present owner: the epoch at which it got the machine, then the machine's own fence. */
+    /** The token of the present owner: the epoch at which it acquired the machine, then the machine's own fence. */
     long fencingToken() {
         return (epoch << FENCE_BITS) | fence;
     }
 
-    /** The machine came to this controller; the token is higher than those of any owner before. */
+    /** This controller becomes the machine's owner; the token is higher than those of any owner before. */
     void acquire(long newEpoch) {
         // The same map may be read anew: its tokens up to the present fence have been used.
         fence = newEpoch == epoch ? fence + 1 : 0;
         epoch = newEpoch;
         abandonedLaunches.clear();
-        answerLaunches.clear();
-        answerToken = 0;
+        responseLaunches.clear();
+        responseToken = NO_TOKEN;
     }
 
-    /** From now on each command and answer refuses, where it arrives, all launches that were sent before. */
+    /** From now on each command and response has the worker refuse all launches that were sent before. */
     public void raiseFence() {
         fence++;
         abandonedLaunches.clear();
     }
 
-    /** The worker began another session, in which no launch of an earlier one is carried out. */
+    /** The worker began another incarnation, in which no launch of an earlier one is carried out. */
     public void incarnationBegan() {
         commandLaunches.clear();
-        answerLaunches.clear();
+        responseLaunches.clear();
         abandonedLaunches.clear();
     }
 
-    /** True while a direct command is under way. */
+    /** True while a direct command is in flight. */
     public boolean isCommandInFlight() {
-        return commandToken != 0;
+        return commandToken != NO_TOKEN;
     }
 
-    /** A direct command goes out. */
-    public void commandSent(Set<AttemptId> launches, long now) {
+    /** A direct command is sent. */
+    public void commandSent(Set<AttemptId> launches, long nowMs) {
         commandToken = fencingToken();
-        commandSentAt = now;
+        commandSentAtMs = nowMs;
         commandLaunches.addAll(launches);
     }
 
-    /** For how long the direct command has been under way. */
-    public long commandAgeMs(long now) {
-        return now - commandSentAt;
+    /** The time since the latest direct command was sent. */
+    public long commandAgeMs(long nowMs) {
+        return nowMs - commandSentAtMs;
     }
 
     /** The worker answered the direct command, or it was never sent: no copy of it can arrive. */
-    public void commandSettled() {
-        commandToken = 0;
+    public void commandResolved() {
+        commandToken = NO_TOKEN;
         commandLaunches.clear();
     }
 
@@ -89,40 +96,40 @@
      * @return true if it had launches
      */
     public boolean commandAbandoned() {
-        boolean launches = !commandLaunches.isEmpty();
+        boolean hadLaunches = !commandLaunches.isEmpty();
         if (commandToken == fencingToken()) {
             abandonedLaunches.addAll(commandLaunches);
         }
-        commandSettled();
-        return launches;
+        commandResolved();
+        return hadLaunches;
     }
 
-    /** A report is answered. */
-    public void answerSent(Set<AttemptId> launches) {
-        answerToken = fencingToken();
-        answerLaunches.clear();
-        answerLaunches.addAll(launches);
+    /** A heartbeat is responded to. */
+    public void responseSent(Set<AttemptId> launches) {
+        responseToken = fencingToken();
+        responseLaunches.clear();
+        responseLaunches.addAll(launches);
     }
 
-    /** The worker reports again, so it has received the answer to its last report or will drop it. */
-    public void answerSettled() {
-        answerLaunches.clear();
+    /** The worker sent another heartbeat, so it has received the response to its last one or will drop it. */
+    public void responseResolved() {
+        responseLaunches.clear();
     }
 
-    /** The token of the latest answer to a report, which the next report must show; 0 before the first. */
-    public long answerToken() {
-        return answerToken;
+    /** The token of the latest response, which the next heartbeat must show; 0 before the first. */
+    public long responseToken() {
+        return responseToken;
     }
 
-    /** The launches in the latest answer to a report, which the next report must show. */
-    public Set<AttemptId> answerLaunches() {
-        return answerLaunches;
+    /** The launches in the latest response, which the next heartbeat must show. */
+    public Set<AttemptId> responseLaunches() {
+        return Collections.unmodifiableSet(responseLaunches);
     }
 
-    /** True if a launch of the attempt is under way with the present token, and it will be known what became of it. */
+    /** True if a launch of the attempt is in flight with the present token, and its fate will be known. */
     public boolean isLaunchInFlight(AttemptId attempt) {
         return commandToken == fencingToken() && commandLaunches.contains(attempt)
-                || answerToken == fencingToken() && answerLaunches.contains(attempt);
+                || responseToken == fencingToken() && responseLaunches.contains(attempt);
     }
 
     /** True if a launch of the attempt may arrive with the present token at any time. */
--- a/src/main/java/dewlane/core/fleet/DecommissionBatches.java
+++ b/src/main/java/dewlane/core/fleet/DecommissionBatches.java
@@ -3,35 +3,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How many machines a record in the state service names. */
+/** Splits machines to be decommissioned into batches, each of which one record in the store can name. */
 public final class DecommissionBatches {
     /** As many as the cloud deletes by one request. */
     public static final int MAX_MACHINES = 100;
-    /** The names of a record's fields, its fate and its reason, with quotes and brackets. */
-    private static final int FRAME_BYTES = 128;
+
+    /** The names of a record's fields, its state and its reason, with quotes and brackets. */
+    private static final int RECORD_OVERHEAD_BYTES = 128;
     /** Quotes and a comma. */
-    private static final int FRAME_OF_NAME = 3;
+    private static final int NAME_OVERHEAD_BYTES = 3;
 
     private DecommissionBatches() {}
 
-    /** Divides names into as few records as their size and number allow, in order. */
+    /** Splits names, in order, into as few batches as the size of a value and the number of names allow. */
     public static List<List<String>> split(List<String> names, int valueBytes) {
-        List<List<String>> records = new ArrayList<>();
-        List<String> record = new ArrayList<>();
-        int bytes = FRAME_BYTES;
+        List<List<String>> batches = new ArrayList<>();
+        List<String> batch = new ArrayList<>();
+        int batchBytes = RECORD_OVERHEAD_BYTES;
         for (String name : names) {
-            int more = name.length() + FRAME_OF_NAME;
-            if (!record.isEmpty() && (bytes + more > valueBytes || record.size() == MAX_MACHINES)) {
-                records.add(List.copyOf(record));
-                record.clear();
-                bytes = FRAME_BYTES;
+            int nameBytes = name.length() + NAME_OVERHEAD_BYTES;
+            boolean full = batchBytes + nameBytes > valueBytes || batch.size() == MAX_MACHINES;
+            if (full && !batch.isEmpty()) {
+                batches.add(List.copyOf(batch));
+                batch.clear();
+                batchBytes = RECORD_OVERHEAD_BYTES;
             }
-            record.add(name);
-            bytes += more;
+            batch.add(name);
+            batchBytes += nameBytes;
         }
-        if (!record.isEmpty()) {
-            records.add(List.copyOf(record));
+        if (!batch.isEmpty()) {
+            batches.add(List.copyOf(batch));
         }
-        return records;
+        return batches;
     }
 }
--- /dev/null
+++ b/src/main/java/dewlane/core/fleet/FailureBackoff.java
@@ -0,0 +1,46 @@
+package dewlane.core.fleet;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/** The failures of a job's tasks, and the backoff before its next launch, which doubles with each failure. */
+final class FailureBackoff {
+    private static final long BASE_BACKOFF_MS = 250;
+    private static final long MAX_BACKOFF_MS = 30_000;
+    private static final int MAX_DOUBLINGS = 7;
+
+    /** A job that fails on so many machines is itself at fault. */
+    private static final int FAULTY_MACHINES = 3;
+
+    private final Set<String> failedMachines = new HashSet<>();
+    private int failureCount;
+    private long retryAtMs;
+
+    /** A task failed on the machine. */
+    void recordFailure(String machine, long nowMs) {
+        failureCount++;
+        failedMachines.add(machine);
+        long backoffMs = BASE_BACKOFF_MS << Math.min(failureCount, MAX_DOUBLINGS);
+        retryAtMs = nowMs + Math.min(MAX_BACKOFF_MS, backoffMs);
+    }
+
+    /** Replaces the steady time before which nothing is launched. */
+    void retryNotBefore(long atMs) {
+        retryAtMs = atMs;
+    }
+
+    /** Steady time before which nothing is launched. */
+    long retryAtMs() {
+        return retryAtMs;
+    }
+
+    /** How many tasks have failed. */
+    int failureCount() {
+        return failureCount;
+    }
+
+    /** True if tasks failed on so many machines that the job is itself at fault. */
+    boolean isFaulty() {
+        return failedMachines.size() >= FAULTY_MACHINES;
+    }
+}
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -1,6 +1,7 @@
 package dewlane.core.fleet;
 
 import dewlane.core.message.ControllerContext;
+import dewlane.core.model.AttemptId;
 import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.StoreReplica;
@@ -18,19 +19,21 @@
     private final ControllerContext context;
     private final StoreReplica replica;
     private final TeamUsage teamUsage;
+    private final String self;
     private final Map<String, JobProgress> byJob = new HashMap<>();
     /** Jobs with launches that the replica does not show yet, and jobs that are over. */
-    private final Set<String> settling = new LinkedHashSet<>();
+    private final Set<String> unreconciled = new LinkedHashSet<>();
 
     JobProgressTable(ControllerContext context, StoreReplica replica, TeamUsage teamUsage) {
         this.context = context;
         this.replica = replica;
         this.teamUsage = teamUsage;
+        this.self = context.settings().controllerName();
     }
 
     /** What is being done for the job. */
     public JobProgress getOrCreate(String job) {
-        return byJob.computeIfAbsent(job, j -> new JobProgress());
+        return byJob.computeIfAbsent(job, id -> new JobProgress());
     }
 
     /** What is being done for the job, or null if that was nothing so far. */
@@ -40,46 +43,47 @@
 
     /** A launch was decided. */
     public void launchDecided(String job, JobProgress.Launch launch) {
-        getOrCreate(job).launchesInFlight.add(launch);
-        settling.add(job);
+        getOrCreate(job).addLaunch(launch);
+        unreconciled.add(job);
         launch.machine().usage().add(launch.spec());
-        teamUsage.add(launch.spec(), context.settings().controllerName(), 1);
+        teamUsage.add(launch.spec(), self, 1);
     }
 
     /** The replica shows a slice, null if it is gone: launches up to its latest are counted from there. */
-    void sliceObserved(String job, int slice, Slice after) {
+    void sliceObserved(String job, int sliceNumber, Slice slice) {
         JobProgress progress = byJob.get(job);
-        if (progress == null || after == null || progress.launchesInFlight.isEmpty()) {
-            return;
+        if (progress != null && slice != null) {
+            progress.removeLaunchesShownIn(sliceNumber, slice).forEach(this::releaseLaunch);
+        }
+    }
+
+    /** The replica shows that the attempt is gone, so its outcome is durable. */
+    void attemptRemoved(AttemptId attempt) {
+        JobProgress progress = byJob.get(attempt.job());
+        if (progress != null) {
+            progress.removeOutcome(attempt);
         }
-        progress.launchesInFlight.removeIf(launch -> {
-            boolean seen = launch.slice() == slice
-                    && after.launchCount() >= launch.attempt().number();
-            if (seen) {
-                releaseLaunch(launch);
-            }
-            return seen;
-        });
     }
 
     /** The job has no record any more. */
     void jobEnded(String job) {
         if (byJob.containsKey(job)) {
-            settling.add(job);
+            unreconciled.add(job);
         }
     }
 
+    /** Takes back what was counted for a launch when it was decided. */
     private void releaseLaunch(JobProgress.Launch launch) {
         launch.machine().usage().remove(launch.spec());
-        teamUsage.add(launch.spec(), context.settings().controllerName(), -1);
+        teamUsage.add(launch.spec(), self, -1);
         launch.machine().markIdleIfEmpty(context.nowMs());
     }
 
-    /** Counts the launches that the replica does not show for this controller, after owners were counted anew. */
+    /** Counts the launches in flight for this controller, after the usage of all owners was reset. */
     void recountLaunches() {
-        String self = context.settings().controllerName();
-        byJob.values()
-                .forEach(progress -> progress.launchesInFlight.forEach(l -> teamUsage.addToOwner(l.spec(), self, 1)));
+        for (JobProgress progress : byJob.values()) {
+            progress.launchesInFlight().forEach(launch -> teamUsage.addToOwner(launch.spec(), self, 1));
+        }
     }
 
     /**
@@ -87,21 +91,23 @@
      * reached it, whatever it does not show by then was not launched.
      */
     public void reconcile() {
-        for (Iterator<String> i = settling.iterator(); i.hasNext(); ) {
-            String id = i.next();
-            JobProgress progress = byJob.get(id);
-            if (progress != null && progress.isBusy(replica.revision(), Long.MAX_VALUE)) {
-                continue;
-            }
-            i.remove();
-            if (progress != null) {
-                progress.launchesInFlight.forEach(this::releaseLaunch);
-                progress.launchesInFlight.clear();
-                JobEntry job = replica.job(id);
-                if (job == null || job.job() == null) {
-                    byJob.remove(id);
-                }
+        for (Iterator<String> jobs = unreconciled.iterator(); jobs.hasNext(); ) {
+            String job = jobs.next();
+            JobProgress progress = byJob.get(job);
+            if (progress == null) {
+                jobs.remove();
+            } else if (!progress.isWriteUnresolved(replica.revision())) {
+                jobs.remove();
+                progress.removeAllLaunches().forEach(this::releaseLaunch);
+                removeIfOver(job);
             }
         }
     }
+
+    private void removeIfOver(String id) {
+        JobEntry job = replica.job(id);
+        if (job == null || job.job() == null) {
+            byJob.remove(id);
+        }
+    }
 }
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * What this controller knows of a machine: what it is, who owns it, what may be running there, and what its worker was
- * told. Owned by the controller's one thread.
+ * What this controller knows of a machine: what it is, who owns it, what may be running there, and what was sent to its
+ * worker. It is confined to the controller's one thread.
  */
 public final class Machine {
     private final String name;
@@ -35,8 +35,7 @@
     private final MachineLifecycle lifecycle = new MachineLifecycle();
     private final ImageCache images = new ImageCache();
 
-    private String listedByIncarnation;
-    private long listedAtMs;
+    private final PeerListing peerListing = new PeerListing();
 
     /** Jobs of which a task failed here since a task last completed. */
     private final Set<String> failedJobs = new HashSet<>();
@@ -59,7 +58,7 @@
         return name;
     }
 
-    /** The controller whose partition the machine is in under the present map; null before the first map. */
+    /** The controller whose partition the machine is in, under the present map; null before the first map. */
     public String owner() {
         return owner;
     }
@@ -69,17 +68,17 @@
         return ownerSinceMs;
     }
 
-    /** Sets the owner under the present map; with {@code anew}, its time as the owner begins now in any case. */
-    void setOwner(String newOwner, boolean anew, long nowMs) {
-        if (anew || newOwner == null || !newOwner.equals(owner)) {
+    /** Sets the owner under the present map; if it reacquires the machine, its time as the owner begins anew. */
+    void setOwner(String newOwner, boolean reacquired, long nowMs) {
+        if (reacquired || newOwner == null || !newOwner.equals(owner)) {
             ownerSinceMs = nowMs;
         }
         owner = newOwner;
     }
 
     /**
-     * The machine came to this controller. Its fencing tokens are above those of any owner before, and stay so while
-     * the machine does not change hands: a map that changes elsewhere fences off no launch of this partition.
+     * This controller becomes the machine's owner. Its fencing tokens are above those of any owner before, and go on
+     * from there as long as it owns the machine: a map that changes elsewhere fences off no launch of this partition.
      */
     void acquire(long epoch, long nowMs) {
         commandChannel.acquire(epoch);
@@ -115,24 +114,24 @@
     }
 
     /** Takes what a heartbeat or a list says of the machine, which never changes but for a wrong list. */
-    public void describe(String ofType, String inZone, boolean onSpot) {
-        if (!ofType.equals(typeName)) {
-            typeName = ofType;
+    public void describe(String newTypeName, String newZone, boolean isSpot) {
+        if (!newTypeName.equals(typeName)) {
+            typeName = newTypeName;
             resolvedType = null;
         }
-        zone = inZone;
-        spot = onSpot;
+        zone = newZone;
+        spot = isSpot;
     }
 
     /** The machine's type among those that the cloud offers, or null if it is not known. */
-    MachineType resolveType(Map<String, MachineType> types) {
+    MachineType resolveType(MachineTypeCatalog types) {
         if (resolvedType == null && typeName != null) {
             resolvedType = types.get(typeName);
         }
         return resolvedType;
     }
 
-    /** The cloud's types were read anew. */
+    /** The machine types were replaced. */
     void forgetResolvedType() {
         resolvedType = null;
     }
@@ -162,7 +161,7 @@
         return misroutedHeartbeats;
     }
 
-    /** Whether the machine is to go. */
+    /** Whether the machine is being scaled in or terminated. */
     public MachineLifecycle lifecycle() {
         return lifecycle;
     }
@@ -172,17 +171,9 @@
         return images;
     }
 
-    /** A peer said that it hears the machine. */
-    void listedBy(String peerIncarnation, long nowMs) {
-        listedByIncarnation = peerIncarnation;
-        listedAtMs = nowMs;
-    }
-
-    /** True if that start of a peer said so within the given time. */
-    boolean wasListedBy(String peerIncarnation, long nowMs, long withinMs) {
-        return listedByIncarnation != null
-                && nowMs - listedAtMs <= withinMs
-                && listedByIncarnation.equals(peerIncarnation);
+    /** Which peer last said that it hears the machine. */
+    PeerListing peerListing() {
+        return peerListing;
     }
 
     /** Jobs of which a task failed here since a task last completed. */
@@ -219,12 +210,12 @@
         return attempts.remove(id);
     }
 
-    /** What the attempts take that may be on the machine, those in a write in flight included. */
+    /** The resources taken by attempts that may be on the machine, those in a write in flight included. */
     public ResourceUsage usage() {
         return usage;
     }
 
-    /** The number of tasks of the job that fit, less what is reserved for others. */
+    /** The number of tasks of the job that fit beside what is used and reserved. */
     public int capacityFor(MachineType type, Job job) {
         return reserved == null
                 ? usage.capacityFor(type, job)
@@ -247,7 +238,9 @@
         return idleSinceMs;
     }
 
-    /** Something ended or was taken back; if nothing may be on the machine any more, it is idle from now on. */
+    /**
+     * An attempt ended or a launch was taken back: if nothing may be on the machine any more, it is idle from now on.
+     */
     void markIdleIfEmpty(long nowMs) {
         if (attempts.isEmpty() && usage.isEmpty()) {
             idleSinceMs = nowMs;
@@ -260,12 +253,13 @@
     }
 
     /**
-     * Being heard is not being reachable: from now on only an answer to a command, or a heartbeat with a fencing token
-     * that was handed out after this moment, shows that the machine hears this controller. A late copy has neither.
+     * The machine may not hear this controller, which being heard does not disprove. From now on only an answer to a
+     * command, or a heartbeat with a fencing token that was issued after this moment, proves that it does. A late copy
+     * has neither.
      */
     public void suspect(long nowMs) {
         if (isLaunchInFlight()) {
-            // Raising the fence would give the launch up.
+            // A token can only prove it if the fence is raised, which would give the launch up.
             reachability.suspected(nowMs, Reachability.NO_TOKEN_ENDS_IT);
         } else {
             commandChannel.raiseFence();
--- /dev/null
+++ b/src/main/java/dewlane/core/fleet/MachineTable.java
@@ -0,0 +1,64 @@
+package dewlane.core.fleet;
+
+import dewlane.core.message.ControllerContext;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+
+/** All known machines by name, whoever owns them, and the names of those proven terminated. */
+final class MachineTable {
+    private final ControllerContext context;
+    private final OwnedMachines owned;
+    private final Map<String, Machine> byName = new LinkedHashMap<>();
+    private final Set<String> terminated = new HashSet<>();
+
+    MachineTable(ControllerContext context, OwnedMachines owned) {
+        this.context = context;
+        this.owned = owned;
+    }
+
+    /** The machine, or null if it is not known. */
+    Machine get(String name) {
+        return byName.get(name);
+    }
+
+    /** The machine, which is added if it is not known. */
+    Machine getOrCreate(String name) {
+        Machine machine = byName.get(name);
+        if (machine == null) {
+            machine = new Machine(name, context.nowMs());
+            byName.put(name, machine);
+            owned.updateOwner(machine, true);
+        }
+        return machine;
+    }
+
+    /** All known machines, in the order in which they became known. */
+    Collection<Machine> all() {
+        return byName.values();
+    }
+
+    /** The machine is proven terminated. It stays known while the store holds attempts against it. */
+    void markTerminated(String name) {
+        terminated.add(name);
+        Machine machine = byName.get(name);
+        if (machine != null) {
+            removeIfTerminated(machine);
+        }
+    }
+
+    /** True if the machine is proven terminated. */
+    boolean isTerminated(String name) {
+        return terminated.contains(name);
+    }
+
+    /** Removes the machine once it is proven terminated and no attempts are held against it. */
+    void removeIfTerminated(Machine machine) {
+        if (machine.attempts().isEmpty() && terminated.contains(machine.name())) {
+            byName.remove(machine.name());
+            owned.remove(machine);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/dewlane/core/fleet/MachineTypeCatalog.java
@@ -0,0 +1,36 @@
+package dewlane.core.fleet;
+
+import dewlane.core.model.MachineType;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The machine types that the cloud offers, by name, and how jobs contend for them. */
+final class MachineTypeCatalog {
+    private final Map<String, MachineType> byName = new LinkedHashMap<>();
+    private final MachineTypeContention contention = new MachineTypeContention(byName.values());
+
+    /** Replaces all types. */
+    void replaceAll(List<MachineType> types) {
+        byName.clear();
+        types.forEach(type -> byName.put(type.name(), type));
+        contention.typesChanged();
+    }
+
+    /** All types, in the order in which the cloud lists them. */
+    Collection<MachineType> all() {
+        return Collections.unmodifiableCollection(byName.values());
+    }
+
+    /** The type of that name, or null if the cloud offers none. */
+    MachineType get(String name) {
+        return byName.get(name);
+    }
+
+    /** Which types had better be left to which jobs. */
+    MachineTypeContention contention() {
+        return contention;
+    }
+}
--- a/src/main/java/dewlane/core/fleet/MachineTypeContention.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeContention.java
@@ -3,68 +3,74 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 import it.unimi.dsi.fastutil.objects.Object2IntOpenHashMap;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tells which machine types had better be left to jobs that have fewer to choose from. */
+/** Tells which machine types had better be left to jobs that can use fewer of them. */
 public final class MachineTypeContention {
-    private record Rivalry(Job.Requirements shape, String type) {}
+    private record RequirementsOnType(Job.Requirements requirements, String type) {}
 
-    private final Map<String, MachineType> types;
-    /** Shapes of the jobs that are not over, and how many have each. */
-    private final Object2IntOpenHashMap<Job.Requirements> shapes = new Object2IntOpenHashMap<>();
-    /** As of the present shapes and types: the question is asked for every job and type. */
-    private final Map<Rivalry, Integer> rivals = new HashMap<>();
+    private final Collection<MachineType> types;
+    /** The requirements of the jobs that are not over, and how many jobs have each. */
+    private final Object2IntOpenHashMap<Job.Requirements> activeJobs = new Object2IntOpenHashMap<>();
+    /** Cached until active requirements or types change, as it is asked for with every job and type. */
+    private final Map<RequirementsOnType, Integer> cachedContention = new HashMap<>();
 
-    /** Over the machine types by name, which may change. */
-    MachineTypeContention(Map<String, MachineType> types) {
+    /** Contention for the given types, a live view: whoever changes it calls {@link #typesChanged}. */
+    MachineTypeContention(Collection<MachineType> types) {
         this.types = types;
     }
 
-    /** The machine types are others. */
+    /** The machine types have changed. */
     void typesChanged() {
-        rivals.clear();
+        cachedContention.clear();
     }
 
-    /** There is one more job of the shape. */
-    void jobAdded(Job.Requirements shape) {
-        if (shapes.addTo(shape, 1) == 0) {
-            rivals.clear();
+    /** There is one more job with the requirements. */
+    void jobAdded(Job.Requirements requirements) {
+        if (activeJobs.addTo(requirements, 1) == 0) {
+            cachedContention.clear();
         }
     }
 
-    /** There is one job of the shape less. */
-    void jobRemoved(Job.Requirements shape) {
-        if (shapes.addTo(shape, -1) == 1) {
-            shapes.removeInt(shape);
-            rivals.clear();
+    /** There is one job less with the requirements. */
+    void jobRemoved(Job.Requirements requirements) {
+        if (activeJobs.addTo(requirements, -1) == 1) {
+            activeJobs.removeInt(requirements);
+            cachedContention.clear();
         }
     }
 
-    /** How many types the tasks of a shape fit on and may use. */
-    public int usableTypeCount(Job.Requirements shape) {
-        int n = 0;
-        for (MachineType type : types.values()) {
-            n += shape.allowsType(type.name()) && type.fits(shape) ? 1 : 0;
+    /** The number of types that tasks with the requirements fit on and may use. */
+    public int usableTypeCount(Job.Requirements requirements) {
+        int count = 0;
+        for (MachineType type : types) {
+            if (isUsable(type, requirements)) {
+                count++;
+            }
         }
-        return n;
+        return count;
+    }
+
+    private static boolean isUsable(MachineType type, Job.Requirements requirements) {
+        return requirements.allowsType(type.name()) && type.fits(requirements);
     }
 
     /**
-     * 1 if an active job with fewer types to choose from could use the type, so that a job of the shape had better go
-     * elsewhere; 0 if not.
+     * 1 if an active job that can use fewer types could use this one, so that a job with the requirements had better
+     * use another; 0 if not.
      */
-    public int contention(Job.Requirements shape, MachineType type) {
-        return rivals.computeIfAbsent(new Rivalry(shape, type.name()), r -> countRivals(shape, type));
+    public int contention(Job.Requirements requirements, MachineType type) {
+        return cachedContention.computeIfAbsent(
+                new RequirementsOnType(requirements, type.name()), key -> computeContention(requirements, type));
     }
 
-    private int countRivals(Job.Requirements shape, MachineType type) {
-        int choices = usableTypeCount(shape);
-        for (Job.Requirements other : shapes.keySet()) {
-            if ((other.cpus() != shape.cpus() || other.memoryGb() != shape.memoryGb())
-                    && type.fits(other)
-                    && other.allowsType(type.name())
-                    && usableTypeCount(other) < choices) {
+    private int computeContention(Job.Requirements requirements, MachineType type) {
+        int usableTypes = usableTypeCount(requirements);
+        for (Job.Requirements other : activeJobs.keySet()) {
+            boolean sameSize = other.cpus() == requirements.cpus() && other.memoryGb() == requirements.memoryGb();
+            if (!sameSize && isUsable(type, other) && usableTypeCount(other) < usableTypes) {
                 return 1;
             }
         }
--- a/src/main/java/dewlane/core/fleet/PartitionCapacity.java
+++ b/src/main/java/dewlane/core/fleet/PartitionCapacity.java
@@ -11,7 +11,7 @@
 
 /**
  * How many tasks fit on the machines of each partition, as far as this controller knows. Counts are cached for a
- * moment, as they are asked for once a job.
+ * moment, as they are asked for with every job.
  */
 public final class PartitionCapacity {
     private static final long CACHE_TTL_MS = 250;
@@ -47,7 +47,7 @@
     /** The number of the job's tasks that fit into each partition, in the order of the map's members. */
     public int[] byPartition(Job job, Job.Requirements requirements) {
         refresh();
-        return cached.computeIfAbsent(requirements, r -> count(job, r));
+        return cached.computeIfAbsent(requirements, key -> count(job, key));
     }
 
     private int[] count(Job job, Job.Requirements requirements) {
--- a/src/main/java/dewlane/core/fleet/Reachability.java
+++ b/src/main/java/dewlane/core/fleet/Reachability.java
@@ -2,120 +2,122 @@
 
 /**
  * Whether a machine hears this controller, which being heard does not prove. It is confirmed by an answer to a command,
- * or by reports that come in time and show what the answer to the last one gave; else it is suspected not to hear, and
- * counts as silent.
+ * or by heartbeats that come in time and show what the response to the last one carried. Otherwise the machine is
+ * suspected not to hear, and counts as silent.
  *
- * <p>Invariant: a suspicion ends only by an answer to a command, or by a report with a token that was handed out after
- * the suspicion began. A late copy has neither.
+ * <p>Invariant: a suspicion ends only by an answer to a command, or by a heartbeat with a fencing token that was issued
+ * after the suspicion began. A late copy has neither.
  */
 public final class Reachability {
     /** No token is as high: nothing but an answer to a command ends the suspicion. */
     static final long NO_TOKEN_ENDS_IT = Long.MAX_VALUE;
 
+    private static final long NEVER = 0;
+
     /** Since when silence counts. */
-    private long countedFrom;
-    /** When the machine last proved that it hears this controller; 0: never under the present owner. */
-    private long confirmedAt;
-    /** When a report of its own came last, not an answer to a command. */
-    private long reportedAt;
-    /** 0: not suspected. */
-    private long suspectedSince;
-    /** A report with this token or a higher one ends the suspicion. */
-    private long challenge;
+    private long silenceBaselineMs;
+    /** When the machine last proved under the present owner that it hears this controller. */
+    private long confirmedAtMs = NEVER;
+    /** When a heartbeat of its own came last, not an answer to a command. */
+    private long heartbeatAtMs = NEVER;
+    /** {@link #NEVER} while it is not suspected. */
+    private long suspectedSinceMs = NEVER;
+    /** A heartbeat with this token or a higher one ends the suspicion. */
+    private long suspicionEndingToken;
 
-    private long probedAt;
-    /** The worker has been told the present owner's token. */
-    private boolean tokenTold = true;
+    private long probedAtMs = NEVER;
+    /** True once the worker was sent the present owner's token. */
+    private boolean tokenSent = true;
 
-    Reachability(long now) {
-        countedFrom = now;
+    Reachability(long nowMs) {
+        silenceBaselineMs = nowMs;
     }
 
-    /** The machine came to this controller, which has not heard it yet. */
-    void acquired(long now, long token) {
-        countedFrom = now;
-        confirmedAt = 0;
-        suspectedSince = now;
-        challenge = token;
-        probedAt = 0;
-        tokenTold = false;
+    /** This controller becomes the machine's owner and has not heard it as such. */
+    void acquired(long nowMs, long token) {
+        silenceBaselineMs = nowMs;
+        confirmedAtMs = NEVER;
+        suspectedSinceMs = nowMs;
+        suspicionEndingToken = token;
+        probedAtMs = NEVER;
+        tokenSent = false;
     }
 
-    /** The machine is another controller's. */
-    void handedOn() {
-        confirmedAt = 0;
+    /** Another controller owns the machine. */
+    void handedOver() {
+        confirmedAtMs = NEVER;
     }
 
-    /** The machine has shown that it hears this controller. */
-    public void confirmed(long now) {
-        confirmedAt = now;
-        suspectedSince = 0;
+    /** The machine has proved that it hears this controller. */
+    public void confirmed(long nowMs) {
+        confirmedAtMs = nowMs;
+        suspectedSinceMs = NEVER;
     }
 
-    /** It may not hear; a report with the given token shows that it does. */
-    void suspected(long now, long endingToken) {
-        suspectedSince = now;
-        probedAt = 0;
-        challenge = endingToken;
+    /** It may not hear this controller; a heartbeat with the given token proves that it does. */
+    void suspected(long nowMs, long endingToken) {
+        suspectedSinceMs = nowMs;
+        probedAtMs = NEVER;
+        suspicionEndingToken = endingToken;
     }
 
     /** True while it is suspected not to hear this controller. */
     public boolean isSuspected() {
-        return suspectedSince != 0;
+        return suspectedSinceMs != NEVER;
     }
 
-    /** True if a report with the token ends the suspicion. */
+    /** True if a heartbeat with the token ends the suspicion. */
     public boolean endsSuspicion(long token) {
-        return token >= challenge;
+        return token >= suspicionEndingToken;
     }
 
     /** True if it was confirmed under the present owner. */
     public boolean everConfirmed() {
-        return confirmedAt != 0;
+        return confirmedAtMs != NEVER;
     }
 
     /** True if it proved within the given time that it hears this controller. */
-    public boolean confirmedWithin(long now, long ms) {
-        return confirmedAt != 0 && now - confirmedAt <= ms;
+    public boolean confirmedWithin(long nowMs, long withinMs) {
+        return confirmedAtMs != NEVER && nowMs - confirmedAtMs <= withinMs;
     }
 
-    /** For how long it has not shown that it hears. */
-    public long silentForMs(long now) {
-        return now - Math.max(confirmedAt, countedFrom);
+    /** For how long it has not proved that it hears this controller. */
+    public long silentForMs(long nowMs) {
+        return nowMs - Math.max(confirmedAtMs, silenceBaselineMs);
     }
 
-    /** What was before is nobody's silence. */
-    public void countSilenceFrom(long now) {
-        countedFrom = now;
+    /** Silence before this moment does not count. */
+    public void countSilenceFrom(long nowMs) {
+        silenceBaselineMs = nowMs;
     }
 
-    /** A report of its own was answered. */
-    public void reported(long now) {
-        reportedAt = now;
+    /** A heartbeat of its own was accepted. */
+    public void heartbeatAccepted(long nowMs) {
+        heartbeatAtMs = nowMs;
     }
 
-    /** When a report of its own was last answered; 0: never. */
+    /** When a heartbeat of its own was last accepted; 0: never. */
     public long reportedAt() {
-        return reportedAt;
+        return heartbeatAtMs;
     }
 
-    /** True if it is suspected and was not asked for so long. */
-    public boolean probeDue(long now, long pauseMs) {
-        return isSuspected() && now - probedAt > pauseMs;
+    /** True if it is suspected and was not probed for so long. */
+    public boolean probeDue(long nowMs, long intervalMs) {
+        return isSuspected() && nowMs - probedAtMs > intervalMs;
     }
 
-    /** It was asked for a sign that it hears. */
-    public void probed(long now) {
-        probedAt = now;
+    /** It is asked for a proof that it hears this controller. */
+    public void probed(long nowMs) {
+        probedAtMs = nowMs;
     }
 
-    /** The worker was sent the present owner's token. */
-    public void tokenSent() {
-        tokenTold = true;
+    /** The worker is sent the present owner's fencing token by a direct command. */
+    public void markTokenSent() {
+        tokenSent = true;
     }
 
-    /** True if the worker was sent the present owner's fencing token. */
-    public boolean tokenTold() {
-        return tokenTold;
+    /** True if the worker was sent the present owner's fencing token by a direct command. */
+    public boolean isTokenSent() {
+        return tokenSent;
     }
 }
--- a/src/main/java/dewlane/core/fleet/TeamUsage.java
+++ b/src/main/java/dewlane/core/fleet/TeamUsage.java
@@ -5,36 +5,40 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the teams' tasks may be using, gone ones included until the proof is durable. */
+/**
+ * The resources that the teams' tasks may be using, in total and by the controller that owns their slices. Tasks that
+ * are gone count until the proof of that is durable, so that the usage is never less than the real one.
+ */
 public final class TeamUsage {
     private final Map<String, ResourceUsage> byTeam = new HashMap<>();
     /** By controller and team. */
     private final Map<String, Map<String, ResourceUsage>> byOwner = new HashMap<>();
 
-    /** What a team uses. */
+    /** What a team uses; updated in place. */
     public ResourceUsage usageOf(String team) {
-        return byTeam.computeIfAbsent(team, t -> new ResourceUsage());
+        return byTeam.computeIfAbsent(team, name -> new ResourceUsage());
     }
 
-    /** What of a team's use counts against a controller: that of the slices it owns. */
+    /** The part of a team's usage that counts against a controller: that of the slices it owns; updated in place. */
     public ResourceUsage usageOf(String team, String owner) {
-        return byOwner.computeIfAbsent(owner, o -> new HashMap<>()).computeIfAbsent(team, t -> new ResourceUsage());
+        return byOwner.computeIfAbsent(owner, name -> new HashMap<>())
+                .computeIfAbsent(team, name -> new ResourceUsage());
     }
 
-    /** Counts so many tasks of a job more, for its team and for the owner; fewer if negative. */
+    /** Adds the given number of a job's tasks to its team's usage and to the owner's part of it; negative to remove. */
     void add(Job job, String owner, int tasks) {
         usageOf(job.team()).add(job, tasks);
         addToOwner(job, owner, tasks);
     }
 
-    /** Counts so many tasks more for the owner alone, if there is one. */
+    /** Adds them to the owner's part alone, if there is an owner. */
     void addToOwner(Job job, String owner, int tasks) {
         if (owner != null) {
             usageOf(job.team(), owner).add(job, tasks);
         }
     }
 
-    /** Under another map slices have other owners, so all of their use is counted anew. */
+    /** Clears all owners' parts: under another partition map slices have other owners. */
     void clearOwners() {
         byOwner.clear();
     }
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -50,9 +50,9 @@
 
     /** Responds to the machine's latest heartbeat, which shows that the response before has arrived or is dropped. */
     void respond(Machine machine, long requestId) {
-        machine.commandChannel().answerSettled();
+        machine.commandChannel().responseResolved();
         List<WorkerCommand> commands = planner.planResponse(machine);
-        machine.commandChannel().answerSent(launches(commands));
+        machine.commandChannel().responseSent(launches(commands));
         commandLog.sentInResponse(machine, commands);
         context.emit(new Effect.AnswerHeartbeat(requestId, machine.fencingToken(), commands));
     }
@@ -108,14 +108,14 @@
     /** A machine that was never heard is probed only to show it the present owner's token, if it may hold tasks. */
     private boolean isProbeDue(Machine machine) {
         boolean tokenUnseen =
-                !machine.reachability().tokenTold() && !machine.attempts().isEmpty();
+                !machine.reachability().isTokenSent() && !machine.attempts().isEmpty();
         return machine.reachability().probeDue(context.nowMs(), PROBE_INTERVAL_MS)
                 && (tokenUnseen || machine.worker().sequence() > 0);
     }
 
     private void send(Machine machine, List<WorkerCommand> commands) {
         counters.increment(Counter.COMMANDS);
-        machine.reachability().tokenSent();
+        machine.reachability().markTokenSent();
         for (WorkerCommand command : commands) {
             machine.commands().commanded(attemptOf(command), context.nowMs());
         }
@@ -130,7 +130,7 @@
         commandLog.commandCompleted(machine, completed);
         boolean abandoned = completed.heartbeat() == null && completed.delivered();
         if (!abandoned) {
-            machine.commandChannel().commandSettled();
+            machine.commandChannel().commandResolved();
         } else if (machine.commandChannel().commandAbandoned()) {
             counters.increment(Counter.LAUNCHES_ABANDONED);
         }
--- a/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
+++ b/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
@@ -55,10 +55,10 @@
 
     /** True if the heartbeat lacks the token, or a launch, of the response to the machine's last heartbeat. */
     private static boolean hasMissedResponse(Machine machine, Heartbeat heartbeat) {
-        if (machine.commandChannel().answerToken() > heartbeat.fencingToken()) {
+        if (machine.commandChannel().responseToken() > heartbeat.fencingToken()) {
             return true;
         }
-        for (AttemptId id : machine.commandChannel().answerLaunches()) {
+        for (AttemptId id : machine.commandChannel().responseLaunches()) {
             AssignedAttempt assigned = machine.attempt(id);
             if (assigned != null
                     && assigned.attempt().incarnation() == heartbeat.incarnation()
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -116,9 +116,9 @@
     String description() {
         CommandChannel channel = channel();
         CommandChannel withoutCommand = channel();
-        withoutCommand.commandSettled();
+        withoutCommand.commandResolved();
         CommandChannel withoutAnswer = channel();
-        withoutAnswer.answerSettled();
+        withoutAnswer.responseResolved();
         StringBuilder text = new StringBuilder();
         text.append(recorded).append(worker).append(reported).append(commands).append(controllerWaits);
         text.append(awaited == null ? -1 : commands.indexOf(awaited));
@@ -223,9 +223,9 @@
         if (!take(taken)) {
             return null;
         }
-        step(CommandChannel::answerSettled);
+        step(CommandChannel::responseResolved);
         Message orders = orders();
-        step(channel -> channel.answerSent(orders.launchKeys()));
+        step(channel -> channel.responseSent(orders.launchKeys()));
         return orders;
     }
 }
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -112,7 +112,7 @@
         }
         if (answerArrives) {
             next.controllerWaits = false;
-            next.step(CommandChannel::commandSettled);
+            next.step(CommandChannel::commandResolved);
             next.take(next.newReport());
         }
         add(next);
