--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -47,7 +47,10 @@
 import dewlane.core.store.StoreWatcher;
 import dewlane.core.store.TransactionQueue;
 import dewlane.core.store.UnreadableValueLog;
+import dewlane.core.worker.CommandDispatcher;
+import dewlane.core.worker.CommandPlanner;
 import dewlane.core.worker.FailureDetector;
+import dewlane.core.worker.HeartbeatAdmission;
 import dewlane.core.worker.HeartbeatHandler;
 import java.util.List;
 
@@ -73,7 +76,8 @@
     private final AuthorityMonitor standing;
     private final MachineRegistry machines;
     private final PeerTable peers;
-    private final HeartbeatHandler sessions;
+    private final CommandDispatcher commands;
+    private final HeartbeatHandler heartbeats;
     private final SchedulingCycle placement;
     private final DependencyTracker dependencies;
     private final JobResultReader finals;
@@ -113,8 +117,9 @@
         rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
         placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
                 .cycle(quota, partitions, release, dependencies, cancellations, size);
-        sessions =
-                new HeartbeatHandler(context, replica, machines, peers, membership, cancellations, standing, counters);
+        commands = commandDispatcher();
+        HeartbeatAdmission admission = new HeartbeatAdmission(context, machines, peers, membership, standing, counters);
+        heartbeats = new HeartbeatHandler(context, replica, machines, admission, commands, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
         scaleDown =
                 new ScaleIn(context, replica, machines, membership, standing, transactions, schedulability, release);
@@ -142,6 +147,12 @@
         return new Autoscaler(context, replica, machines, membership, inventory, demand);
     }
 
+    private CommandDispatcher commandDispatcher() {
+        CommandPlanner planner =
+                new CommandPlanner(context, replica, machines.progress(), cancellations, standing, counters);
+        return new CommandDispatcher(context, replica, machines, membership, counters, planner);
+    }
+
     /** Handles one message that arrived at the given steady time and time of day. */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
         context.startMessage(nowMs, wallMs);
@@ -150,7 +161,7 @@
             passedAt = nowMs;
             dirty = false;
             placement.run();
-            sessions.sendCommands();
+            commands.sendDirectCommands();
         }
         return context.takeEffects();
     }
@@ -205,9 +216,9 @@
 
     private boolean takeFromWorkers(Input input) {
         if (input instanceof Input.HeartbeatReceived in) {
-            sessions.onHeartbeat(in.id(), in.heartbeat());
+            heartbeats.onHeartbeat(in.id(), in.heartbeat());
         } else if (input instanceof Input.CommandCompleted in) {
-            sessions.onCommandCompleted(in);
+            heartbeats.onCommandCompleted(in);
         } else {
             return false;
         }
@@ -295,7 +306,7 @@
             }
             standing.tick();
             failureDetector.tick();
-            sessions.tick();
+            commands.tick();
             autoscaler.tick();
             rebalancer.tick();
             scaleDown.tick();
