--- a/src/main/java/dewlane/core/config/StoreLimits.java
+++ b/src/main/java/dewlane/core/config/StoreLimits.java
@@ -1,25 +1,35 @@
 package dewlane.core.config;
 
 /**
- * Limits of the state service: those in force when the controller starts, and those that replace them at some later
- * moment, which nobody announces.
+ * Limits of the store: those in force when the controller starts, and those that replace them at some later moment,
+ * without notice.
  *
  * <p>Sizes keep within the smaller of both from the start, since a value or transaction that is too large once the
- * limits change could not be written at all. The larger rate is used until the service refuses changes (see
- * {@link WriteRateLimiter}).
+ * limits change could not be written at all. The larger rate is used until the store refuses writes.
+ *
+ * @param present the limits in force
+ * @param next the limits to come; the same ones if none are to come
  */
 public record StoreLimits(Limits present, Limits next) {
-    /** The least number of changes a transaction must allow: a cancellation writes the job and its final state. */
+    /** Writes that a transaction must allow at least: a cancellation writes the job's record and its result. */
     public static final int MIN_TRANSACTION_WRITES = 2;
-    /** The least size of a value, in bytes, in which a job with names of ordinary length and a slice of it fit. */
+    /** Bytes that a value must be allowed at least: a job with names of ordinary length fits, and so does a slice. */
     public static final int MIN_VALUE_BYTES = 1024;
 
-    /** One set of limits: requests and changes a second, bytes of a value, changes of a transaction. */
+    /**
+     * One set of limits, for all controllers together.
+     *
+     * @param requestsPerS requests a second
+     * @param writesPerS keys set or deleted a second
+     * @param maxValueBytes the most bytes of one value
+     * @param maxTransactionWrites the most keys that one transaction sets or deletes
+     */
     public record Limits(double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {}
 
     /** Limits that never change. */
-    public static StoreLimits constant(double rps, double writeRps, int valueBytes, int txnOps) {
-        Limits limits = new Limits(rps, writeRps, valueBytes, txnOps);
+    public static StoreLimits constant(
+            double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {
+        Limits limits = new Limits(requestsPerS, writesPerS, maxValueBytes, maxTransactionWrites);
         return new StoreLimits(limits, limits);
     }
 
@@ -28,7 +38,7 @@
         return Math.min(present.requestsPerS(), next.requestsPerS());
     }
 
-    /** The rate of changes once the smaller limit is in force. */
+    /** Writes a second that are allowed once the smaller limit is in force. */
     public double reducedWritesPerS() {
         return Math.min(present.writesPerS(), next.writesPerS());
     }
@@ -38,7 +48,7 @@
         return Math.min(present.maxValueBytes(), next.maxValueBytes());
     }
 
-    /** The most changes that a transaction may have now and later. */
+    /** The most writes that a transaction may make now and later. */
     public int maxTransactionWrites() {
         return Math.min(present.maxTransactionWrites(), next.maxTransactionWrites());
     }
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** What the actors of one controller share: its settings, the time of the message at hand, and the effects so far. */
+/**
+ * What the subsystems of one controller share: its settings, the time at which the input at hand arrived, the source of
+ * random choices, and the effects so far. Used by one thread only.
+ */
 public final class ControllerContext {
     private final Settings settings;
     private final SplittableRandom random;
@@ -14,23 +17,33 @@
     private long wallClockMs;
     private boolean logsCommands;
 
+    /**
+     * A context at time 0 without effects.
+     *
+     * @param seed of all random choices: runs with the same seed, inputs and times are the same
+     */
     public ControllerContext(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Sets the times at which the message at hand arrived. */
+    /**
+     * Sets the times at which the input at hand arrived, in milliseconds.
+     *
+     * @param nowMs steady time, see {@link #nowMs()}
+     * @param wallMs time of day, see {@link #wallClockMs()}
+     */
     public void startMessage(long nowMs, long wallMs) {
         this.nowMs = nowMs;
         this.wallClockMs = wallMs;
     }
 
-    /** Steady time in milliseconds. */
+    /** Steady time in milliseconds since some moment of the process's own: never goes back, says nothing to others. */
     public long nowMs() {
         return nowMs;
     }
 
-    /** Time of day in milliseconds. */
+    /** Time of day in milliseconds since the epoch of Unix: comparable between controllers, may jump. */
     public long wallClockMs() {
         return wallClockMs;
     }
@@ -45,17 +58,17 @@
         return random;
     }
 
-    /** Adds something for the outside to do. */
+    /** Adds an effect, to be performed once the input at hand has been handled. */
     public void emit(Effect effect) {
         effects.add(effect);
     }
 
-    /** Logs for operators. */
+    /** Logs a line for operators. */
     public void info(String text) {
         effects.add(new Effect.Log(Effect.Level.INFO, text));
     }
 
-    /** Whether lines that are written for each order are wanted; they cost too much to be made and thrown away. */
+    /** Says whether each command is to be logged; those lines cost too much to be built and thrown away. */
     public void logCommands(boolean wanted) {
         logsCommands = wanted;
     }
@@ -65,7 +78,7 @@
         return logsCommands;
     }
 
-    /** Logs for those who look for a fault. */
+    /** Logs a line for those who look for a fault. */
     public void debug(String text) {
         effects.add(new Effect.Log(Effect.Level.DEBUG, text));
     }
--- a/src/main/java/dewlane/core/message/ControllerCounters.java
+++ b/src/main/java/dewlane/core/message/ControllerCounters.java
@@ -4,17 +4,19 @@
 import java.util.Locale;
 import java.util.StringJoiner;
 
-/** What a controller has done since its start; plain counts, so that equal runs have equal ones. */
+/**
+ * Counts what a controller has done since its start. Nothing in them depends on time, so equal runs have equal ones.
+ */
 public final class ControllerCounters {
     private final long[] counts = new long[Counter.values().length];
     private final long[] writesByPriority = new long[TransactionPriority.values().length];
 
-    /** Counts one more. */
+    /** Adds one. */
     public void increment(Counter counter) {
         counts[counter.ordinal()]++;
     }
 
-    /** Counts so many more. */
+    /** Adds an amount. */
     public void add(Counter counter, long amount) {
         counts[counter.ordinal()] += amount;
     }
@@ -24,7 +26,7 @@
         return counts[counter.ordinal()];
     }
 
-    /** Counts a transaction that is sent. */
+    /** Counts a transaction that is sent, with so many writes. */
     public void countTransaction(TransactionPriority priority, int writes) {
         increment(Counter.TRANSACTIONS);
         add(Counter.WRITES, writes);
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -9,57 +9,120 @@
 import dewlane.core.schema.Transaction;
 import java.util.List;
 
-/** Messages to the core. Ids are chosen by whoever expects the matching effect or answer. */
+/**
+ * What happened outside the core. The answer to an {@link Effect} bears the id of that; workers' and users' requests
+ * bear one that the I/O layer has chosen, under which it expects the answer.
+ */
 public sealed interface Input {
 
     /** Time has passed. */
     record Tick() implements Input {}
 
-    /** A key of the state service with its value and the revision of its latest change. */
+    // The store
+
+    /** A key of the store with its value, and the revision of its latest change. */
     record StoreRow(String key, StoredValue value, long revision) {}
 
-    /** A change; the value is null if the key was deleted. */
+    /**
+     * A change of one key.
+     *
+     * @param value the new value, or null if the key was deleted
+     * @param revision the revision of the change
+     */
     record KeyChange(String key, StoredValue value, long revision) {}
 
-    /** All keys but the final states; changes after {@code revision} may or may not be in them. */
+    /**
+     * The store was listed, page by page.
+     *
+     * @param rows all keys but job results; changes after {@code revision} may or may not be in them
+     * @param revision the store's revision as the first page was read
+     * @param latestRevision the store's revision as the last page was read
+     */
     record StoreListed(List<StoreRow> rows, long revision, long latestRevision) implements Input {}
 
-    /** The state could not be read. */
+    /** The store could not be listed. */
     record StoreListFailed() implements Input {}
 
-    /** What a watch returned: every change up to the revision. */
+    /**
+     * A watch was answered.
+     *
+     * @param changes every change up to the revision, in the order of revisions
+     * @param revision the store's revision
+     */
     record WatchEvents(List<KeyChange> changes, long revision) implements Input {}
 
-    /** The watch ended without an answer, or the revision was too old for it. */
+    /**
+     * A watch ended without changes.
+     *
+     * @param revisionCompacted true if the store does not remember changes since the watch's revision any more
+     */
     record WatchFailed(boolean revisionCompacted) implements Input {}
 
-    /** How a transaction ended, as far as the answer tells. */
+    /**
+     * A transaction ended.
+     *
+     * @param status how it ended, as far as the answer tells
+     * @param revision the store's revision, if the status is a commit or a conflict; otherwise 0
+     */
     record TransactionCompleted(long id, Transaction.Status status, long revision) implements Input {}
 
-    /** A lease was granted (0: not). */
+    /**
+     * A request for a lease ended.
+     *
+     * @param lease the lease's id, or 0 if none was granted
+     */
     record LeaseGranted(long lease) implements Input {}
 
-    /** A renewal was answered; {@code ended} if the lease is no more. */
+    /**
+     * A lease renewal ended; if it was neither renewed nor has expired, the store did not answer.
+     *
+     * @param lease the lease's id
+     * @param renewed true if the lease has its full time again
+     * @param expired true if the lease exists no longer
+     */
     record LeaseRenewalCompleted(long lease, boolean renewed, boolean expired) implements Input {}
 
-    /** A key was read; {@code known} is false if the state service gave no answer. */
+    /**
+     * A read of one key ended.
+     *
+     * @param known false if the store did not answer
+     * @param value the value, or null if the key does not exist
+     * @param revision the revision of the key's latest change
+     */
     record ValueRead(long id, boolean known, StoredValue value, long revision) implements Input {}
 
-    /** The revision was read; {@code known} is false if the state service gave no answer. */
+    /**
+     * A read of the store's revision ended.
+     *
+     * @param known false if the store did not answer
+     * @param revision the revision of the store's latest change
+     */
     record RevisionRead(boolean known, long revision) implements Input {}
 
-    /** A worker reported and waits for the answer. */
+    // Workers
+
+    /** A worker has sent a heartbeat and waits for the answer. */
     record HeartbeatReceived(long id, Heartbeat heartbeat) implements Input {}
 
-    /** A direct command was answered, or not ({@code report} null); if it was not {@code sent}, it never arrives. */
+    /**
+     * Commands sent straight to a worker were answered, or given up on.
+     *
+     * @param machine the name of the worker's machine
+     * @param fencingToken the token that the commands bore
+     * @param delivered false if the commands were never sent, so that they cannot arrive late
+     * @param heartbeat the worker's answer, or null if there was none
+     */
     record CommandCompleted(String machine, long fencingToken, boolean delivered, Heartbeat heartbeat)
             implements Input {}
 
+    // Users
+
     /**
-     * A submission.
+     * A user submits a job.
      *
      * @param jobId the job's id, or null if the body has none of the right form
-     * @param job null if the body is malformed, and then {@code reason} says how
+     * @param job the job, or null if the body is malformed
+     * @param rejection what is wrong with a malformed body; null for any other
      */
     record SubmitJob(long id, String jobId, Job job, String rejection) implements Input {}
 
@@ -69,26 +132,44 @@
     /** A user cancels a job. */
     record CancelJob(long id, String job) implements Input {}
 
-    /** The machine types that the cloud rents out. */
+    // The cloud
+
+    /** The machine types that the cloud offers. */
     record MachineTypesListed(List<MachineType> types) implements Input {}
 
-    /** A page of the cloud's list, or all of it. */
+    /** The cloud's list of instances, which lags. */
     record InstancesListed(List<CloudInstance> machines) implements Input {}
 
-    /** A rental was answered. */
+    /**
+     * A request for instances ended.
+     *
+     * @param requestId the id of the request
+     * @param machines the names of the instances that were created, perhaps fewer than requested
+     */
     record InstancesCreated(String requestId, CreateStatus status, List<String> machines) implements Input {}
 
-    /** How the cloud answered a rental. */
+    /** How a request for instances ended. */
     enum CreateStatus {
+        /** Instances were created. */
         CREATED,
+        /** The cloud has none of this type, zone and kind at present; nothing was created. */
         NO_CAPACITY,
+        /** The cloud calls the request malformed; nothing was created. */
         INVALID,
+        /** There was no answer that says; instances may have been created or may yet be. */
         UNKNOWN
     }
 
-    /** A deletion was answered; {@code gone} if the machines are proven gone. */
+    /**
+     * A request to delete instances ended.
+     *
+     * @param machines the names of the instances
+     * @param terminated true if they are proven gone; false if the cloud did not say
+     */
     record InstancesDeleted(List<String> machines, boolean terminated) implements Input {}
 
-    /** A peer told what it knows. */
+    // Peers
+
+    /** Another controller has sent its status. */
     record PeerStatusReceived(PeerStatus status) implements Input {}
 }
--- a/src/main/java/dewlane/core/message/TokenBucket.java
+++ b/src/main/java/dewlane/core/message/TokenBucket.java
@@ -1,24 +1,37 @@
 package dewlane.core.message;
 
-/** A token bucket: so many a second, and a burst of what was not used. */
+/** A token bucket: limits the rate of something, and lets what was not used be used later in a burst. */
 public final class TokenBucket {
-    private final double perS;
+    private static final double MS_PER_S = 1000.0;
+
+    private final double tokensPerS;
     private final double burst;
     private double tokens;
-    private long refilledAt = Long.MIN_VALUE;
+    private long refilledAtMs = Long.MIN_VALUE;
 
-    public TokenBucket(double perS, double burst) {
-        this.perS = perS;
+    /**
+     * A full bucket.
+     *
+     * @param tokensPerS tokens that are added in a second
+     * @param burst the most tokens that the bucket holds
+     */
+    public TokenBucket(double tokensPerS, double burst) {
+        this.tokensPerS = tokensPerS;
         this.burst = burst;
         this.tokens = burst;
     }
 
-    /** Takes one token; false if there is none. */
-    public boolean tryAcquire(long now) {
-        if (refilledAt != Long.MIN_VALUE) {
-            tokens = Math.min(burst, tokens + perS * (now - refilledAt) / 1000.0);
+    /**
+     * Takes one token.
+     *
+     * @param nowMs steady time in milliseconds
+     * @return false if there is none
+     */
+    public boolean tryAcquire(long nowMs) {
+        if (refilledAtMs != Long.MIN_VALUE) {
+            tokens = Math.min(burst, tokens + tokensPerS * (nowMs - refilledAtMs) / MS_PER_S);
         }
-        refilledAt = now;
+        refilledAtMs = nowMs;
         if (tokens < 1) {
             return false;
         }
