--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -24,6 +24,7 @@
      */
     record JobRecord(Job job, List<SliceAssignment> assignments, long cancelledAtMs, UnknownFields unknown)
             implements StoredValue {
+        /** A record without fields of newer versions. */
         public JobRecord(Job job, List<SliceAssignment> assignments, long cancelledAtMs) {
             this(job, assignments, cancelledAtMs, UnknownFields.NONE);
         }
@@ -88,6 +89,7 @@
             List<Attempt> attempts,
             UnknownFields unknown)
             implements StoredValue {
+        /** A slice without fields of newer versions. */
         public Slice(String owner, int first, int count, int launchCount, BitSet done, List<Attempt> attempts) {
             this(owner, first, count, launchCount, done, attempts, UnknownFields.NONE);
         }
@@ -175,6 +177,7 @@
             Map<String, Integer> schemaVersions,
             UnknownFields unknown)
             implements StoredValue {
+        /** A map that says nothing of schema versions, without fields of newer versions. */
         public PartitionMap(
                 long epoch,
                 List<Member> members,
@@ -183,6 +186,7 @@
             this(epoch, members, reassignedMachines, quotaTransfers, Map.of(), UnknownFields.NONE);
         }
 
+        /** A map with equal shares of quota that says nothing of schema versions, without fields of newer versions. */
         public PartitionMap(long epoch, List<Member> members, Map<String, String> reassignedMachines) {
             this(epoch, members, reassignedMachines, List.of());
         }
@@ -248,6 +252,7 @@
      * @param schemaVersion the newest form of stored values that the controller knows, see {@link SchemaVersion}
      */
     record Presence(long incarnation, int schemaVersion) implements StoredValue {
+        /** The presence of a controller of this version. */
         public Presence(long incarnation) {
             this(incarnation, SchemaVersion.CURRENT);
         }
@@ -272,6 +277,7 @@
      */
     record DecommissionRecord(DecommissionState state, String reason, List<String> machines, UnknownFields unknown)
             implements StoredValue {
+        /** A record without fields of newer versions. */
         public DecommissionRecord(DecommissionState state, String reason, List<String> machines) {
             this(state, reason, machines, UnknownFields.NONE);
         }
