--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -6,10 +6,14 @@
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 import dewlane.core.model.Attempt;
+import dewlane.core.model.ContainerImage;
 import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
+import dewlane.core.model.JobOwnership;
+import dewlane.core.model.JobTiming;
 import dewlane.core.model.MachineType;
 import dewlane.core.model.Priority;
+import dewlane.core.model.Resources;
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
@@ -58,30 +62,20 @@
                 Settings.Tuning.defaults());
     }
 
+    private static Job job() {
+        return Job.builder("wk-1")
+                .ownership(new JobOwnership("team", "lot", Priority.HIGH))
+                .tasks(2)
+                .resources(new Resources(1, 0, 1))
+                .image(new ContainerImage("image", 1))
+                .timing(new JobTiming(10, 0, 0, 0))
+                .build();
+    }
+
     /** A controller that joins, takes a job and launches it, with every answer of the state service made up. */
     private static void core() throws IOException {
         Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.encode(value).length);
-        Job job = new Job(
-                "wk-1",
-                "lot",
-                "team",
-                Priority.HIGH,
-                2,
-                1,
-                0,
-                1,
-                "image",
-                1,
-                List.of(),
-                null,
-                false,
-                false,
-                true,
-                10,
-                0,
-                0,
-                0,
-                0);
+        Job job = job();
         StoredValue map = new StoredValue.PartitionMap(1, List.of(new StoredValue.Member("self", 1)), Map.of());
         StoredValue slice =
                 new StoredValue.Slice("self", 0, 2, 0, new BitSet(), List.of(new Attempt(1, 1, "m", 1, 1, 1)));
--- a/src/main/java/dewlane/core/model/AttemptId.java
+++ b/src/main/java/dewlane/core/model/AttemptId.java
@@ -5,13 +5,13 @@
  *
  * @param job id of the job
  * @param task number of the task within its job
- * @param number the launch number of the task, see {@link Attempt}
+ * @param number the launch number, see {@link Attempt}
  */
 public record AttemptId(String job, int task, int number) {
-    // Written out, as this is the key of the busiest maps and a record's own are linked at run time and stay slow.
+    // Written out for speed: this is the key of the busiest maps, and generated methods are linked at run time.
     @Override
-    public boolean equals(Object o) {
-        return o instanceof AttemptId id && task == id.task && number == id.number && job.equals(id.job);
+    public boolean equals(Object other) {
+        return other instanceof AttemptId id && task == id.task && number == id.number && job.equals(id.job);
     }
 
     @Override
--- a/src/main/java/dewlane/core/model/Job.java
+++ b/src/main/java/dewlane/core/model/Job.java
@@ -4,108 +4,184 @@
 import java.util.Objects;
 
 /**
- * What a user submitted.
+ * A job array as a user submitted it. The short accessors, such as {@link #cpus()}, stand for those of the components.
  *
- * @param types allowed machine types, empty for any
- * @param zone the only allowed zone, or null
- * @param deadlineS seconds from submission, 0 for none
- * @param acceptedAtMs time of day at which the job was accepted
- * @param dependencies jobs that must be done before any task of this one starts
+ * @param id unique id, chosen by the user
+ * @param ownership whose job it is, and its priority
+ * @param taskArray the tasks and what each of them needs
+ * @param timing run time, checkpoints and deadline
+ * @param acceptedAtMs time of day in milliseconds at which the job was accepted, 0 until then
+ * @param dependencies ids of the jobs that must be done before any task of this one starts
  */
 public record Job(
         String id,
-        String jobClass,
-        String team,
-        Priority priority,
-        int tasks,
-        double cpus,
-        double gpus,
-        double memoryGb,
-        String image,
-        double imageGb,
-        List<String> types,
-        String zone,
-        boolean sameZone,
-        boolean spreadZones,
-        boolean spotAllowed,
-        double expectedRunS,
-        double checkpointIntervalS,
-        double checkpointDurationS,
-        double deadlineS,
+        JobOwnership ownership,
+        TaskArray taskArray,
+        JobTiming timing,
         long acceptedAtMs,
         List<String> dependencies) {
 
-    /** A job that awaits no other. */
-    public Job(
-            String id,
-            String jobClass,
-            String team,
-            Priority priority,
-            int tasks,
-            double cpus,
-            double gpus,
-            double memoryGb,
-            String image,
-            double imageGb,
-            List<String> types,
-            String zone,
-            boolean sameZone,
-            boolean spreadZones,
-            boolean spotAllowed,
-            double expectedRunS,
-            double checkpointIntervalS,
-            double checkpointDurationS,
-            double deadlineS,
-            long acceptedAtMs) {
-        this(
-                id,
-                jobClass,
-                team,
-                priority,
-                tasks,
-                cpus,
-                gpus,
-                memoryGb,
-                image,
-                imageGb,
-                types,
-                zone,
-                sameZone,
-                spreadZones,
-                spotAllowed,
-                expectedRunS,
-                checkpointIntervalS,
-                checkpointDurationS,
-                deadlineS,
-                acceptedAtMs,
-                List.of());
-    }
-
-    /** Jobs whose tasks constrain each other's places stay in one slice. */
+    /** Takes a copy of the list. */
+    public Job {
+        dependencies = List.copyOf(dependencies);
+    }
+
+    /** Begins a job with the given id. */
+    public static Builder builder(String id) {
+        return new Builder(id);
+    }
+
+    /** The team whose guarantee and limit apply. */
+    public String team() {
+        return ownership.team();
+    }
+
+    /** The class of jobs for which the settings name service-level objectives. */
+    public String jobClass() {
+        return ownership.jobClass();
+    }
+
+    /** The job's own priority, without what it inherits from its dependents. */
+    public Priority priority() {
+        return ownership.priority();
+    }
+
+    /** Number of tasks. */
+    public int tasks() {
+        return taskArray.count();
+    }
+
+    /** CPUs of one task. */
+    public double cpus() {
+        return taskArray.resources().cpus();
+    }
+
+    /** GPUs of one task. */
+    public double gpus() {
+        return taskArray.resources().gpus();
+    }
+
+    /** Memory of one task in GB. */
+    public double memoryGb() {
+        return taskArray.resources().memoryGb();
+    }
+
+    /** Name of the container image. */
+    public String image() {
+        return taskArray.image().name();
+    }
+
+    /** Size of the container image in GB. */
+    public double imageGb() {
+        return taskArray.image().sizeGb();
+    }
+
+    /** Names of the allowed machine types, empty for any. */
+    public List<String> types() {
+        return taskArray.placement().types();
+    }
+
+    /** The only allowed zone, or null for any. */
+    public String zone() {
+        return taskArray.placement().zone();
+    }
+
+    /** True if all tasks must be in one zone at a time. */
+    public boolean sameZone() {
+        return taskArray.placement().sameZone();
+    }
+
+    /** True if at most half of the tasks, rounded up, may be in one zone. */
+    public boolean spreadZones() {
+        return taskArray.placement().spreadZones();
+    }
+
+    /** True if tasks may run on spot instances. */
+    public boolean spotAllowed() {
+        return taskArray.placement().spotAllowed();
+    }
+
+    /** The owner's estimate of a task's run time in seconds. */
+    public double expectedRunS() {
+        return timing.expectedRunS();
+    }
+
+    /** Seconds of progress between checkpoints, 0 if tasks never save. */
+    public double checkpointIntervalS() {
+        return timing.checkpointIntervalS();
+    }
+
+    /** Seconds that a task needs to save when it is stopped. */
+    public double checkpointDurationS() {
+        return timing.checkpointDurationS();
+    }
+
+    /** Seconds from submission by which the job should be done, 0 for no deadline. */
+    public double deadlineS() {
+        return timing.deadlineS();
+    }
+
+    /** True if where a task may run depends on the zones of others: such tasks stay in one slice. */
     public boolean hasZoneConstraint() {
-        return sameZone || spreadZones;
+        return taskArray.placement().hasZoneConstraint();
+    }
+
+    /** What the job asks of a machine. */
+    public Requirements requirements() {
+        return new Requirements(cpus(), gpus(), memoryGb(), types(), zone(), spotAllowed());
     }
 
-    /** What decides where a task of the job may go and whether it fits. */
+    /** True if the job may run on machines of the type. */
+    public boolean allowsType(String type) {
+        return taskArray.placement().allowsType(type);
+    }
+
+    /** True if the job may run on such a machine, as far as other tasks of it do not matter. */
+    public boolean allows(String type, String inZone, boolean onSpot) {
+        return taskArray.placement().allows(type, inZone, onSpot);
+    }
+
+    /** The same job with the time of day in milliseconds at which it was accepted. */
+    public Job withAcceptedAt(long timeMs) {
+        return new Job(id, ownership, taskArray, timing, timeMs, dependencies);
+    }
+
+    /** The same job with other dependencies. */
+    public Job withDependencies(List<String> jobs) {
+        return new Job(id, ownership, taskArray, timing, acceptedAtMs, jobs);
+    }
+
+    /**
+     * What decides where a task of the job may go and whether it fits; jobs with equal requirements are interchangeable
+     * there.
+     *
+     * @param cpus CPUs of one task
+     * @param gpus GPUs of one task
+     * @param memoryGb memory of one task in GB
+     * @param types names of the allowed machine types, empty for any
+     * @param zone the only allowed zone, or null for any
+     * @param spotAllowed true if spot instances are allowed
+     */
     public record Requirements(
             double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean spotAllowed) {
-        /** True if the job may run on machines of the type. */
+        /** True if machines of the type are allowed. */
         public boolean allowsType(String type) {
             return types.isEmpty() || types.contains(type);
         }
 
-        // Written out, as every job is looked up by its shape in each pass.
+        // Written out for speed: every job is looked up by its requirements in each scheduling cycle.
         @Override
-        public boolean equals(Object o) {
-            return o instanceof Requirements s
-                    && cpus == s.cpus
-                    && gpus == s.gpus
-                    && memoryGb == s.memoryGb
-                    && spotAllowed == s.spotAllowed
-                    && types.equals(s.types)
-                    && Objects.equals(zone, s.zone);
+        public boolean equals(Object other) {
+            return other instanceof Requirements that
+                    && cpus == that.cpus
+                    && gpus == that.gpus
+                    && memoryGb == that.memoryGb
+                    && spotAllowed == that.spotAllowed
+                    && types.equals(that.types)
+                    && Objects.equals(zone, that.zone);
         }
 
+        // The order of iteration over maps by requirements depends on this value.
         @Override
         public int hashCode() {
             return ((Double.hashCode(cpus) * 31 + Double.hashCode(memoryGb)) * 31 + types.hashCode()) * 31
@@ -113,53 +189,78 @@
         }
     }
 
-    /** What the job asks of a machine. */
-    public Requirements requirements() {
-        return new Requirements(cpus, gpus, memoryGb, types, zone, spotAllowed);
-    }
+    /** Builds a job. What is not set is as for a job of one task without constraints, deadline and dependencies. */
+    public static final class Builder {
+        private final String id;
+        private JobOwnership ownership;
+        private int tasks = 1;
+        private Resources resources;
+        private ContainerImage image;
+        private PlacementConstraints placement = PlacementConstraints.NONE;
+        private JobTiming timing;
+        private long acceptedAtMs;
+        private List<String> dependencies = List.of();
 
-    /** True if the job may run on machines of the type. */
-    public boolean allowsType(String type) {
-        return types.isEmpty() || types.contains(type);
-    }
+        private Builder(String id) {
+            this.id = id;
+        }
 
-    /** True if the job may run on such a machine. */
-    public boolean allows(String type, String inZone, boolean onSpot) {
-        return allowsType(type) && (zone == null || zone.equals(inZone)) && (spotAllowed || !onSpot);
-    }
+        /** Sets whose job it is. Required. */
+        public Builder ownership(JobOwnership value) {
+            ownership = value;
+            return this;
+        }
 
-    /** The same job with the time of its acceptance. */
-    public Job withAcceptedAt(long ms) {
-        return with(ms, dependencies);
-    }
+        /** Sets the number of tasks; 1 by default. */
+        public Builder tasks(int value) {
+            tasks = value;
+            return this;
+        }
 
-    /** The same job awaiting the given jobs. */
-    public Job withDependencies(List<String> jobs) {
-        return with(acceptedAtMs, List.copyOf(jobs));
-    }
-
-    private Job with(long ms, List<String> jobs) {
-        return new Job(
-                id,
-                jobClass,
-                team,
-                priority,
-                tasks,
-                cpus,
-                gpus,
-                memoryGb,
-                image,
-                imageGb,
-                types,
-                zone,
-                sameZone,
-                spreadZones,
-                spotAllowed,
-                expectedRunS,
-                checkpointIntervalS,
-                checkpointDurationS,
-                deadlineS,
-                ms,
-                jobs);
+        /** Sets what one task takes of its machine. Required. */
+        public Builder resources(Resources value) {
+            resources = value;
+            return this;
+        }
+
+        /** Sets the container image. Required. */
+        public Builder image(ContainerImage value) {
+            image = value;
+            return this;
+        }
+
+        /** Sets which machines are allowed; all by default. */
+        public Builder placement(PlacementConstraints value) {
+            placement = value;
+            return this;
+        }
+
+        /** Sets run time, checkpoints and deadline. Required. */
+        public Builder timing(JobTiming value) {
+            timing = value;
+            return this;
+        }
+
+        /** Sets the time of day in milliseconds at which the job was accepted; 0, not accepted yet, by default. */
+        public Builder acceptedAtMs(long value) {
+            acceptedAtMs = value;
+            return this;
+        }
+
+        /** Sets the ids of the jobs that must be done first; none by default. */
+        public Builder dependencies(List<String> value) {
+            dependencies = value;
+            return this;
+        }
+
+        /** The job with all that was set. Throws {@link NullPointerException} if something required was not. */
+        public Job build() {
+            Objects.requireNonNull(ownership, "ownership");
+            Objects.requireNonNull(resources, "resources");
+            Objects.requireNonNull(image, "image");
+            Objects.requireNonNull(timing, "timing");
+            TaskArray taskArray = new TaskArray(tasks, resources, image, placement);
+            return new Job(id, ownership, taskArray, timing, acceptedAtMs, dependencies);
+        }
     }
 }
--- a/src/main/java/dewlane/core/model/MachineType.java
+++ b/src/main/java/dewlane/core/model/MachineType.java
@@ -2,7 +2,20 @@
 
 import java.util.List;
 
-/** An entry of the cloud's catalog. */
+/**
+ * An entry of the cloud's catalog.
+ *
+ * @param name name of the type
+ * @param cpus number of CPUs
+ * @param gpus number of GPUs
+ * @param memoryGb memory in GB
+ * @param imageCacheGb room for container images in GB
+ * @param imageFetchGbPerS rate at which images are fetched, in GB per second
+ * @param price price of an on-demand instance per hour
+ * @param spotPrice present price of a spot instance per hour
+ * @param bootS usual time in seconds from request to first heartbeat
+ * @param zones the zones that have the type
+ */
 public record MachineType(
         String name,
         double cpus,
@@ -14,18 +27,22 @@
         double spotPrice,
         double bootS,
         List<String> zones) {
+    /** Covers rounding errors of amounts that come as decimal numbers. */
+    private static final double TOLERANCE = 1e-9;
 
     /** How many tasks of the job fit on an empty machine. */
     public int capacityFor(Job job) {
         return new ResourceUsage().capacityFor(this, job);
     }
 
-    /** True if a task of the shape fits on an empty machine. */
-    public boolean fits(Job.Requirements shape) {
-        return cpus >= shape.cpus() - 1e-9 && gpus >= shape.gpus() - 1e-9 && memoryGb >= shape.memoryGb() - 1e-9;
+    /** True if a task with the requirements fits on an empty machine. */
+    public boolean fits(Job.Requirements requirements) {
+        return cpus >= requirements.cpus() - TOLERANCE
+                && gpus >= requirements.gpus() - TOLERANCE
+                && memoryGb >= requirements.memoryGb() - TOLERANCE;
     }
 
-    /** The price of an hour of a spot or an ordinary machine. */
+    /** The price per hour of a spot or an on-demand instance. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -2,31 +2,38 @@
 
 import dewlane.core.config.Settings;
 
-/** CPUs, GPUs and memory in use, counted in millionths so that what is added and taken away leaves no rest. */
+/**
+ * CPUs, GPUs and memory in use, a mutable sum. Counted in integer millionths, so that removing what was added leaves no
+ * rounding error.
+ */
 public final class ResourceUsage {
-    private static final double UNIT = 1e6;
+    private static final double UNITS_PER_AMOUNT = 1e6;
+    /** Stands for no limit, far above what fits on any machine, and keeps sums within an int. */
+    private static final int UNLIMITED_TASKS = 1_000_000;
 
-    private long cpus;
-    private long gpus;
-    private long memory;
+    private long cpuUnits;
+    private long gpuUnits;
+    private long memoryGbUnits;
 
+    /** Nothing in use. */
     public ResourceUsage() {}
 
+    /** A copy of another usage. */
     public ResourceUsage(ResourceUsage other) {
-        cpus = other.cpus;
-        gpus = other.gpus;
-        memory = other.memory;
+        cpuUnits = other.cpuUnits;
+        gpuUnits = other.gpuUnits;
+        memoryGbUnits = other.memoryGbUnits;
     }
 
     private static long units(double amount) {
-        return Math.round(amount * UNIT);
+        return Math.round(amount * UNITS_PER_AMOUNT);
     }
 
     /** Adds another usage; returns this one. */
     public ResourceUsage add(ResourceUsage other) {
-        cpus += other.cpus;
-        gpus += other.gpus;
-        memory += other.memory;
+        cpuUnits += other.cpuUnits;
+        gpuUnits += other.gpuUnits;
+        memoryGbUnits += other.memoryGbUnits;
         return this;
     }
 
@@ -37,9 +44,9 @@
 
     /** Adds that many tasks of the job; removes them if negative. */
     public void add(Job job, int tasks) {
-        cpus += tasks * units(job.cpus());
-        gpus += tasks * units(job.gpus());
-        memory += tasks * units(job.memoryGb());
+        cpuUnits += tasks * units(job.cpus());
+        gpuUnits += tasks * units(job.gpus());
+        memoryGbUnits += tasks * units(job.memoryGb());
     }
 
     /** Removes one task of the job. */
@@ -49,44 +56,47 @@
 
     /** CPUs in use. */
     public double cpus() {
-        return cpus / UNIT;
+        return cpuUnits / UNITS_PER_AMOUNT;
     }
 
     /** GPUs in use. */
     public double gpus() {
-        return gpus / UNIT;
+        return gpuUnits / UNITS_PER_AMOUNT;
     }
 
     /** True if nothing is in use. */
     public boolean isEmpty() {
-        return cpus == 0 && gpus == 0 && memory == 0;
+        return cpuUnits == 0 && gpuUnits == 0 && memoryGbUnits == 0;
     }
 
     /** How many tasks of the job fit beside this use on a machine of the type. */
     public int capacityFor(MachineType type, Job job) {
-        return (int) Math.min(
-                countFitting(type.cpus(), cpus, job.cpus()),
-                Math.min(
-                        countFitting(type.gpus(), gpus, job.gpus()),
-                        countFitting(type.memoryGb(), memory, job.memoryGb())));
+        long byCpus = countFitting(type.cpus(), cpuUnits, job.cpus());
+        long byGpus = countFitting(type.gpus(), gpuUnits, job.gpus());
+        long byMemory = countFitting(type.memoryGb(), memoryGbUnits, job.memoryGb());
+        return (int) Math.min(byCpus, Math.min(byGpus, byMemory));
     }
 
     /** How many tasks of the job fit beside this use within a team's limits, of which 0 is none. */
     public int capacityFor(Settings.TeamQuota team, Job job) {
-        long byCpus = team.maxCpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxCpus(), cpus, job.cpus());
-        long byGpus = team.maxGpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxGpus(), gpus, job.gpus());
+        long byCpus = team.maxCpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxCpus(), cpuUnits, job.cpus());
+        long byGpus = team.maxGpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxGpus(), gpuUnits, job.gpus());
         return (int) Math.min(byCpus, byGpus);
     }
 
-    /** How many tasks fit into a share of a limit of CPUs or else GPUs; a limit of 0 is none. */
+    /** How many tasks of the job fit beside this use into a share of a limit of CPUs or else GPUs; limit 0 is none. */
     public int capacityFor(double limit, double share, boolean ofCpus, Job job) {
-        return limit <= 0
-                ? 1_000_000
-                : (int) (ofCpus ? countFitting(share, cpus, job.cpus()) : countFitting(share, gpus, job.gpus()));
+        if (limit <= 0) {
+            return UNLIMITED_TASKS;
+        }
+        return (int) (ofCpus ? countFitting(share, cpuUnits, job.cpus()) : countFitting(share, gpuUnits, job.gpus()));
     }
 
-    private static long countFitting(double have, long used, double each) {
-        long need = units(each);
-        return need <= 0 ? 1_000_000 : Math.max(0, Math.min(1_000_000, (units(have) - used) / need));
+    private static long countFitting(double total, long usedUnits, double perTask) {
+        long neededUnits = units(perTask);
+        if (neededUnits <= 0) {
+            return UNLIMITED_TASKS;
+        }
+        return Math.max(0, Math.min(UNLIMITED_TASKS, (units(total) - usedUnits) / neededUnits));
     }
 }
--- a/src/main/java/dewlane/wire/JobRecordCodec.java
+++ b/src/main/java/dewlane/wire/JobRecordCodec.java
@@ -1,7 +1,12 @@
 package dewlane.wire;
 
 import com.fasterxml.jackson.core.JsonGenerator;
+import dewlane.core.model.ContainerImage;
 import dewlane.core.model.Job;
+import dewlane.core.model.JobOwnership;
+import dewlane.core.model.JobTiming;
+import dewlane.core.model.PlacementConstraints;
+import dewlane.core.model.Resources;
 import dewlane.core.schema.StoredValue.JobRecord;
 import dewlane.core.schema.StoredValue.SliceAssignment;
 import java.io.IOException;
@@ -119,27 +124,38 @@
         if (in.get("awaits") != null && !(in.get("awaits") instanceof String)) {
             throw new IllegalArgumentException("awaits is not a list of job ids");
         }
-        return new Job(
-                Json.string(in, "id"),
-                Json.string(in, "lot"),
-                Json.string(in, "team"),
-                StoredWords.priority(Json.string(in, "priority")),
-                tasks.intValue(),
-                Json.number(in, "cpus"),
-                Json.number(in, "gpus"),
-                Json.number(in, "memory"),
-                Json.string(in, "image"),
-                Json.number(in, "imageGb"),
-                List.copyOf(Json.strings(in, "types")),
+        return Job.builder(Json.string(in, "id"))
+                .ownership(readOwnership(in))
+                .tasks(tasks.intValue())
+                .resources(new Resources(Json.number(in, "cpus"), Json.number(in, "gpus"), Json.number(in, "memory")))
+                .image(new ContainerImage(Json.string(in, "image"), Json.number(in, "imageGb")))
+                .placement(readPlacement(in))
+                .timing(readTiming(in))
+                .acceptedAtMs(Json.integer(in, "accepted"))
+                .dependencies(JobIdListCodec.read(Json.string(in, "awaits")))
+                .build();
+    }
+
+    private static JobOwnership readOwnership(Map<String, Object> in) {
+        String jobClass = Json.string(in, "lot");
+        String team = Json.string(in, "team");
+        return new JobOwnership(team, jobClass, StoredWords.priority(Json.string(in, "priority")));
+    }
+
+    private static PlacementConstraints readPlacement(Map<String, Object> in) {
+        return new PlacementConstraints(
+                Json.strings(in, "types"),
                 Json.string(in, "zone"),
                 Json.bool(in, "oneZone"),
                 Json.bool(in, "spread"),
-                Json.bool(in, "spot"),
+                Json.bool(in, "spot"));
+    }
+
+    private static JobTiming readTiming(Map<String, Object> in) {
+        return new JobTiming(
                 Json.number(in, "estimate"),
                 Json.number(in, "checkpoint"),
                 Json.number(in, "save"),
-                Json.number(in, "deadline"),
-                Json.integer(in, "accepted"),
-                JobIdListCodec.read(Json.string(in, "awaits")));
+                Json.number(in, "deadline"));
     }
 }
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -2,8 +2,13 @@
 
 import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.message.Effect.JobStatus;
+import dewlane.core.model.ContainerImage;
 import dewlane.core.model.Job;
+import dewlane.core.model.JobOwnership;
+import dewlane.core.model.JobTiming;
+import dewlane.core.model.PlacementConstraints;
 import dewlane.core.model.Priority;
+import dewlane.core.model.Resources;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -58,58 +63,71 @@
         }
     }
 
+    /** Reads the fields in a fixed order, since the first that is malformed is the one that the user is told of. */
     private static Job job(String uid, Map<String, Object> in) throws Malformed {
         if (!"batch".equals(text(in, "style"))) {
             throw new Malformed("style must be batch");
         }
-        Priority priority =
-                switch (text(in, "rank")) {
-                    case "critical" -> Priority.CRITICAL;
-                    case "high" -> Priority.HIGH;
-                    case "standard" -> Priority.STANDARD;
-                    case "idle" -> Priority.IDLE;
-                    default -> throw new Malformed("rank must be critical, high, standard or idle");
-                };
+        Priority priority = priority(in);
+        int tasks = tasks(in);
+        List<String> types = types(in.get("racks"));
+        String zone = in.get("cellar") == null ? null : text(in, "cellar");
+        List<String> awaits = awaits(in.get("awaits"));
+        double deadlineS = in.get("shipByS") == null ? 0 : amount(in, "shipByS", false);
+        String jobClass = text(in, "lot");
+        return Job.builder(uid)
+                .ownership(new JobOwnership(text(in, "house"), jobClass, priority))
+                .tasks(tasks)
+                .resources(resources(in))
+                .image(new ContainerImage(text(in, "blend"), amount(in, "pullGb", false)))
+                .placement(new PlacementConstraints(
+                        types, zone, flag(in, "samePlace"), flag(in, "scatter"), flag(in, "consignment")))
+                .timing(timing(in, deadlineS))
+                .dependencies(awaits)
+                .build();
+    }
+
+    private static Priority priority(Map<String, Object> in) throws Malformed {
+        return switch (text(in, "rank")) {
+            case "critical" -> Priority.CRITICAL;
+            case "high" -> Priority.HIGH;
+            case "standard" -> Priority.STANDARD;
+            case "idle" -> Priority.IDLE;
+            default -> throw new Malformed("rank must be critical, high, standard or idle");
+        };
+    }
+
+    private static int tasks(Map<String, Object> in) throws Malformed {
         if (!(in.get("bottles") instanceof Long tasks) || tasks < 1 || tasks > MAX_TASKS) {
             throw new Malformed("bottles must be an integer from 1 to " + MAX_TASKS);
         }
+        return tasks.intValue();
+    }
+
+    private static List<String> types(Object field) throws Malformed {
+        if (field == null) {
+            return List.of();
+        }
+        if (!(field instanceof List<?> racks) || racks.isEmpty()) {
+            throw new Malformed("racks must be null or a list of machine types");
+        }
         List<String> types = new ArrayList<>();
-        if (in.get("racks") != null) {
-            if (!(in.get("racks") instanceof List<?> racks) || racks.isEmpty()) {
+        for (Object rack : racks) {
+            if (!(rack instanceof String type) || type.isEmpty() || type.length() > MAX_NAME) {
                 throw new Malformed("racks must be null or a list of machine types");
             }
-            for (Object rack : racks) {
-                if (!(rack instanceof String s) || s.isEmpty() || s.length() > MAX_NAME) {
-                    throw new Malformed("racks must be null or a list of machine types");
-                }
-                types.add(s);
-            }
+            types.add(type);
         }
-        String zone = in.get("cellar") == null ? null : text(in, "cellar");
-        List<String> awaits = awaits(in.get("awaits"));
-        double deadline = in.get("shipByS") == null ? 0 : amount(in, "shipByS", false);
-        return new Job(
-                uid,
-                text(in, "lot"),
-                text(in, "house"),
-                priority,
-                tasks.intValue(),
-                amount(in, "vcpus", false),
-                amount(in, "gpus", true),
-                amount(in, "ramGb", false),
-                text(in, "blend"),
-                amount(in, "pullGb", false),
-                List.copyOf(types),
-                zone,
-                flag(in, "samePlace"),
-                flag(in, "scatter"),
-                flag(in, "consignment"),
-                amount(in, "maturingS", false),
-                amount(in, "rackingS", true),
-                amount(in, "corkingS", true),
-                deadline,
-                0,
-                awaits);
+        return types;
+    }
+
+    private static Resources resources(Map<String, Object> in) throws Malformed {
+        return new Resources(amount(in, "vcpus", false), amount(in, "gpus", true), amount(in, "ramGb", false));
+    }
+
+    private static JobTiming timing(Map<String, Object> in, double deadlineS) throws Malformed {
+        return new JobTiming(
+                amount(in, "maturingS", false), amount(in, "rackingS", true), amount(in, "corkingS", true), deadlineS);
     }
 
     /** Each awaited job once; more than a body holds cannot come, and what fits no stored value the core refuses. */
--- a/src/test/java/dewlane/core/model/JobBuilder.java
+++ b/src/test/java/dewlane/core/model/JobBuilder.java
@@ -150,26 +150,14 @@
 
     /** The job with all that was named. */
     public Job build() {
-        return new Job(
-                id,
-                lot,
-                team,
-                priority,
-                tasks,
-                cpus,
-                gpus,
-                memoryGb,
-                image,
-                imageGb,
-                types,
-                zone,
-                oneZone,
-                spread,
-                spot,
-                estimateS,
-                checkpointS,
-                saveS,
-                deadlineS,
-                acceptedMs);
+        return Job.builder(id)
+                .ownership(new JobOwnership(team, lot, priority))
+                .tasks(tasks)
+                .resources(new Resources(cpus, gpus, memoryGb))
+                .image(new ContainerImage(image, imageGb))
+                .placement(new PlacementConstraints(types, zone, oneZone, spread, spot))
+                .timing(new JobTiming(estimateS, checkpointS, saveS, deadlineS))
+                .acceptedAtMs(acceptedMs)
+                .build();
     }
 }
