--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -64,7 +64,7 @@
 
     private static Job job() {
         return Job.builder("wk-1")
-                .ownership(new JobOwnership("team", "lot", Priority.HIGH))
+                .ownership(new JobOwnership("team", "class", Priority.HIGH))
                 .tasks(2)
                 .resources(new Resources(1, 0, 1))
                 .image(new ContainerImage("image", 1))
