--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -23,6 +23,7 @@
 import dewlane.core.model.PeerStatus;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
+import dewlane.core.quota.QuotaTransferPlanner;
 import dewlane.core.scheduling.MachineSchedulability;
 import dewlane.core.scheduling.PartitionSelector;
 import dewlane.core.scheduling.SchedulingCycle;
@@ -102,7 +103,7 @@
         PartitionSelector partitions = new PartitionSelector(context, replica, capacity, quota, release);
         SliceAssigner sliceAssigner = new SliceAssigner(context, machines, partitions);
         MachineSchedulability schedulability = new MachineSchedulability(context, replica, machines);
-        rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
+        rebalancer = quotaRebalancer(quota, capacity);
         placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
                 .cycle(quota, partitions, release, dependencies, cancellations, size);
         sessions =
@@ -130,6 +131,11 @@
                 size);
     }
 
+    private QuotaRebalancer quotaRebalancer(QuotaEnforcer quota, PartitionCapacity capacity) {
+        QuotaTransferPlanner planner = new QuotaTransferPlanner(context.settings(), replica, quota, capacity);
+        return new QuotaRebalancer(context, replica, membership, standing, release, planner);
+    }
+
     private Autoscaler autoscaler(QuotaEnforcer quota, MachineSchedulability schedulability) {
         InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
         CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, release);
