--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -1,6 +1,5 @@
 package dewlane.core.autoscaling;
 
-import dewlane.core.autoscaling.InstanceRequest.InstancePool;
 import dewlane.core.fleet.JobProgress;
 import dewlane.core.fleet.Machine;
 import dewlane.core.fleet.MachineRegistry;
@@ -18,51 +17,26 @@
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** Estimates how much waiting work finds no room on the machines that are up or on their way. */
+/** Estimates for how many pending tasks there is no capacity on the machines that are up or on their way. */
 public final class CapacityDemand {
-    /** A machine rented for a task is there for about so long; shorter tasks share its room one after the other. */
+    /** The time for which an instance that is created for a task is counted on; shorter tasks follow one another. */
     private static final double SLOT_S = 80;
     /** The least part of a slot that a task counts for, however short it is. */
-    private static final double LEAST_SLOT = 0.1;
-    /** A machine on its way is counted on for so many times its boot time. */
-    private static final double COUNTED_BOOTS = 2;
-
-    /** Room on machines of one place that are up or on their way. */
-    private static final class Bin {
-        final MachineType type;
-        final ResourceUsage use;
-
-        Bin(MachineType type, ResourceUsage use) {
-            this.type = type;
-            this.use = use;
-        }
-
-        /** Takes up to the given number of tasks and says how many. */
-        int take(Job job, int tasks) {
-            int taken = Math.min(tasks, use.capacityFor(type, job));
-            if (taken > 0) {
-                use.add(job, taken);
-            }
-            return taken;
-        }
-
-        boolean full() {
-            return use.cpus() >= type.cpus();
-        }
-    }
+    private static final double MIN_SLOT_FRACTION = 0.1;
+    /** A pending instance is counted on for so many times its boot time. */
+    private static final double COUNTED_BOOT_TIMES = 2;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
     private final MachineSchedulability schedulability;
     private final QuotaEnforcer quota;
-    private final DependencyGraph release;
+    private final DependencyGraph dependencies;
 
     public CapacityDemand(
             ControllerContext context,
@@ -70,149 +44,128 @@
             MachineRegistry machines,
             MachineSchedulability schedulability,
             QuotaEnforcer quota,
-            DependencyGraph release) {
-        this.release = release;
+            DependencyGraph dependencies) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
         this.schedulability = schedulability;
         this.quota = quota;
+        this.dependencies = dependencies;
     }
 
     /**
-     * Tasks that neither machines that are up nor those on their way have room for, in slots for a whole machine life.
+     * Tasks for which neither machines that are up nor those on their way have capacity, in slots of machine time.
      *
-     * @param booting machines that are rented but not up, by name
-     * @param asked rentals that the cloud has not answered yet
+     * @param pending instances that were created but are not up, by name
+     * @param inFlight requests that the cloud has not answered yet
      */
-    Map<JobEntry, Double> unmetDemand(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
-        Map<InstancePool, List<Bin>> bins = bins(booting, asked);
+    Map<JobEntry, Double> unmetDemand(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
+        CapacityBins bins = bins(pending, inFlight);
         Map<JobEntry, Double> unmet = new LinkedHashMap<>();
-        Map<String, ResourceUsage> teams = new HashMap<>();
-        Set<Job.Requirements> full = new HashSet<>();
-        for (JobEntry job : waitingJobs()) {
-            Job spec = job.job();
-            ResourceUsage team = teams.computeIfAbsent(
-                    spec.team(), t -> new ResourceUsage(machines.teamUsage().usageOf(t)));
-            int allowed = Math.min(job.pendingCount(), quota.capacityFor(spec, team));
-            team.add(spec, Math.max(0, allowed));
-            int left = full.contains(job.requirements()) ? allowed : fill(bins, job, allowed);
-            if (left > 0) {
-                full.add(job.requirements());
-                unmet.put(job, slots(job, left, booting));
+        Map<String, ResourceUsage> usageByTeam = new HashMap<>();
+        Set<Job.Requirements> withoutCapacity = new HashSet<>();
+        for (JobEntry job : pendingJobs()) {
+            int allowed = takeQuota(job, usageByTeam);
+            int remaining = withoutCapacity.contains(job.requirements()) ? allowed : bins.put(job.job(), allowed);
+            if (remaining > 0) {
+                withoutCapacity.add(job.requirements());
+                unmet.put(job, slots(job, remaining, pending.values()));
             }
         }
         return unmet;
     }
 
-    /** Room by place, so that a job looks only at machines that it may use, and each full one is dropped at once. */
-    private Map<InstancePool, List<Bin>> bins(Map<String, InstanceRequest> booting, Collection<InstanceRequest> asked) {
-        Map<InstancePool, List<Bin>> bins = new LinkedHashMap<>();
+    /** How many pending tasks of the job its team's limit allows, which then count for the team. */
+    private int takeQuota(JobEntry job, Map<String, ResourceUsage> usageByTeam) {
+        Job spec = job.job();
+        ResourceUsage usage = usageByTeam.computeIfAbsent(
+                spec.team(), team -> new ResourceUsage(machines.teamUsage().usageOf(team)));
+        int allowed = Math.min(job.pendingCount(), quota.capacityFor(spec, usage));
+        usage.add(spec, Math.max(0, allowed));
+        return allowed;
+    }
+
+    private CapacityBins bins(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
+        CapacityBins bins = new CapacityBins();
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
             if (type != null
                     && schedulability.isSchedulable(machine)
                     && machine.usage().cpus() < type.cpus()) {
-                add(
-                        bins,
-                        new InstancePool(type.name(), machine.zone(), machine.isSpot()),
-                        new Bin(type, new ResourceUsage(machine.usage())));
+                InstancePool pool = new InstancePool(type.name(), machine.zone(), machine.isSpot());
+                bins.add(pool, type, new ResourceUsage(machine.usage()));
             }
         }
-        booting.forEach((name, rental) -> {
-            MachineType type = machines.type(rental.pool().type());
-            if (type != null
-                    && !replica.decommissionsByMachine().containsKey(name)
-                    && context.nowMs() - rental.requestedAtMs() < COUNTED_BOOTS * 1000 * type.bootS()) {
-                add(bins, rental.pool(), new Bin(type, new ResourceUsage()));
+        pending.forEach((name, request) -> {
+            MachineType type = machines.type(request.pool().type());
+            if (type != null && isCountedOn(name, request, type)) {
+                bins.add(request.pool(), type, new ResourceUsage());
             }
         });
-        for (InstanceRequest rental : asked) {
-            MachineType type = machines.type(rental.pool().type());
-            for (int i = 0; type != null && i < rental.count(); i++) {
-                add(bins, rental.pool(), new Bin(type, new ResourceUsage()));
+        for (InstanceRequest request : inFlight) {
+            MachineType type = machines.type(request.pool().type());
+            for (int i = 0; type != null && i < request.count(); i++) {
+                bins.add(request.pool(), type, new ResourceUsage());
             }
         }
         return bins;
     }
 
-    private static void add(Map<InstancePool, List<Bin>> bins, InstancePool place, Bin bin) {
-        bins.computeIfAbsent(place, p -> new ArrayList<>()).add(bin);
+    private boolean isCountedOn(String name, InstanceRequest request, MachineType type) {
+        return !replica.decommissionsByMachine().containsKey(name)
+                && context.nowMs() - request.requestedAtMs() < COUNTED_BOOT_TIMES * 1000 * type.bootS();
     }
 
-    /** Those with the fewest types to choose from come first, and the others take what they leave. */
-    private List<JobEntry> waitingJobs() {
+    /** Jobs with the fewest types to choose from come first, and the others get the capacity that they leave. */
+    private List<JobEntry> pendingJobs() {
         List<JobEntry> jobs = new ArrayList<>();
         for (JobEntry job : replica.jobs()) {
-            if (job.job() != null && release.isReady(job.id()) && !faulty(job) && job.pendingCount() > 0) {
+            if (job.job() != null && dependencies.isReady(job.id()) && !isFaulty(job) && job.pendingCount() > 0) {
                 jobs.add(job);
             }
         }
-        jobs.sort(Comparator.comparingInt(j -> machines.typeContention().usableTypeCount(j.requirements())));
+        jobs.sort(Comparator.comparingInt(job -> machines.typeContention().usableTypeCount(job.requirements())));
         return jobs;
     }
 
-    private boolean faulty(JobEntry job) {
-        JobProgress work = machines.progress().get(job.id());
-        return work != null && work.isFaulty();
-    }
-
-    /** Puts tasks into the bins; returns how many find no room. */
-    private static int fill(Map<InstancePool, List<Bin>> bins, JobEntry job, int tasks) {
-        int left = tasks;
-        for (Map.Entry<InstancePool, List<Bin>> e : bins.entrySet()) {
-            InstancePool place = e.getKey();
-            if (left > 0 && job.job().allows(place.type(), place.zone(), place.spot())) {
-                left = fill(e.getValue(), job.job(), left);
-            }
-        }
-        return left;
-    }
-
-    private static int fill(List<Bin> bins, Job job, int tasks) {
-        int left = tasks;
-        for (Iterator<Bin> i = bins.iterator(); i.hasNext() && left > 0; ) {
-            Bin bin = i.next();
-            left -= bin.take(job, left);
-            if (bin.full()) {
-                i.remove();
-            }
-        }
-        return left;
+    private boolean isFaulty(JobEntry job) {
+        JobProgress progress = machines.progress().get(job.id());
+        return progress != null && progress.isFaulty();
     }
 
     /**
-     * Short tasks share a slot one after the other while a machine is there. Where no machine would ever do, the
-     * smallest demand still needs one, or the job would wait for ever.
+     * Short tasks share a slot one after the other while an instance is there. Where there is none on which the job can
+     * run, the smallest demand still needs one, or the job would wait for ever.
      */
-    private double slots(JobEntry job, int tasks, Map<String, InstanceRequest> booting) {
-        Job spec = job.job();
-        double slots = tasks * Math.min(1, Math.max(LEAST_SLOT, spec.expectedRunS() / SLOT_S));
-        return hosted(spec, job.requirements(), booting) ? slots : Math.max(slots, mostOnOne(spec));
+    private double slots(JobEntry job, int tasks, Collection<InstanceRequest> pending) {
+        double slotsPerTask = Math.max(MIN_SLOT_FRACTION, job.job().expectedRunS() / SLOT_S);
+        double slots = tasks * Math.min(1, slotsPerTask);
+        return canRunSomewhere(job, pending) ? slots : Math.max(slots, maxTasksPerMachine(job.job()));
     }
 
-    /** True if there is or soon will be a machine on which tasks of the shape can run at all. */
-    private boolean hosted(Job spec, Job.Requirements shape, Map<String, InstanceRequest> booting) {
+    /** True if there is or soon will be a machine on which tasks of the job can run at all. */
+    private boolean canRunSomewhere(JobEntry job, Collection<InstanceRequest> pending) {
+        Job spec = job.job();
+        Job.Requirements requirements = job.requirements();
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
             if (type != null
-                    && type.fits(shape)
+                    && type.fits(requirements)
                     && spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
                     && schedulability.isSchedulable(machine)) {
                 return true;
             }
         }
-        for (InstanceRequest rental : booting.values()) {
-            InstancePool place = rental.pool();
-            MachineType type = machines.type(place.type());
-            if (type != null && type.fits(shape) && spec.allows(place.type(), place.zone(), place.spot())) {
+        for (InstanceRequest request : pending) {
+            MachineType type = machines.type(request.pool().type());
+            if (type != null && type.fits(requirements) && request.pool().isAllowedFor(spec)) {
                 return true;
             }
         }
         return false;
     }
 
-    private int mostOnOne(Job job) {
+    private int maxTasksPerMachine(Job job) {
         return machines.types().stream()
                 .mapToInt(type -> type.capacityFor(job))
                 .max()
--- a/src/main/java/dewlane/core/autoscaling/InstanceRequest.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceRequest.java
@@ -1,12 +1,8 @@
 package dewlane.core.autoscaling;
 
 /**
- * Machines of one place that were asked for together.
+ * A request to create instances of one pool.
  *
- * @param requestedAtMs when, in steady time
+ * @param requestedAtMs when it was made, in steady time
  */
-record InstanceRequest(InstancePool pool, int count, long requestedAtMs) {
-
-    /** Where machines can be rented, and on what terms. */
-    record InstancePool(String type, String zone, boolean spot) {}
-}
+record InstanceRequest(InstancePool pool, int count, long requestedAtMs) {}
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -3,8 +3,6 @@
 import dewlane.core.admission.JobRequestHandler;
 import dewlane.core.admission.SubmissionHandler;
 import dewlane.core.autoscaling.Autoscaler;
-import dewlane.core.autoscaling.CapacityDemand;
-import dewlane.core.autoscaling.InstanceInventory;
 import dewlane.core.autoscaling.ScaleIn;
 import dewlane.core.config.Settings;
 import dewlane.core.fleet.MachineRegistry;
@@ -24,7 +22,6 @@
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
 import dewlane.core.quota.QuotaTransferPlanner;
-import dewlane.core.scheduling.MachineSchedulability;
 import dewlane.core.scheduling.PartitionSelector;
 import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.scheduling.SliceAssigner;
@@ -102,17 +99,17 @@
         PartitionCapacity capacity = new PartitionCapacity(context, replica, machines);
         PartitionSelector partitions = new PartitionSelector(context, replica, capacity, quota, release);
         SliceAssigner sliceAssigner = new SliceAssigner(context, machines, partitions);
-        MachineSchedulability schedulability = new MachineSchedulability(context, replica, machines);
         rebalancer = quotaRebalancer(quota, capacity);
         placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
                 .cycle(quota, partitions, release, dependencies, cancellations, size);
         sessions =
                 new HeartbeatHandler(context, replica, machines, peers, membership, cancellations, standing, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
-        scaleDown =
-                new ScaleIn(context, replica, machines, membership, standing, transactions, schedulability, release);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
-        autoscaler = autoscaler(quota, schedulability);
+        AutoscalingAssembly autoscaling =
+                new AutoscalingAssembly(context, replica, machines, membership, transactions, release);
+        autoscaler = autoscaling.autoscaler(quota);
+        scaleDown = autoscaling.scaleIn(standing);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
         users = new JobRequestHandler(
@@ -136,12 +133,6 @@
         return new QuotaRebalancer(context, replica, membership, standing, release, planner);
     }
 
-    private Autoscaler autoscaler(QuotaEnforcer quota, MachineSchedulability schedulability) {
-        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
-        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, release);
-        return new Autoscaler(context, replica, machines, membership, inventory, demand);
-    }
-
     /** Handles one message that arrived at the given steady time and time of day. */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
         context.startMessage(nowMs, wallMs);
