--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -20,6 +20,7 @@
     /** True once this leader knows what its predecessor created, so that it does not create it again. */
     private boolean fleetKnown;
 
+    /** Leads by the given steps. */
     public Autoscaler(
             ControllerContext context,
             Membership membership,
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -38,6 +38,7 @@
     private final QuotaEnforcer quota;
     private final DependencyGraph dependencies;
 
+    /** Estimates by the replica's jobs and the registry's machines. */
     public CapacityDemand(
             ControllerContext context,
             StoreReplica replica,
--- a/src/main/java/dewlane/core/autoscaling/CloudPoller.java
+++ b/src/main/java/dewlane/core/autoscaling/CloudPoller.java
@@ -26,6 +26,7 @@
     private long catalogReadAtMs = NEVER;
     private long listReadAtMs = NEVER;
 
+    /** Polls as often as the inventory's size and the cloud's request rate allow. */
     public CloudPoller(
             ControllerContext context, StoreReplica replica, MachineRegistry machines, InstanceInventory inventory) {
         this.context = context;
--- a/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
@@ -34,6 +34,7 @@
     /** By key of a record, when all its machines were first found terminated. */
     private final Map<String, Long> terminatedAtMs = new HashMap<>();
 
+    /** Processes the replica's records, changing them by the writer. */
     public DecommissionProcessor(
             ControllerContext context,
             StoreReplica replica,
--- a/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
@@ -23,6 +23,7 @@
     /** Keys of records with a write in flight. */
     private final Set<String> inFlight = new HashSet<>();
 
+    /** Writes records through the queue, on condition of what the replica shows. */
     public DecommissionWriter(ControllerContext context, StoreReplica replica, TransactionQueue transactions) {
         this.context = context;
         this.replica = replica;
--- a/src/main/java/dewlane/core/autoscaling/IdleMachineFinder.java
+++ b/src/main/java/dewlane/core/autoscaling/IdleMachineFinder.java
@@ -22,6 +22,7 @@
     private final MachineSchedulability schedulability;
     private final DependencyGraph dependencies;
 
+    /** Looks at the registry's machines of this partition, and at the replica's jobs. */
     public IdleMachineFinder(
             ControllerContext context,
             StoreReplica replica,
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -38,6 +38,7 @@
     /** Instances whose deletion was answered, or that the cloud calls failed. */
     private final Set<String> terminated = new HashSet<>();
 
+    /** An empty inventory, which has failed and overdue instances decommissioned by the writer. */
     public InstanceInventory(ControllerContext context, MachineRegistry machines, DecommissionWriter decommissions) {
         this.context = context;
         this.machines = machines;
--- a/src/main/java/dewlane/core/autoscaling/InstancePoolSelector.java
+++ b/src/main/java/dewlane/core/autoscaling/InstancePoolSelector.java
@@ -26,6 +26,7 @@
     /** Until when nothing is requested of a pool, in steady time. */
     private final Map<InstancePool, Long> backoffUntilMs = new HashMap<>();
 
+    /** Selects among the pools of the registry's machine types. */
     public InstancePoolSelector(ControllerContext context, MachineRegistry machines) {
         this.context = context;
         this.machines = machines;
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -33,6 +33,7 @@
     private long recordCount;
     private long decommissionedAtMs = Long.MIN_VALUE / 2;
 
+    /** Decommissions the machines that the finder finds, through the queue. */
     public ScaleIn(
             ControllerContext context,
             StoreReplica replica,
--- a/src/main/java/dewlane/core/autoscaling/ScaleOut.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleOut.java
@@ -33,6 +33,7 @@
     /** Requests that the cloud has not answered yet, by their ids. */
     private final Map<String, InstanceRequest> inFlight = new HashMap<>();
 
+    /** Requests instances of the selected pools for the estimated demand. */
     public ScaleOut(
             ControllerContext context,
             MachineRegistry machines,
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -26,6 +26,7 @@
     private final PartitionedLimit partitioned;
     private final TeamGuarantees guarantees;
 
+    /** Enforces the settings' quotas by the usage that the registry counts. */
     public QuotaEnforcer(Settings settings, StoreReplica replica, MachineRegistry machines) {
         this.settings = settings;
         this.replica = replica;
--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -30,6 +30,7 @@
     private final QuotaTransferPlanner planner;
     private long transferredAtMs = Long.MIN_VALUE / 2;
 
+    /** Writes the planner's transfers by way of the membership, which owns the partition map. */
     public QuotaRebalancer(
             ControllerContext context,
             StoreReplica replica,
--- a/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
+++ b/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
@@ -19,6 +19,7 @@
     private final PartitionCapacity capacity;
     private final String self;
 
+    /** Plans transfers of the controller that the settings name. */
     public QuotaTransferPlanner(
             Settings settings, StoreReplica replica, QuotaEnforcer quota, PartitionCapacity capacity) {
         this.replica = replica;
--- a/src/main/java/dewlane/core/quota/SerializedLimit.java
+++ b/src/main/java/dewlane/core/quota/SerializedLimit.java
@@ -14,7 +14,7 @@
 /**
  * Enforces a small limit by serialized launches: each launch is conditional on the team key and changes it. If the key
  * still has the version that the replica shows, no launch for the team is missing from the replica, so the usage
- * counted there, which holds every attempt that is not proven gone, is an upper bound.
+ * counted there, which holds every attempt that is not proven ended, is an upper bound.
  */
 final class SerializedLimit implements LimitEnforcement {
     /** Stands for the revision of a launch that is not answered yet. */
--- a/src/main/java/dewlane/core/scheduling/ExpectedCapacity.java
+++ b/src/main/java/dewlane/core/scheduling/ExpectedUsage.java
@@ -14,7 +14,7 @@
  * What is in use on machines once the preemptions under way have ended, and what is reserved there for the jobs for
  * which they are made.
  */
-final class ExpectedCapacity {
+final class ExpectedUsage {
     /** Expected usage of the machines on which it differs from the present one. */
     private final Map<Machine, ResourceUsage> expectedUsage = new HashMap<>();
 
--- a/src/main/java/dewlane/core/scheduling/JobFinisher.java
+++ b/src/main/java/dewlane/core/scheduling/JobFinisher.java
@@ -19,6 +19,7 @@
     private final JobTransactions transactions;
     private final ValueSizer sizer;
 
+    /** Ends jobs by way of the given transactions, with cancelled records no larger than the sizer measures. */
     public JobFinisher(
             ControllerContext context,
             PartitionOwnership ownership,
--- a/src/main/java/dewlane/core/scheduling/JobQueue.java
+++ b/src/main/java/dewlane/core/scheduling/JobQueue.java
@@ -32,6 +32,7 @@
     private final PartitionOwnership ownership;
     private final ControllerCounters counters;
 
+    /** Orders the jobs that the dependency graph calls ready. */
     public JobQueue(
             StoreReplica replica,
             MachineRegistry machines,
--- a/src/main/java/dewlane/core/scheduling/JobTransactions.java
+++ b/src/main/java/dewlane/core/scheduling/JobTransactions.java
@@ -29,6 +29,7 @@
     private final QuotaEnforcer quota;
     private final ControllerCounters counters;
 
+    /** Sends writes through the queue, on condition of what the replica shows. */
     public JobTransactions(
             ControllerContext context,
             StoreReplica replica,
@@ -82,7 +83,7 @@
 
     /** Sends a transaction about the update's job, whose slices and launches are in it as far as they are to be. */
     void submit(JobUpdate update, Transaction.Builder transaction) {
-        // The job's record may be gone by the time of the answer.
+        // The job's record may be deleted before the answer comes.
         Job job = update.job().job();
         JobProgress progress = update.progress();
         progress.beginWrite();
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -16,6 +16,7 @@
     private final LaunchGate launchGate;
     private final LaunchPlanner planner;
 
+    /** Writes by the given steps. */
     public JobWriter(
             JobTransactions transactions,
             JobFinisher finisher,
--- a/src/main/java/dewlane/core/scheduling/LaunchGate.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchGate.java
@@ -13,6 +13,7 @@
     private final CancellationTracker cancellations;
     private final QuotaEnforcer quota;
 
+    /** Judges by the queue, the known cancellations and the teams' quotas. */
     public LaunchGate(
             ControllerContext context,
             TransactionQueue transactions,
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -29,6 +29,7 @@
     /** Requirements for which no machine had capacity in this cycle. */
     private final Set<Job.Requirements> withoutCapacity = new HashSet<>();
 
+    /** Plans launches on the registry's machines and handovers to the selected partitions. */
     public LaunchPlanner(
             ControllerContext context,
             PartitionOwnership ownership,
--- a/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
+++ b/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
@@ -12,6 +12,7 @@
     private final MachineRegistry machines;
     private final String self;
 
+    /** Judges by the replica's decommission records and what the registry knows. */
     public MachineSchedulability(ControllerContext context, StoreReplica replica, MachineRegistry machines) {
         this.context = context;
         this.replica = replica;
--- a/src/main/java/dewlane/core/scheduling/MachineSurvey.java
+++ b/src/main/java/dewlane/core/scheduling/MachineSurvey.java
@@ -24,6 +24,7 @@
     /** Schedulable machines whose CPUs are not all in use. */
     private List<Machine> withCapacity = List.of();
 
+    /** Surveys the registry's machines. */
     public MachineSurvey(ControllerContext context, MachineRegistry machines, MachineSchedulability schedulability) {
         this.context = context;
         this.machines = machines;
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
@@ -29,6 +29,7 @@
     private final TransactionQueue transactions;
     private final QuotaEnforcer quota;
 
+    /** Batches by the scarcity of writes in the queue and by the teams' quotas. */
     public OutcomeBatching(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
         this.context = context;
         this.transactions = transactions;
--- a/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
+++ b/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
@@ -26,6 +26,7 @@
     private final Membership membership;
     private final TransactionQueue transactions;
 
+    /** Splits slices to the limits of the context's settings. */
     public OversizedSliceSplitter(
             ControllerContext context,
             PartitionOwnership ownership,
--- a/src/main/java/dewlane/core/scheduling/PartitionCandidate.java
+++ b/src/main/java/dewlane/core/scheduling/PartitionCandidate.java
@@ -1,7 +1,7 @@
 package dewlane.core.scheduling;
 
 /**
- * A partition as a place for tasks of a job.
+ * A partition as a target for tasks of a job.
  *
  * @param controller the controller that owns the partition
  * @param capacity how many tasks of the job the partition could start
--- a/src/main/java/dewlane/core/scheduling/PartitionOwnership.java
+++ b/src/main/java/dewlane/core/scheduling/PartitionOwnership.java
@@ -12,6 +12,7 @@
     private final StoreReplica replica;
     private final String self;
 
+    /** Ownership of the controller that the settings name. */
     public PartitionOwnership(Settings settings, StoreReplica replica) {
         this.replica = replica;
         this.self = settings.controllerName();
--- a/src/main/java/dewlane/core/scheduling/PartitionSelector.java
+++ b/src/main/java/dewlane/core/scheduling/PartitionSelector.java
@@ -39,6 +39,7 @@
     /** The generation of the capacity that the cached candidates were made from. */
     private long cacheGeneration;
 
+    /** Ranks the partitions of the replica's map. */
     public PartitionSelector(
             ControllerContext context,
             StoreReplica replica,
@@ -99,9 +100,9 @@
             double netCapacity = Math.min(capacities[i] - competing.pending[i], quotaCapacity);
             // Large tasks need all capacity that becomes free; but a job that has waited for long leaves others no more
             // than they can use now, or it would wait beside free capacity for good.
-            double usable =
+            double startable =
                     demand.waitedLong() ? Math.min(capacities[i] - competing.startable[i], quotaCapacity) : netCapacity;
-            candidates.add(new PartitionCandidate(controller, (int) Math.max(0, Math.floor(usable)), netCapacity));
+            candidates.add(new PartitionCandidate(controller, (int) Math.max(0, Math.floor(startable)), netCapacity));
         }
         candidates.sort(
                 Comparator.comparingDouble(PartitionCandidate::netCapacity).reversed());
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -38,7 +38,7 @@
     private final MachineRegistry machines;
     private final PreemptionPolicy policy;
     private final VictimSelector victimSelector;
-    private final ExpectedCapacity capacity = new ExpectedCapacity();
+    private final ExpectedUsage expectedUsage = new ExpectedUsage();
     private List<Machine> schedulableMachines = List.of();
     /** Claims for which this cycle found no more victims. */
     private final Set<Claim> withoutVictims = new HashSet<>();
@@ -54,7 +54,7 @@
     void beginCycle(List<Machine> schedulable, Set<String> guaranteed) {
         schedulableMachines = schedulable;
         policy.beginCycle(guaranteed);
-        capacity.beginCycle(schedulable);
+        expectedUsage.beginCycle(schedulable);
         withoutVictims.clear();
     }
 
@@ -78,7 +78,7 @@
             Machine machine = cheapest.machine;
             cheapest.victims.attempts().forEach(victim -> preempt(machine, victim, job));
             machines.markChanged(machine);
-            capacity.reserve(machine, spec);
+            expectedUsage.reserve(machine, spec);
             addOption(options, machine, job);
         }
     }
@@ -99,7 +99,7 @@
         MachineType type = machines.type(machine);
         if (job.job().allows(machine.typeName(), machine.zone(), machine.isSpot()) && type.fits(job.requirements())) {
             victimSelector
-                    .select(machine, type, job, capacity.usageOf(machine))
+                    .select(machine, type, job, expectedUsage.usageOf(machine))
                     .ifPresent(victims -> options.add(new Option(machine, victims)));
         }
     }
@@ -110,6 +110,6 @@
                 + " for " + job.id());
         double graceS = spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() + 1 : 0;
         machine.commands().preempt(victim.id(), graceS);
-        capacity.release(machine, spec);
+        expectedUsage.release(machine, spec);
     }
 }
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -17,6 +17,7 @@
     private final LaunchPlanner planner;
     private final SliceGarbageCollector garbageCollector;
 
+    /** A cycle of the given steps. */
     public SchedulingCycle(
             Membership membership,
             MachineSurvey survey,
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -23,6 +23,7 @@
     private final MachineRegistry machines;
     private final PartitionSelector partitions;
 
+    /** Assigns slices to the selected partitions. */
     public SliceAssigner(ControllerContext context, MachineRegistry machines, PartitionSelector partitions) {
         this.context = context;
         this.machines = machines;
--- a/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -26,6 +26,7 @@
     /** By job, the revision of a deletion that the replica has not reached yet. */
     private final Map<String, Long> deletionRevisions = new HashMap<>();
 
+    /** Collects the slices that the replica shows, through the queue. */
     public SliceGarbageCollector(
             ControllerContext context,
             StoreReplica replica,
--- a/src/main/java/dewlane/core/scheduling/SliceHandover.java
+++ b/src/main/java/dewlane/core/scheduling/SliceHandover.java
@@ -62,9 +62,9 @@
             return true;
         }
         if (moved > 0 && moved < value.count() && maySplit(update)) {
-            int kept = value.count() - moved;
-            update.put(slice, value.subrange(0, kept));
-            update.create(value.subrange(kept, moved).withOwner(target.controller()));
+            int remaining = value.count() - moved;
+            update.put(slice, value.subrange(0, remaining));
+            update.create(value.subrange(remaining, moved).withOwner(target.controller()));
             return true;
         }
         return false;
