--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -1,7 +1,14 @@
 package dewlane.core.controller;
 
-import dewlane.core.admission.JobRequestHandler;
+import dewlane.core.admission.CancellationHandler;
+import dewlane.core.admission.CancellationWriter;
+import dewlane.core.admission.DependencyLookup;
+import dewlane.core.admission.JobLookup;
+import dewlane.core.admission.JobStatusHandler;
+import dewlane.core.admission.JobValidator;
+import dewlane.core.admission.NewJobWriter;
 import dewlane.core.admission.SubmissionHandler;
+import dewlane.core.admission.UserResponses;
 import dewlane.core.autoscaling.Autoscaler;
 import dewlane.core.autoscaling.ScaleIn;
 import dewlane.core.config.Settings;
@@ -38,7 +45,10 @@
 import dewlane.core.store.StoreWatcher;
 import dewlane.core.store.TransactionQueue;
 import dewlane.core.store.UnreadableValueLog;
+import dewlane.core.worker.CommandDispatcher;
+import dewlane.core.worker.CommandPlanner;
 import dewlane.core.worker.FailureDetector;
+import dewlane.core.worker.HeartbeatAdmission;
 import dewlane.core.worker.HeartbeatHandler;
 import java.util.List;
 
@@ -64,14 +74,16 @@
     private final AuthorityMonitor standing;
     private final MachineRegistry machines;
     private final PeerTable peers;
-    private final HeartbeatHandler sessions;
+    private final CommandDispatcher commands;
+    private final HeartbeatHandler heartbeats;
     private final SchedulingCycle placement;
     private final DependencyTracker dependencies;
     private final JobResultReader finals;
     private final SubmissionHandler submissions;
     private final FailureDetector failureDetector;
     private final Autoscaler autoscaler;
-    private final JobRequestHandler users;
+    private final JobStatusHandler statuses;
+    private final CancellationHandler cancellationHandler;
     private final ReadBarrier barrier;
     private final StoreWatcher state;
     private final QuotaRebalancer rebalancer;
@@ -102,8 +114,9 @@
         rebalancer = quotaRebalancer(quota, capacity);
         placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
                 .cycle(quota, partitions, release, dependencies, cancellations, size);
-        sessions =
-                new HeartbeatHandler(context, replica, machines, peers, membership, cancellations, standing, counters);
+        commands = commandDispatcher();
+        HeartbeatAdmission admission = new HeartbeatAdmission(context, machines, peers, membership, standing, counters);
+        heartbeats = new HeartbeatHandler(context, replica, machines, admission, commands, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
         AutoscalingAssembly autoscaling =
@@ -112,20 +125,18 @@
         scaleDown = autoscaling.scaleIn(standing);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
-        users = new JobRequestHandler(
-                context, replica, transactions, cancellations, dependencies, barrier, finals, size);
+        UserResponses responses = new UserResponses(context);
+        JobLookup lookup = new JobLookup(replica, dependencies, barrier, finals, responses);
+        statuses = new JobStatusHandler(lookup, dependencies, responses);
+        cancellationHandler = new CancellationHandler(
+                lookup, new CancellationWriter(context, replica, transactions, cancellations, size), responses);
         submissions = new SubmissionHandler(
-                context,
-                replica,
-                machines,
                 membership,
-                transactions,
-                sliceAssigner,
-                dependencies,
-                barrier,
-                finals,
-                users,
-                size);
+                statuses,
+                new JobValidator(settings, machines),
+                new DependencyLookup(replica, dependencies, barrier, finals),
+                new NewJobWriter(context, replica, transactions, sliceAssigner, size),
+                responses);
     }
 
     private QuotaRebalancer quotaRebalancer(QuotaEnforcer quota, PartitionCapacity capacity) {
@@ -133,6 +144,12 @@
         return new QuotaRebalancer(context, replica, membership, standing, release, planner);
     }
 
+    private CommandDispatcher commandDispatcher() {
+        CommandPlanner planner =
+                new CommandPlanner(context, replica, machines.progress(), cancellations, standing, counters);
+        return new CommandDispatcher(context, replica, machines, membership, counters, planner);
+    }
+
     /** Handles one message that arrived at the given steady time and time of day. */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
         context.startMessage(nowMs, wallMs);
@@ -141,7 +158,7 @@
             passedAt = nowMs;
             dirty = false;
             placement.run();
-            sessions.sendCommands();
+            commands.sendDirectCommands();
         }
         return context.takeEffects();
     }
@@ -196,9 +213,9 @@
 
     private boolean takeFromWorkers(Input input) {
         if (input instanceof Input.HeartbeatReceived in) {
-            sessions.onHeartbeat(in.id(), in.heartbeat());
+            heartbeats.onHeartbeat(in.id(), in.heartbeat());
         } else if (input instanceof Input.CommandCompleted in) {
-            sessions.onCommandCompleted(in);
+            heartbeats.onCommandCompleted(in);
         } else {
             return false;
         }
@@ -210,9 +227,9 @@
         if (input instanceof Input.SubmitJob request) {
             submissions.onSubmit(request);
         } else if (input instanceof Input.GetJobStatus request) {
-            users.onGetStatus(request);
+            statuses.onGetStatus(request);
         } else if (input instanceof Input.CancelJob request) {
-            users.onCancel(request);
+            cancellationHandler.onCancel(request);
         } else {
             return false;
         }
@@ -286,7 +303,7 @@
             }
             standing.tick();
             failureDetector.tick();
-            sessions.tick();
+            commands.tick();
             autoscaler.tick();
             rebalancer.tick();
             scaleDown.tick();
@@ -318,7 +335,7 @@
             context.info("map " + d.after().epoch() + ": " + d.after().members() + ", led by "
                     + Partitioner.leaderOf(d.after()));
         } else if (delta instanceof ReplicaChange.ValueUnreadable d) {
-            unreadableLog.report(d);
+            unreadableLog.record(d);
         }
     }
 }
