--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -10,8 +10,6 @@
 import dewlane.core.admission.SubmissionHandler;
 import dewlane.core.admission.UserResponses;
 import dewlane.core.autoscaling.Autoscaler;
-import dewlane.core.autoscaling.CapacityDemand;
-import dewlane.core.autoscaling.InstanceInventory;
 import dewlane.core.autoscaling.ScaleIn;
 import dewlane.core.config.Settings;
 import dewlane.core.fleet.MachineRegistry;
@@ -30,7 +28,7 @@
 import dewlane.core.model.PeerStatus;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
-import dewlane.core.scheduling.MachineSchedulability;
+import dewlane.core.quota.QuotaTransferPlanner;
 import dewlane.core.scheduling.PartitionSelector;
 import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.scheduling.SliceAssigner;
@@ -113,18 +111,18 @@
         PartitionCapacity capacity = new PartitionCapacity(context, replica, machines);
         PartitionSelector partitions = new PartitionSelector(context, replica, capacity, quota, release);
         SliceAssigner sliceAssigner = new SliceAssigner(context, machines, partitions);
-        MachineSchedulability schedulability = new MachineSchedulability(context, replica, machines);
-        rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
+        rebalancer = quotaRebalancer(quota, capacity);
         placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
                 .cycle(quota, partitions, release, dependencies, cancellations, size);
         commands = commandDispatcher();
         HeartbeatAdmission admission = new HeartbeatAdmission(context, machines, peers, membership, standing, counters);
         heartbeats = new HeartbeatHandler(context, replica, machines, admission, commands, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
-        scaleDown =
-                new ScaleIn(context, replica, machines, membership, standing, transactions, schedulability, release);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
-        autoscaler = autoscaler(quota, schedulability);
+        AutoscalingAssembly autoscaling =
+                new AutoscalingAssembly(context, replica, machines, membership, transactions, release);
+        autoscaler = autoscaling.autoscaler(quota);
+        scaleDown = autoscaling.scaleIn(standing);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
         UserResponses responses = new UserResponses(context);
@@ -141,10 +139,9 @@
                 responses);
     }
 
-    private Autoscaler autoscaler(QuotaEnforcer quota, MachineSchedulability schedulability) {
-        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
-        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, release);
-        return new Autoscaler(context, replica, machines, membership, inventory, demand);
+    private QuotaRebalancer quotaRebalancer(QuotaEnforcer quota, PartitionCapacity capacity) {
+        QuotaTransferPlanner planner = new QuotaTransferPlanner(context.settings(), replica, quota, capacity);
+        return new QuotaRebalancer(context, replica, membership, standing, release, planner);
     }
 
     private CommandDispatcher commandDispatcher() {
