--- a/src/main/java/dewlane/core/fleet/AssignedAttempt.java
+++ b/src/main/java/dewlane/core/fleet/AssignedAttempt.java
@@ -50,7 +50,7 @@
         quotaOwner = controller;
     }
 
-    /** True once the worker reported its end, so that it needs no room on the machine any more. */
+    /** True once a heartbeat proved its end, so that it needs no room on the machine any more. */
     public boolean hasEnded() {
         return ended;
     }
--- a/src/main/java/dewlane/core/fleet/AttemptTracker.java
+++ b/src/main/java/dewlane/core/fleet/AttemptTracker.java
@@ -91,8 +91,8 @@
     private void add(JobEntry job, Job spec, SliceEntry slice, Attempt attempt) {
         Machine machine = machines.getOrCreate(attempt.machine());
         AssignedAttempt assigned = new AssignedAttempt(job, slice, attempt);
-        machine.addAttempt(assigned);
-        machine.usage().add(spec);
+        machine.load().add(assigned);
+        machine.load().usage().add(spec);
         assigned.setQuotaOwner(ownerOf(slice));
         teamUsage.add(spec, assigned.quotaOwner(), 1);
         owned.markChanged(machine);
@@ -105,17 +105,17 @@
     private void remove(JobEntry job, Job spec, Attempt attempt) {
         Machine machine = machines.getOrCreate(attempt.machine());
         AttemptId id = new AttemptId(job.id(), attempt.task(), attempt.number());
-        AssignedAttempt assigned = machine.removeAttempt(id);
+        AssignedAttempt assigned = machine.load().remove(id);
         if (assigned == null) {
             return;
         }
         if (!assigned.hasEnded()) {
-            machine.usage().remove(spec);
+            machine.load().usage().remove(spec);
         }
         teamUsage.add(spec, assigned.quotaOwner(), -1);
         machine.commands().attemptRemoved(id);
         progress.attemptRemoved(id);
-        machine.markIdleIfEmpty(context.nowMs());
+        machine.load().markIdleIfEmpty(context.nowMs());
         owned.markChanged(machine);
         machines.removeIfTerminated(machine);
     }
@@ -124,7 +124,7 @@
     void attemptEnded(Machine machine, AssignedAttempt assigned) {
         if (!assigned.hasEnded()) {
             assigned.markEnded();
-            machine.usage().remove(assigned.job().job());
+            machine.load().usage().remove(assigned.job().job());
         }
     }
 
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -85,7 +85,10 @@
         return outcomes.gatheringSinceMs(slice, now);
     }
 
-    /** Later outcomes of the slice gather anew: those in a write stay listed until the replica shows them. */
+    /**
+     * Outcomes of the slice are being written: they stay listed until the replica shows them, and later ones gather
+     * anew.
+     */
     public void resetGathering(int slice) {
         outcomes.resetGathering(slice);
     }
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -45,7 +45,7 @@
     public void launchDecided(String job, JobProgress.Launch launch) {
         getOrCreate(job).addLaunch(launch);
         unreconciled.add(job);
-        launch.machine().usage().add(launch.spec());
+        launch.machine().load().usage().add(launch.spec());
         teamUsage.add(launch.spec(), self, 1);
     }
 
@@ -74,9 +74,9 @@
 
     /** Takes back what was counted for a launch when it was decided. */
     private void releaseLaunch(JobProgress.Launch launch) {
-        launch.machine().usage().remove(launch.spec());
+        launch.machine().load().usage().remove(launch.spec());
         teamUsage.add(launch.spec(), self, -1);
-        launch.machine().markIdleIfEmpty(context.nowMs());
+        launch.machine().load().markIdleIfEmpty(context.nowMs());
     }
 
     /** Counts the launches in flight for this controller, after the usage of all owners was reset. */
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -7,8 +7,6 @@
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.Set;
 
 /**
@@ -34,23 +32,17 @@
     private final MisroutedHeartbeats misroutedHeartbeats = new MisroutedHeartbeats();
     private final MachineLifecycle lifecycle = new MachineLifecycle();
     private final ImageCache images = new ImageCache();
-
     private final PeerListing peerListing = new PeerListing();
 
     /** Jobs of which a task failed here since a task last completed. */
     private final Set<String> failedJobs = new HashSet<>();
 
-    private final Map<AttemptId, AssignedAttempt> attempts = new LinkedHashMap<>();
-    private final ResourceUsage usage = new ResourceUsage();
-    /** Null while nothing is reserved. */
-    private ResourceUsage reserved;
-
-    private long idleSinceMs;
+    private final MachineLoad load;
 
     Machine(String name, long nowMs) {
         this.name = name;
         this.reachability = new Reachability(nowMs);
-        this.idleSinceMs = nowMs;
+        this.load = new MachineLoad(nowMs);
     }
 
     /** The machine's name, which is never used twice. */
@@ -68,7 +60,11 @@
         return ownerSinceMs;
     }
 
-    /** Sets the owner under the present map; if it reacquires the machine, its time as the owner begins anew. */
+    /**
+     * Sets the owner under the present map.
+     *
+     * @param reacquired true if its time as the owner begins now in any case, as there may have been another meanwhile
+     */
     void setOwner(String newOwner, boolean reacquired, long nowMs) {
         if (reacquired || newOwner == null || !newOwner.equals(owner)) {
             ownerSinceMs = nowMs;
@@ -191,60 +187,44 @@
         failedJobs.clear();
     }
 
+    /** The attempts and resources counted on the machine, for those who count them. */
+    MachineLoad load() {
+        return load;
+    }
+
     /** The attempts that the store holds against the machine. */
     public Collection<AssignedAttempt> attempts() {
-        return attempts.values();
+        return load.attempts();
     }
 
     /** The attempt, or null if the store does not hold it against the machine. */
     public AssignedAttempt attempt(AttemptId id) {
-        return attempts.get(id);
-    }
-
-    void addAttempt(AssignedAttempt attempt) {
-        attempts.put(attempt.id(), attempt);
-    }
-
-    /** Removes an attempt; null if there was none. */
-    AssignedAttempt removeAttempt(AttemptId id) {
-        return attempts.remove(id);
+        return load.attempt(id);
     }
 
     /** The resources taken by attempts that may be on the machine, those in a write in flight included. */
     public ResourceUsage usage() {
-        return usage;
+        return load.usage();
     }
 
     /** The number of tasks of the job that fit beside what is used and reserved. */
     public int capacityFor(MachineType type, Job job) {
-        return reserved == null
-                ? usage.capacityFor(type, job)
-                : new ResourceUsage(usage).add(reserved).capacityFor(type, job);
+        return load.capacityFor(type, job);
     }
 
     /** Reserves room for one task of the job until the next scheduling cycle. */
     public void reserve(Job job) {
-        reserved = reserved == null ? new ResourceUsage() : reserved;
-        reserved.add(job);
+        load.reserve(job);
     }
 
     /** Drops all reservations. */
     public void clearReservations() {
-        reserved = null;
+        load.clearReservations();
     }
 
     /** Since when nothing has been on the machine, in steady time. */
     public long idleSinceMs() {
-        return idleSinceMs;
-    }
-
-    /**
-     * An attempt ended or a launch was taken back: if nothing may be on the machine any more, it is idle from now on.
-     */
-    void markIdleIfEmpty(long nowMs) {
-        if (attempts.isEmpty() && usage.isEmpty()) {
-            idleSinceMs = nowMs;
-        }
+        return load.idleSinceMs();
     }
 
     /** The fencing token that commands to the machine carry. */
@@ -258,7 +238,7 @@
      * has neither.
      */
     public void suspect(long nowMs) {
-        if (isLaunchInFlight()) {
+        if (isAnyLaunchInFlight()) {
             // A token can only prove it if the fence is raised, which would give the launch up.
             reachability.suspected(nowMs, Reachability.NO_TOKEN_ENDS_IT);
         } else {
@@ -267,14 +247,25 @@
         }
     }
 
-    private boolean isLaunchInFlight() {
-        for (AssignedAttempt assigned : attempts.values()) {
-            if (assigned.attempt().fencingToken() == fencingToken()
-                    && assigned.attempt().incarnation() == worker.incarnation()
-                    && !worker.reports(assigned.id())) {
+    private boolean isAnyLaunchInFlight() {
+        for (AssignedAttempt assigned : load.attempts()) {
+            if (mayLaunchArrive(assigned)) {
                 return true;
             }
         }
         return false;
     }
+
+    /** True if a launch of the attempt may still arrive: the worker would carry it out and does not report it yet. */
+    public boolean mayLaunchArrive(AssignedAttempt assigned) {
+        return acceptsLaunch(assigned) && !worker.reports(assigned.id());
+    }
+
+    /**
+     * True if the worker would carry out a launch of the attempt: its incarnation and its token are the present ones.
+     */
+    public boolean acceptsLaunch(AssignedAttempt assigned) {
+        return assigned.attempt().fencingToken() == fencingToken()
+                && assigned.attempt().incarnation() == worker.incarnation();
+    }
 }
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -84,6 +84,11 @@
         return owned.all();
     }
 
+    /** True if the machine is in this controller's partition. */
+    public boolean owns(Machine machine) {
+        return owned.owns(machine);
+    }
+
     /** There may be something to command to the machine, if it is in this controller's partition. */
     public void markChanged(Machine machine) {
         owned.markChanged(machine);
--- a/src/main/java/dewlane/core/fleet/PartitionCapacity.java
+++ b/src/main/java/dewlane/core/fleet/PartitionCapacity.java
@@ -83,7 +83,7 @@
         if (machine.owner() == null || replica.decommissionsByMachine().containsKey(machine.name())) {
             return false;
         }
-        if (machine.owner().equals(context.settings().controllerName())) {
+        if (machines.owns(machine)) {
             return machine.reachability()
                             .confirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs())
                     && !machine.lifecycle().isTerminationScheduled()
--- a/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
@@ -1,5 +1,6 @@
 package dewlane.core.worker;
 
+import dewlane.core.fleet.DecommissionBatches;
 import dewlane.core.fleet.Machine;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.membership.Membership;
@@ -17,9 +18,6 @@
  * deleted already.
  */
 final class CancelledTaskEviction {
-    /** As many as the cloud deletes by one request. */
-    private static final int MAX_MACHINES = 100;
-
     /** Fraction of {@code cancel_s} after which a machine is deleted; a record should have been acted on by then. */
     private static final double DEADLINE_FRACTION = 0.45;
 
@@ -64,7 +62,7 @@
         double fraction = membership.reachesStore() ? DEADLINE_FRACTION : DEADLINE_FRACTION_WITHOUT_STORE;
         List<String> overdue = new ArrayList<>();
         for (Machine machine : machines.owned()) {
-            if (overdue.size() < MAX_MACHINES
+            if (overdue.size() < DecommissionBatches.MAX_MACHINES
                     && machine.reachability().silentForMs(context.nowMs()) > timeoutMs
                     && cancelledTasks.exceedsOn(machine, fraction)) {
                 overdue.add(machine.name());
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -7,7 +7,6 @@
 import dewlane.core.membership.AuthorityMonitor;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
-import dewlane.core.model.Attempt;
 import dewlane.core.model.AttemptId;
 import dewlane.core.model.Heartbeat.Phase;
 import dewlane.core.model.Heartbeat.TaskStatus;
@@ -120,10 +119,8 @@
      * sent on a view that may lack its job's cancellation.
      */
     private boolean mayLaunch(Machine machine, AssignedAttempt assigned) {
-        Attempt attempt = assigned.attempt();
         return !cancellations.mustNotRun(assigned.job())
-                && attempt.incarnation() == machine.worker().incarnation()
-                && attempt.fencingToken() == machine.fencingToken()
+                && machine.acceptsLaunch(assigned)
                 && progress.getOrCreate(assigned.job().id()).outcome(assigned.id()) == null;
     }
 
--- a/src/main/java/dewlane/core/worker/HeartbeatAdmission.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatAdmission.java
@@ -33,7 +33,6 @@
     private final AuthorityMonitor authority;
     private final ControllerCounters counters;
     private final MisroutedHeartbeatPolicy misrouted;
-    private final String self;
 
     /** Admission by this controller's authority and the owners of the machines. */
     public HeartbeatAdmission(
@@ -47,7 +46,6 @@
         this.authority = authority;
         this.counters = counters;
         this.misrouted = new MisroutedHeartbeatPolicy(context, machines, peers, membership);
-        this.self = context.settings().controllerName();
     }
 
     /** Decides about a heartbeat for whose response its worker waits; a machine of another owner may be claimed. */
@@ -56,7 +54,7 @@
             return Verdict.REJECT;
         }
         Machine machine = machines.getOrCreate(heartbeat.machine());
-        if (!isOwned(machine)) {
+        if (!machines.owns(machine)) {
             return misrouted.claimIfOwnerUnreachable(machine, heartbeat) ? Verdict.REJECT : Verdict.REDIRECT;
         }
         return isNews(machine, heartbeat) ? Verdict.ACCEPT : Verdict.REJECT;
@@ -68,7 +66,7 @@
             return false;
         }
         Machine machine = machines.getOrCreate(heartbeat.machine());
-        return isOwned(machine) && isNews(machine, heartbeat);
+        return machines.owns(machine) && isNews(machine, heartbeat);
     }
 
     private boolean isFromActiveMachine(Heartbeat heartbeat) {
@@ -80,10 +78,6 @@
         return !machines.isTerminated(heartbeat.machine());
     }
 
-    private boolean isOwned(Machine machine) {
-        return self.equals(machine.owner());
-    }
-
     /** Copies may arrive late: a heartbeat that is no newer than the latest one proves nothing. */
     private static boolean isNews(Machine machine, Heartbeat heartbeat) {
         return heartbeat.fencingToken() <= machine.fencingToken()
--- a/src/main/java/dewlane/core/worker/LaunchFence.java
+++ b/src/main/java/dewlane/core/worker/LaunchFence.java
@@ -46,10 +46,7 @@
 
     /** A launch that may still be in flight must not arrive after its job's cancellation. */
     private boolean isForbiddenLaunchInFlight(Machine machine, AssignedAttempt assigned) {
-        return cancellations.mustNotRun(assigned.job())
-                && !machine.worker().reports(assigned.id())
-                && assigned.attempt().incarnation() == machine.worker().incarnation()
-                && assigned.attempt().fencingToken() == machine.fencingToken();
+        return cancellations.mustNotRun(assigned.job()) && machine.mayLaunchArrive(assigned);
     }
 
     /**
