--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -1,7 +1,14 @@
 package dewlane.core.controller;
 
-import dewlane.core.admission.JobRequestHandler;
+import dewlane.core.admission.CancellationHandler;
+import dewlane.core.admission.CancellationWriter;
+import dewlane.core.admission.DependencyLookup;
+import dewlane.core.admission.JobLookup;
+import dewlane.core.admission.JobStatusHandler;
+import dewlane.core.admission.JobValidator;
+import dewlane.core.admission.NewJobWriter;
 import dewlane.core.admission.SubmissionHandler;
+import dewlane.core.admission.UserResponses;
 import dewlane.core.autoscaling.Autoscaler;
 import dewlane.core.autoscaling.CapacityDemand;
 import dewlane.core.autoscaling.InstanceInventory;
@@ -23,11 +30,10 @@
 import dewlane.core.model.PeerStatus;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
-import dewlane.core.scheduling.JobWriter;
-import dewlane.core.scheduling.LaunchPlanner;
+import dewlane.core.scheduling.MachineSchedulability;
+import dewlane.core.scheduling.PartitionSelector;
 import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.scheduling.SliceAssigner;
-import dewlane.core.scheduling.SliceGarbageCollector;
 import dewlane.core.schema.Partitioner;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.ValueSizer;
@@ -78,7 +84,8 @@
     private final SubmissionHandler submissions;
     private final FailureDetector failureDetector;
     private final Autoscaler autoscaler;
-    private final JobRequestHandler users;
+    private final JobStatusHandler statuses;
+    private final CancellationHandler cancellationHandler;
     private final ReadBarrier barrier;
     private final StoreWatcher state;
     private final QuotaRebalancer rebalancer;
@@ -104,53 +111,40 @@
         dependencies = new DependencyTracker(context, replica, release, finals);
         QuotaEnforcer quota = new QuotaEnforcer(settings, replica, machines);
         PartitionCapacity capacity = new PartitionCapacity(context, replica, machines);
-        SliceAssigner distributor = new SliceAssigner(context, replica, machines, capacity, quota, release);
+        PartitionSelector partitions = new PartitionSelector(context, replica, capacity, quota, release);
+        SliceAssigner sliceAssigner = new SliceAssigner(context, machines, partitions);
+        MachineSchedulability schedulability = new MachineSchedulability(context, replica, machines);
         rebalancer = new QuotaRebalancer(context, replica, membership, standing, quota, capacity, release);
-        placement = placement(quota, distributor, size);
+        placement = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
+                .cycle(quota, partitions, release, dependencies, cancellations, size);
         commands = commandDispatcher();
         HeartbeatAdmission admission = new HeartbeatAdmission(context, machines, peers, membership, standing, counters);
         heartbeats = new HeartbeatHandler(context, replica, machines, admission, commands, counters);
         failureDetector = new FailureDetector(context, replica, machines, membership, transactions, cancellations);
-        scaleDown = new ScaleIn(context, replica, machines, membership, standing, transactions, placement, release);
+        scaleDown =
+                new ScaleIn(context, replica, machines, membership, standing, transactions, schedulability, release);
         broadcast = new PeerStatusBroadcaster(context, replica, membership, cancellations, placement);
-        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
-        CapacityDemand demand = new CapacityDemand(context, replica, machines, placement, quota, release);
-        autoscaler = new Autoscaler(context, replica, machines, membership, inventory, demand);
+        autoscaler = autoscaler(quota, schedulability);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
-        users = new JobRequestHandler(
-                context, replica, transactions, cancellations, dependencies, barrier, finals, size);
+        UserResponses responses = new UserResponses(context);
+        JobLookup lookup = new JobLookup(replica, dependencies, barrier, finals, responses);
+        statuses = new JobStatusHandler(lookup, dependencies, responses);
+        cancellationHandler = new CancellationHandler(
+                lookup, new CancellationWriter(context, replica, transactions, cancellations, size), responses);
         submissions = new SubmissionHandler(
-                context,
-                replica,
-                machines,
                 membership,
-                transactions,
-                distributor,
-                dependencies,
-                barrier,
-                finals,
-                users,
-                size);
+                statuses,
+                new JobValidator(settings, machines),
+                new DependencyLookup(replica, dependencies, barrier, finals),
+                new NewJobWriter(context, replica, transactions, sliceAssigner, size),
+                responses);
     }
 
-    private SchedulingCycle placement(QuotaEnforcer quota, SliceAssigner distributor, ValueSizer size) {
-        LaunchPlanner planner = new LaunchPlanner(context, replica, machines, quota, distributor, counters);
-        JobWriter writer = new JobWriter(
-                context,
-                replica,
-                machines,
-                membership,
-                transactions,
-                dependencies,
-                quota,
-                planner,
-                cancellations,
-                counters,
-                size);
-        SliceGarbageCollector cleaner = new SliceGarbageCollector(context, replica, transactions);
-        return new SchedulingCycle(
-                context, replica, machines, membership, release, quota, writer, planner, cleaner, counters);
+    private Autoscaler autoscaler(QuotaEnforcer quota, MachineSchedulability schedulability) {
+        InstanceInventory inventory = new InstanceInventory(context, replica, machines, transactions);
+        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, release);
+        return new Autoscaler(context, replica, machines, membership, inventory, demand);
     }
 
     private CommandDispatcher commandDispatcher() {
@@ -236,9 +230,9 @@
         if (input instanceof Input.SubmitJob request) {
             submissions.onSubmit(request);
         } else if (input instanceof Input.GetJobStatus request) {
-            users.onGetStatus(request);
+            statuses.onGetStatus(request);
         } else if (input instanceof Input.CancelJob request) {
-            users.onCancel(request);
+            cancellationHandler.onCancel(request);
         } else {
             return false;
         }
@@ -344,7 +338,7 @@
             context.info("map " + d.after().epoch() + ": " + d.after().members() + ", led by "
                     + Partitioner.leaderOf(d.after()));
         } else if (delta instanceof ReplicaChange.ValueUnreadable d) {
-            unreadableLog.report(d);
+            unreadableLog.record(d);
         }
     }
 }
