--- a/src/main/java/dewlane/core/fleet/AttemptTracker.java
+++ b/src/main/java/dewlane/core/fleet/AttemptTracker.java
@@ -14,7 +14,7 @@
 
 /**
  * Follows the attempts that the replica holds against machines: which machine each is on, and what it uses there and of
- * its team's limit. It follows the replica change by change, so nothing is counted anew but the owners of usage.
+ * its team's limit. It follows the replica change by change, so nothing is recounted but the owners of usage.
  */
 final class AttemptTracker {
     private final ControllerContext context;
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Under another partition map slices have other owners, so the owners of all usage are counted anew. */
+    /** Under another partition map slices have other owners, so usage is recounted by owner. */
     void recountOwners() {
         teamUsage.clearOwners();
         for (Machine machine : machines.all()) {
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -109,7 +109,7 @@
         address = newAddress;
     }
 
-    /** Takes what a heartbeat or a list says of the machine, which never changes but for a wrong list. */
+    /** Takes the description in a heartbeat or a list; it never changes, unless a list was wrong. */
     public void describe(String newTypeName, String newZone, boolean isSpot) {
         if (!newTypeName.equals(typeName)) {
             typeName = newTypeName;
@@ -132,7 +132,7 @@
         resolvedType = null;
     }
 
-    /** What the worker has said of itself. */
+    /** The worker's latest heartbeat. */
     public WorkerState worker() {
         return worker;
     }
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * All known machines, whoever owns them, with what the replica and the writes in flight put on them. It is the entry to
- * the parts that keep this, and passes changes of the replica on to them.
+ * All known machines, whoever owns them, with what the replica and the writes in flight put on them. It is the facade
+ * of the components that keep this, and passes changes of the replica on to them.
  */
 public final class MachineRegistry {
     /** A machine is faulty once tasks of so many jobs failed on it that do not fail everywhere. */
@@ -49,7 +49,7 @@
         return types.all();
     }
 
-    /** Which machine types had better be left to which jobs. */
+    /** The contention of jobs for machine types. */
     public MachineTypeContention typeContention() {
         return types.contention();
     }
@@ -179,7 +179,7 @@
         discovery.discoverFrom(status);
     }
 
-    /** True if the machine's owner, another controller, said within the last few seconds that it takes tasks. */
+    /** True if the machine's owner, another controller, has listed it within the last few seconds. */
     public boolean isListedByOwner(Machine machine) {
         return discovery.isListedByOwner(machine);
     }
--- a/src/main/java/dewlane/core/fleet/MachineTypeCatalog.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeCatalog.java
@@ -29,7 +29,7 @@
         return byName.get(name);
     }
 
-    /** Which types had better be left to which jobs. */
+    /** The contention of jobs for the types. */
     MachineTypeContention contention() {
         return contention;
     }
--- a/src/main/java/dewlane/core/fleet/MachineTypeContention.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeContention.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tells which machine types had better be left to jobs that can use fewer of them. */
+/** The contention of jobs for machine types: a type should be left to jobs that can use fewer others. */
 public final class MachineTypeContention {
     private record RequirementsOnType(Job.Requirements requirements, String type) {}
 
@@ -58,8 +58,8 @@
     }
 
     /**
-     * 1 if an active job that can use fewer types could use this one, so that a job with the requirements had better
-     * use another; 0 if not.
+     * 1 if an active job that can use fewer types could use this one, so that a job with the requirements should use
+     * another; 0 if not.
      */
     public int contention(Job.Requirements requirements, MachineType type) {
         return cachedContention.computeIfAbsent(
--- a/src/main/java/dewlane/core/fleet/WorkerState.java
+++ b/src/main/java/dewlane/core/fleet/WorkerState.java
@@ -6,7 +6,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a machine's worker said in its latest heartbeat, whether this controller or a peer received it. */
+/** The state of a machine's worker by its latest heartbeat, whether this controller or a peer received it. */
 public final class WorkerState {
     private long incarnation;
     private long sequence;
@@ -38,7 +38,7 @@
         return tasks;
     }
 
-    /** What the worker says of an attempt, or null if it does not list it. */
+    /** The worker's status of an attempt, or null if it does not list it. */
     public TaskStatus task(AttemptId id) {
         return tasks.get(id);
     }
