--- a/src/test/java/dewlane/sim/ScenarioTest.java
+++ b/src/test/java/dewlane/sim/ControllerIsolationTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Failures that were found once, each played again from its start. */
-class ScenarioTest {
-    private static World quietWorld(int machines) {
+class ControllerIsolationTest {
+    private static SimCluster quietWorld(int machines) {
         return quietWorld(machines, 16);
     }
 
-    private static World quietWorld(int machines, int txnOps) {
-        return World.quiet(5, Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0)), txnOps, machines);
+    private static SimCluster quietWorld(int machines, int txnOps) {
+        return SimCluster.quiet(5, Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0)), txnOps, machines);
     }
 
     private static Job job(int tasks, double cpus, List<String> types, boolean spot, double estimateS) {
@@ -40,7 +40,7 @@
     /** Found by the random runs: a demand of a small part of a machine was rounded down to none, for ever. */
     @Test
     void theSmallestDemandThatNoMachineServesRentsOne() {
-        World world = quietWorld(3);
+        SimCluster world = quietWorld(3);
         world.users.submit(job(1, 1, List.of("large"), false, 1));
         world.run(120_000);
         assertNotNull(world.state.get(Keys.fin("wk-000001")));
@@ -53,10 +53,10 @@
      */
     @Test
     void moreSmallJobsThanCanBeWrittenDoNotStopWhatWasAccepted() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         int jobs = 3000;
         for (int i = 0; i < jobs; i++) {
-            Job job = Scenarios.job(500_000 + i, Priority.HIGH, 1, 1, 1);
+            Job job = SimFixtures.job(500_000 + i, Priority.HIGH, 1, 1, 1);
             world.after(20L * i, () -> world.users.submit(job));
         }
         for (int i = 0; i < 12_000; i++) {
@@ -82,9 +82,9 @@
      */
     @Test
     void whatIsAskedDuringAnOutageDoesNotHoldUpLaunchesAfterIt() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         for (int i = 0; i < 400; i++) {
-            Job job = Scenarios.job(500_000 + i, Priority.HIGH, 1, 1, 1);
+            Job job = SimFixtures.job(500_000 + i, Priority.HIGH, 1, 1, 1);
             world.after(150L * i, () -> world.users.submit(job));
         }
         world.run(12_000);
@@ -100,7 +100,7 @@
     /** Seen in a recorded incident: workers cut from their controller were sent back to it until their leases ended. */
     @Test
     void machinesCutFromTheirControllerMoveAndLoseNoTask() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         world.users.submit(job(18, 2, List.of(), true, 60));
         world.run(25_000);
         assertEquals(18, world.checker.starts);
@@ -114,10 +114,10 @@
     /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
     @Test
     void aControllerThatWasCutOffCondemnsNothingOnItsReturn() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         world.users.submit(job(18, 2, List.of(), true, 80));
         world.run(25_000);
-        SimNode node = world.nodes.get("n1");
+        SimController node = world.nodes.get("n1");
         node.cutFromState = true;
         node.cutFromWorkers = true;
         world.run(60_000);
@@ -131,7 +131,7 @@
     /** A controller alone stands still for longer than machines may be silent: what it slept through condemns none. */
     @Test
     void aControllerThatStoodStillCondemnsNothingWhenItWakes() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         world.nodes.get("n1").crash(600_000);
         world.nodes.get("n2").crash(600_000);
         world.run(20_000);
@@ -153,7 +153,7 @@
      */
     @Test
     void aJobThatIsHandedOnManyTimesCanStillEnd() {
-        World world = quietWorld(9, 8);
+        SimCluster world = quietWorld(9, 8);
         world.cloud.room = 9;
         world.users.submit(job(600, 1, List.of(), true, 5));
         world.run(400_000);
@@ -163,7 +163,7 @@
 
     @Test
     void aLargeJobOfSmallTasksStaysWithinTheLimitsOfTheStateService() {
-        World world = quietWorld(6);
+        SimCluster world = quietWorld(6);
         world.users.submit(job(60_000, 0.01, List.of(), true, 4));
         world.run(60_000);
         assertTrue(world.checker.starts > 1000, world.checker.starts + " starts");
@@ -174,7 +174,7 @@
 
     @Test
     void aJobAcceptedJustBeforeAllControllersDieStillRuns() {
-        World world = quietWorld(3);
+        SimCluster world = quietWorld(3);
         boolean[] accepted = {false};
         world.nodes.get("n2").submit(job(4, 1, List.of(), true, 2), a -> {
             accepted[0] = a.status() == 201;
@@ -188,7 +188,7 @@
 
     @Test
     void aHangingMachineIsDeletedBeforeItsCancelledTaskHasRunTooLong() {
-        World world = quietWorld(2);
+        SimCluster world = quietWorld(2);
         world.users.submit(job(2, 4, List.of(), true, 200));
         world.run(20_000);
         world.cloud.machines.values().forEach(m -> m.hangsUntil = 500_000);
@@ -199,14 +199,14 @@
         assertEquals(Map.of(), world.state.all(Keys.SLICES));
     }
 
-    private static void submitOn(World world, int tasks, double estimateS) {
+    private static void submitOn(SimCluster world, int tasks, double estimateS) {
         world.users.submit(job(tasks, 2, List.of(), true, estimateS));
     }
 
     /** A trouble the users named: reports arrive, answers and commands do not. Being heard is not being reachable. */
     @Test
     void aMachineThatDoesNotHearItsControllerGetsNothingFromItAndServesAnother() {
-        World world = quietWorld(6);
+        SimCluster world = quietWorld(6);
         submitOn(world, 1, 90);
         world.run(16_000);
         SimWorker deaf = world.cloud.machines.values().stream()
@@ -242,7 +242,7 @@
 
     @Test
     void aCancelledTaskOnAMachineThatDoesNotHearEndsInTime() {
-        World world = quietWorld(6);
+        SimCluster world = quietWorld(6);
         submitOn(world, 12, 200);
         world.run(16_000);
         SimWorker deaf = world.cloud.machines.values().iterator().next();
@@ -256,7 +256,7 @@
 
     @Test
     void machinesThatAllStopHearingForAMomentAreNotDeletedAndServeAgain() {
-        World world = quietWorld(6);
+        SimCluster world = quietWorld(6);
         submitOn(world, 12, 60);
         world.run(16_000);
         world.cloud.machines.values().forEach(m -> m.deaf = true);
@@ -271,7 +271,7 @@
     /** A trouble the users named: copies of reports come late, to whichever controller. */
     @Test
     void aLateCopyBringsNoMachineBackAndMovesNone() {
-        World world = quietWorld(6);
+        SimCluster world = quietWorld(6);
         SimWorker machine = world.cloud.machines.values().iterator().next();
         List<dewlane.core.Report> copies = List.of(machine.report(), machine.report(), machine.report());
         world.cloud.machines.remove(machine.name);
@@ -282,7 +282,7 @@
         Value.ClusterMap map = (Value.ClusterMap) world.state.get(Keys.MAP);
         Map<String, Value> records = world.state.all(Keys.MACHINES);
         for (int i = 0; i < copies.size(); i++) {
-            for (SimNode node : world.nodes.values()) {
+            for (SimController node : world.nodes.values()) {
                 machine.copyLate(copies.get(i), node, 1 + 4000L * i);
             }
         }
@@ -302,10 +302,10 @@
     /** A trouble the users named: a controller loses the state service and the other controllers, not its workers. */
     @Test
     void aControllerThatOnlyItsWorkersReachHandsThemOverAndCondemnsNothing() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         submitOn(world, 18, 60);
         world.run(25_000);
-        SimNode node = world.nodes.get("n1");
+        SimController node = world.nodes.get("n1");
         node.cutFromState = true;
         node.cutFromPeers = true;
         world.run(45_000);
@@ -321,7 +321,7 @@
 
     @Test
     void controllersThatAreBackAtOnceLoseNoTask() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         submitOn(world, 18, 60);
         world.run(25_000);
         world.nodes.values().forEach(n -> n.crash(200));
@@ -338,7 +338,7 @@
     /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
     @Test
     void tokensOfMachinesThatDoNotChangeHandsStay() {
-        World world = quietWorld(9);
+        SimCluster world = quietWorld(9);
         submitOn(world, 18, 30);
         world.run(10_150);
         world.nodes.get("n2").crash(20_000);
@@ -356,7 +356,7 @@
      */
     @Test
     void aControllerThatDiesAndReturnsCostsTwoMaps() {
-        World world = quietWorld(30);
+        SimCluster world = quietWorld(30);
         submitOn(world, 60, 60);
         world.run(25_000);
         long before = ((Value.ClusterMap) world.state.get(Keys.MAP)).epoch();
@@ -371,7 +371,7 @@
      */
     @Test
     void whatFindsNoRoomWaitsWhereLeastDoes() {
-        World world = quietWorld(3);
+        SimCluster world = quietWorld(3);
         world.cloud.room = 3;
         world.users.submit(job(12, 1, List.of(), true, 300));
         world.run(20_000);
@@ -391,7 +391,7 @@
     /** Found by the random runs: tasks waiting before others that were done stayed with a part that had no room. */
     @Test
     void tasksWaitingBeforeOthersThatAreDoneFindRoomElsewhere() {
-        World world = quietWorld(3);
+        SimCluster world = quietWorld(3);
         SimWorker large = world.cloud.create("large", "east", true);
         large.boot();
         world.run(15_000);
--- a/src/test/java/dewlane/sim/Troubles.java
+++ b/src/test/java/dewlane/sim/FaultInjector.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** Failures of every kind, for the random runs. */
-final class Troubles {
-    private Troubles() {}
+final class FaultInjector {
+    private FaultInjector() {}
 
     /** One trouble, chosen at random, that ends by itself. */
-    static void strike(World world) {
-        List<SimNode> nodes = List.copyOf(world.nodes.values());
-        SimNode node = nodes.get(world.random.nextInt(nodes.size()));
+    static void strike(SimCluster world) {
+        List<SimController> nodes = List.copyOf(world.nodes.values());
+        SimController node = nodes.get(world.random.nextInt(nodes.size()));
         List<SimWorker> machines = world.cloud.machines.values().stream()
                 .filter(m -> !m.gone && m.up)
                 .toList();
@@ -28,7 +28,7 @@
     }
 
     /** Controllers end, stand still or cannot reach each other. */
-    private static void strikeControllers(World world, int which, SimNode node, List<SimNode> nodes) {
+    private static void strikeControllers(SimCluster world, int which, SimController node, List<SimController> nodes) {
         switch (which) {
             case 0, 1 -> crash(world, node, world.between(100, 9000));
             case 2 -> nodes.forEach(n -> crash(world, n, world.between(100, 6000)));
@@ -67,7 +67,7 @@
     }
 
     /** The state service is out, slow, refuses one or carries writes out late. */
-    private static void strikeStateService(World world, int which, SimNode node) {
+    private static void strikeStateService(SimCluster world, int which, SimController node) {
         switch (which) {
             case 4 -> world.state.outage(world.between(1000, 12_000));
             case 5 -> {
@@ -95,7 +95,7 @@
     }
 
     /** A machine is gone, hangs, is cut off, fails its tasks or does not hear. */
-    private static void strikeMachine(World world, int which, SimNode node, SimWorker machine) {
+    private static void strikeMachine(SimCluster world, int which, SimController node, SimWorker machine) {
         switch (which) {
             case 8, 9 -> {
                 if (machine != null) {
@@ -137,7 +137,7 @@
 
     /** The cloud is out, old reports arrive, reports do not come, or users cancel. */
     private static void strikeCloudOrUsers(
-            World world, int which, List<SimNode> nodes, SimWorker machine, List<SimWorker> machines) {
+            SimCluster world, int which, List<SimController> nodes, SimWorker machine, List<SimWorker> machines) {
         switch (which) {
             case 15 -> {
                 world.cloud.out = true;
@@ -145,7 +145,7 @@
             }
             case 21 -> {
                 if (machine != null) {
-                    for (SimNode to : nodes) {
+                    for (SimController to : nodes) {
                         machine.copyLate(machine.report(), to, world.between(500, 80_000));
                     }
                 }
@@ -174,7 +174,7 @@
     }
 
     /** Commands are held up on their way, and half of the machines fail what they were told to run by other ways. */
-    private static void strikeCommands(World world, List<SimWorker> machines) {
+    private static void strikeCommands(SimCluster world, List<SimWorker> machines) {
         world.cloud.lateCommands = 0.8;
         List<SimWorker> failing =
                 machines.stream().filter(m -> world.chance(0.5)).toList();
@@ -185,7 +185,7 @@
     }
 
     /** Half of a zone at once, the gap before an outage, or messages lost everywhere. */
-    private static void strikeSeveral(World world, int which, SimNode node, List<SimWorker> machines) {
+    private static void strikeSeveral(SimCluster world, int which, SimController node, List<SimWorker> machines) {
         switch (which) {
             case 25 -> {
                 // Half of a zone at once: dead, hanging or cut off, with what was on its way held back.
@@ -207,7 +207,7 @@
             case 35 -> {
                 // The gap: one alone is refused, others confirm cancellations, then it is out for all for longer than
                 // cancel_s.
-                SimNode leader = leader(world, node);
+                SimController leader = leader(world, node);
                 world.state.refused.add(leader.name);
                 world.after(world.between(100, 1500), () -> world.users.cancelSome(3));
                 world.after(
@@ -218,29 +218,29 @@
             }
             default -> {
                 world.trouble = 0.2;
-                world.after(5000, () -> world.trouble = world.now() < RandomRunsTest.STORM_MS ? 0.02 : 0);
+                world.after(5000, () -> world.trouble = world.now() < RandomFaultsTest.STORM_MS ? 0.02 : 0);
             }
         }
     }
 
     /**
      * A machine hangs once, for less than a cancellation has: with one that hung for longer, all controllers gone and
-     * the state service out, nobody would be left who could know what to end. ScenarioTest and MeetingsTest have longer
-     * ones.
+     * the state service out, nobody would be left who could know what to end. ControllerIsolationTest and
+     * StoreOutageTest have longer ones.
      */
-    private static void hang(World world, SimWorker machine, int ms) {
+    private static void hang(SimCluster world, SimWorker machine, int ms) {
         if (machine != null && machine.hangsUntil == 0) {
             machine.hangsUntil = world.now() + ms;
         }
     }
 
     /** The controller that leads the fleet, or another if there is none. */
-    static SimNode leader(World world, SimNode other) {
+    static SimController leader(SimCluster world, SimController other) {
         String name = dewlane.core.Partitions.leader((dewlane.core.Value.ClusterMap) world.state.get(Keys.MAP));
         return name == null ? other : world.nodes.get(name);
     }
 
-    private static void crash(World world, SimNode node, long backAfterMs) {
+    private static void crash(SimCluster world, SimController node, long backAfterMs) {
         if (node.alive) {
             node.crash(backAfterMs);
         }
--- a/src/test/java/dewlane/sim/Checker.java
+++ b/src/test/java/dewlane/sim/InvariantChecker.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /** The protocol's rules, checked against what the stand-ins know to be true. */
-final class Checker {
+final class InvariantChecker {
     /** A broken rule. */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1;
@@ -24,7 +24,7 @@
         }
     }
 
-    private final World world;
+    private final SimCluster world;
     private final Map<String, Set<Integer>> done = new HashMap<>();
     private final Map<String, Condition> finals = new HashMap<>();
     private final Map<String, Long> finalsAt = new HashMap<>();
@@ -42,7 +42,7 @@
 
     private static final long MOST_WAIT_MS = 90_000;
 
-    Checker(World world) {
+    InvariantChecker(SimCluster world) {
         this.world = world;
     }
 
@@ -69,7 +69,7 @@
         return done.getOrDefault(job, Set.of()).size() == world.users.job(job).tasks();
     }
 
-    void started(SimWorker on, SimTask task) {
+    void started(SimWorker on, SimAttempt task) {
         starts++;
         if (finals.get(task.job) == Condition.ABORTED) {
             startsInFlight++;
@@ -94,10 +94,10 @@
     }
 
     /** No task is on two machines, and all are where their job allows them beside each other. */
-    private void checkPlace(SimWorker on, SimTask task, Job job, String name) {
+    private void checkPlace(SimWorker on, SimAttempt task, Job job, String name) {
         int sameZone = 0;
         for (SimWorker m : world.cloud.machines.values()) {
-            for (SimTask t : m.tasks.values()) {
+            for (SimAttempt t : m.tasks.values()) {
                 if (!t.on() || t == task || !t.job.equals(task.job)) {
                     continue;
                 }
@@ -121,7 +121,7 @@
         Settings.Team team = world.settings.teams().get(job.team());
         double used = 0;
         for (SimWorker m : world.cloud.machines.values()) {
-            for (SimTask t : m.tasks.values()) {
+            for (SimAttempt t : m.tasks.values()) {
                 Job other = world.users.job(t.job);
                 used += t.on() && other.team().equals(team.name()) ? other.cpus() : 0;
             }
@@ -238,7 +238,7 @@
     private boolean underLimit(Job job) {
         double used = job.cpus();
         for (SimWorker m : world.cloud.machines.values()) {
-            for (SimTask t : m.tasks.values()) {
+            for (SimAttempt t : m.tasks.values()) {
                 Job other = world.users.job(t.job);
                 used += t.phase != dewlane.core.Report.Phase.EXITED
                                 && other.team().equals(job.team())
@@ -260,7 +260,7 @@
             return;
         }
         for (SimWorker m : world.cloud.machines.values()) {
-            for (SimTask t : m.tasks.values()) {
+            for (SimAttempt t : m.tasks.values()) {
                 if (t.on()
                         && finals.get(t.job) == Condition.ABORTED
                         && world.now() - finalsAt.get(t.job) > world.settings.cancelS() * 1000) {
--- a/src/test/java/dewlane/sim/PipelinesTest.java
+++ b/src/test/java/dewlane/sim/JobDependenciesTest.java
@@ -1,10 +1,10 @@
 package dewlane.sim;
 
-import static dewlane.sim.Scenarios.calm;
-import static dewlane.sim.Scenarios.id;
-import static dewlane.sim.Scenarios.job;
-import static dewlane.sim.Scenarios.running;
-import static dewlane.sim.Scenarios.world;
+import static dewlane.sim.SimFixtures.calm;
+import static dewlane.sim.SimFixtures.id;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.running;
+import static dewlane.sim.SimFixtures.world;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -28,9 +28,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Jobs that await others, with the checker looking at the rules after each step. */
-class PipelinesTest {
+class JobDependenciesTest {
     private static Job after(Job job, int... awaited) {
-        return job.withAwaits(IntStream.of(awaited).mapToObj(Scenarios::id).toList());
+        return job.withAwaits(IntStream.of(awaited).mapToObj(SimFixtures::id).toList());
     }
 
     private static Job small(int number, int... awaited) {
@@ -38,7 +38,7 @@
     }
 
     /** Submits a job at a controller and tells the answer. */
-    private static Effect.AnswerUser submitAt(World world, SimNode node, Job job) {
+    private static Effect.AnswerUser submitAt(SimCluster world, SimController node, Job job) {
         world.users.know(job);
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         node.submit(job, answer::set);
@@ -47,7 +47,7 @@
         return answer.get();
     }
 
-    private static Condition told(World world, SimNode node, String job) {
+    private static Condition told(SimCluster world, SimController node, String job) {
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         node.poll(job, answer::set);
         world.run(world.now() + 3000);
@@ -55,22 +55,22 @@
         return answer.get().state() == null ? null : answer.get().state().condition();
     }
 
-    private static SimNode node(World world, int number) {
+    private static SimController node(SimCluster world, int number) {
         return world.nodes.get("n" + number);
     }
 
-    private static boolean done(World world, int job) {
+    private static boolean done(SimCluster world, int job) {
         return world.state.get(Keys.fin(id(job))) instanceof Value.FinalRecord result && !result.aborted();
     }
 
-    private static boolean cancelled(World world, int job) {
+    private static boolean cancelled(SimCluster world, int job) {
         return world.state.get(Keys.fin(id(job))) instanceof Value.FinalRecord result && result.aborted();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void chainsDiamondsAndWideFansRunInTheirOrder(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         List<Job> jobs = new ArrayList<>(
                 List.of(small(1), small(2, 1), small(3, 2), small(4), small(5, 4), small(6, 4), small(7, 5, 6)));
         int[] fan = IntStream.range(100, 140).toArray();
@@ -92,7 +92,7 @@
     void whatIsAwaitedMayBeOfAnotherTeamDoneLongAgoOrCancelled(long seed) {
         Map<String, Settings.Team> teams =
                 Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0), "red", new Settings.Team("red", 0, 0, 0, 0));
-        World world = World.quiet(seed, teams, 16, 9);
+        SimCluster world = SimCluster.quiet(seed, teams, 16, 9);
         assertEquals(201, submitAt(world, node(world, 0), small(1)).status());
         assertEquals(201, submitAt(world, node(world, 0), small(2)).status());
         world.users.cancelAt(node(world, 1), id(2));
@@ -111,7 +111,7 @@
 
     @Test
     void aJobThatWasNeverAcceptedCannotBeAwaited() {
-        World world = world(4, 9);
+        SimCluster world = world(4, 9);
         assertEquals(422, submitAt(world, node(world, 0), small(2, 1)).status());
         assertEquals(422, submitAt(world, node(world, 0), small(3, 3)).status());
         world.state.outage(8000);
@@ -130,7 +130,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void whatAnotherControllerAcceptedAMomentAgoCanBeAwaited(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.state.watchLagMs = 900;
         Job first = job(1, Priority.HIGH, 2, 1, 20);
         world.users.know(first);
@@ -149,7 +149,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aCancellationPassesDownToAllThatNeedTheJob(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         List<Job> jobs = List.of(
                 job(1, Priority.HIGH, 3, 1, 60), small(2, 1), small(3, 2), small(4), small(5, 3, 4), small(6, 4));
         for (int i = 0; i < jobs.size(); i++) {
@@ -160,7 +160,7 @@
         world.users.cancelAt(node(world, 1), id(1));
         world.run(world.now() + 1500);
         for (int number : new int[] {1, 2, 3, 5}) {
-            for (SimNode node : world.nodes.values()) {
+            for (SimController node : world.nodes.values()) {
                 assertEquals(Condition.ABORTED, told(world, node, id(number)), id(number));
             }
         }
@@ -173,7 +173,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void anOutageAfterTheConfirmationDoesNotKeepDependantsAlive(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         submitAt(world, node(world, 0), job(1, Priority.HIGH, 3, 1, 300));
         for (int i = 2; i < 8; i++) {
             submitAt(world, node(world, i % 3), small(i, i - 1));
@@ -198,7 +198,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aSubmissionThatRacesTheCancellationIsCancelledToo(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         submitAt(world, node(world, 0), job(1, Priority.HIGH, 3, 1, 300));
         world.run(world.now() + 3000);
         world.state.watchLagMs = 700;
@@ -219,7 +219,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void controllersThatEndBetweenTheLastOutcomeAndTheReleaseLoseNothing(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         submitAt(world, node(world, 0), small(1));
         submitAt(world, node(world, 1), small(2, 1));
         submitAt(world, node(world, 2), small(3, 2));
@@ -228,7 +228,7 @@
             if (!struck[0] && done(world, 1)) {
                 struck[0] = true;
                 Value.ClusterMap map = (Value.ClusterMap) world.state.get(Keys.MAP);
-                SimNode owner = world.nodes.get(Partitions.owner(map, Keys.job(id(2))));
+                SimController owner = world.nodes.get(Partitions.owner(map, Keys.job(id(2))));
                 if (seed % 2 == 0) {
                     world.nodes.values().forEach(n -> n.crash(world.between(200, 4000)));
                 } else {
@@ -242,7 +242,7 @@
 
     @Test
     void aDependantOfAJobThatKeepsFailingIsCancelledWithIt() {
-        World world = world(8, 6);
+        SimCluster world = world(8, 6);
         world.cloud.machines.values().forEach(m -> m.sick = true);
         submitAt(world, node(world, 0), small(1));
         submitAt(world, node(world, 1), small(2, 1));
@@ -260,7 +260,7 @@
     @Test
     void aWaitingJobHoldsNothingOfItsTeamsLimitAndStopsNobody() {
         Map<String, Settings.Team> teams = Map.of("blue", new Settings.Team("blue", 12, 0, 12, 0));
-        World world = World.quiet(9, teams, 16, 3);
+        SimCluster world = SimCluster.quiet(9, teams, 16, 3);
         submitAt(world, node(world, 0), job(1, Priority.IDLE, 1, 1, 200));
         for (int i = 2; i < 6; i++) {
             submitAt(world, node(world, i % 3), after(job(i, Priority.CRITICAL, 12, 1, 5), 1));
@@ -277,7 +277,7 @@
     /** A job of low priority that urgent work needs goes before other work of its own priority that came first. */
     @Test
     void whatUrgentWorkNeedsIsTreatedAsUrgent() {
-        World world = world(10, 9);
+        SimCluster world = world(10, 9);
         world.cloud.room = 9;
         submitAt(world, node(world, 0), job(1, Priority.IDLE, 300, 4, 6));
         submitAt(world, node(world, 0), job(2, Priority.IDLE, 1, 4, 6));
@@ -289,7 +289,7 @@
 
     @Test
     void hundredsOfJobsCanBeAwaited() {
-        World world = world(12, 9);
+        SimCluster world = world(12, 9);
         int[] first = IntStream.range(100, 400).toArray();
         for (int i = 0; i < first.length; i++) {
             Job job = job(first[i], Priority.HIGH, 1, 1, 1);
--- a/src/test/java/dewlane/sim/ScaleTest.java
+++ b/src/test/java/dewlane/sim/LargeClusterTest.java
@@ -17,17 +17,17 @@
 /**
  * Sixteen hundred machines, seven controllers and arrays of hundreds of tasks: what is counted must not grow with them.
  */
-class ScaleTest {
+class LargeClusterTest {
     private static final int CONTROLLERS = 7;
     private static final int MACHINES = 1600;
     private static final int JOBS = 120;
     private static final long ARRIVE_MS = 1000;
 
-    private static World world(double idleS) {
+    private static SimCluster world(double idleS) {
         return world(idleS, MACHINES);
     }
 
-    private static World world(double idleS, int machines) {
+    private static SimCluster world(double idleS, int machines) {
         List<String> names =
                 IntStream.range(0, CONTROLLERS).mapToObj(i -> "n" + i).toList();
         Settings settings = new Settings(
@@ -43,11 +43,11 @@
                 4,
                 4,
                 new Settings.Tuning(3000, 12, idleS, 4, 256));
-        World world = new World(11, settings, World.Broken.NONE);
+        SimCluster world = new SimCluster(11, settings, SimCluster.DisabledGuard.NONE);
         world.trouble = 0;
         world.cloud.room = machines;
         for (String name : names) {
-            SimNode node = new SimNode(world, name);
+            SimController node = new SimController(world, name);
             world.nodes.put(name, node);
             node.start();
         }
@@ -71,7 +71,7 @@
 
     @Test
     void manyMachinesAndArraysOfHundredsOfTasksCostFewChanges() {
-        World world = world(60);
+        SimCluster world = world(60);
         world.run(15_000);
         long before = world.state.changes;
         int tasks = 0;
@@ -91,7 +91,7 @@
         assertTrue(perJob <= 20, perJob + " changes a job");
         assertTrue(world.state.longestValue <= 32_768 / 2, "a value of " + world.state.longestValue + " bytes");
         assertTrue(world.state.longestTxn <= 65_536 / 2, "a transaction of " + world.state.longestTxn + " bytes");
-        for (SimNode node : world.nodes.values()) {
+        for (SimController node : world.nodes.values()) {
             assertTrue(node.jobsPerPass() < 40, node.name + " looks at " + node.jobsPerPass() + " jobs a pass");
         }
     }
@@ -99,7 +99,7 @@
     /** Found by counting: what a controller alone with all machines told its peers was longer than they take. */
     @Test
     void aControllerAloneWithAllMachinesLosesNoneAndTellsItsPeersInPages() {
-        World world = world(600);
+        SimCluster world = world(600);
         world.run(15_000);
         world.nodes.values().stream().skip(1).forEach(n -> n.crash(20_000));
         for (int i = 0; i < 30; i++) {
@@ -119,7 +119,7 @@
     @Test
     void fourThousandMachinesAreServedAlsoByOneControllerAlone() {
         int machines = 4000;
-        World world = world(900, machines);
+        SimCluster world = world(900, machines);
         world.run(15_000);
         long before = world.state.changes;
         for (int i = 0; i < JOBS; i++) {
@@ -141,7 +141,7 @@
     /** Counted on a day: each machine that went back cost three changes, and at most four a second did. */
     @Test
     void idleMachinesGoBackTogether() {
-        World world = world(30);
+        SimCluster world = world(30);
         world.run(110_000);
         assertEquals(0, world.cloud.machines.size());
         assertTrue(
--- a/src/test/java/dewlane/sim/CombinedFailuresTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -1,12 +1,12 @@
 package dewlane.sim;
 
-import static dewlane.sim.Scenarios.calm;
-import static dewlane.sim.Scenarios.id;
-import static dewlane.sim.Scenarios.job;
-import static dewlane.sim.Scenarios.leader;
-import static dewlane.sim.Scenarios.map;
-import static dewlane.sim.Scenarios.with;
-import static dewlane.sim.Scenarios.world;
+import static dewlane.sim.SimFixtures.calm;
+import static dewlane.sim.SimFixtures.id;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.leader;
+import static dewlane.sim.SimFixtures.map;
+import static dewlane.sim.SimFixtures.with;
+import static dewlane.sim.SimFixtures.world;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -23,20 +23,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Failures that fall together, continued from {@link MeetingsTest}: each test asserts that they overlapped while work
- * was under way, with the checker looking at the rules after each step.
+ * Failures that fall together, continued from {@link StoreOutageTest}: each test asserts that they overlapped while
+ * work was under way, with the checker looking at the rules after each step.
  */
-class CombinedFailuresTest {
+class MessageDelayTest {
     private static final long STEP_MS = 7;
 
     /** Asks about the job at every node several times within milliseconds, and repeats its submission there. */
-    private static void askEverywhere(World world, String job) {
+    private static void askEverywhere(SimCluster world, String job) {
         for (int round = 0; round < 4; round++) {
-            for (SimNode node : world.nodes.values()) {
+            for (SimController node : world.nodes.values()) {
                 world.after(round * STEP_MS, () -> world.users.pollAt(node, job));
             }
         }
-        for (SimNode node : world.nodes.values()) {
+        for (SimController node : world.nodes.values()) {
             world.after(2 * STEP_MS, () -> world.users.repeatAt(node, job));
         }
     }
@@ -45,11 +45,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void usersAskAllNodesWithinMillisecondsOfEachAnswerAndCancelAtOnce(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.state.watchLagMs = 400;
         for (int i = 1; i <= 30; i++) {
             Job job = job(i, Priority.HIGH, 2, 1, 3);
-            SimNode first = world.nodes.get("n" + i % 3);
+            SimController first = world.nodes.get("n" + i % 3);
             boolean cancelled = i % 3 == 0;
             int other = 1 + i % 2;
             world.after(i * 400L, () -> {
@@ -81,12 +81,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsAreCancelledWhileWorkChangesHands(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         for (int i = 1; i <= 9; i++) {
             world.users.submit(job(i, Priority.HIGH, 4, 1, 40));
         }
         world.run(16_000);
-        SimNode leaving = leader(world);
+        SimController leaving = leader(world);
         long epoch = map(world).epoch();
         assertTrue(world.checker.starts > 20, "tasks run");
         leaving.crash(6000);
@@ -105,7 +105,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void machinesUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds(long seed) {
-        World world = world(seed, 1);
+        SimCluster world = world(seed, 1);
         world.cloud.fastestBootMs = 500;
         world.cloud.slowestBootMs = 2000;
         world.state.lateWrites = 0.3;
@@ -113,7 +113,7 @@
             Job job = job(i, Priority.HIGH, 6, 2, 15);
             world.after(600L * i, () -> world.users.submit(job));
         }
-        SimNode first = leader(world);
+        SimController first = leader(world);
         world.after(7000, () -> first.crash(4000));
         world.run(24_000);
         long machines = world.cloud.machines.size();
@@ -128,7 +128,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void commandsOfADeposedLeaderArriveAfterItsSuccessors(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.cloud.lateCommands = 0.5;
         for (int i = 1; i <= 12; i++) {
             Job job = job(i, Priority.HIGH, 4, 1, 8);
@@ -149,7 +149,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void fourOneTaskJobsASecondAQuarterOfThemCancelled(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         int jobs = 480;
         for (int i = 1; i <= jobs; i++) {
             Job job = job(i, Priority.values()[i % 4], 1, 1, 4);
@@ -169,7 +169,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void answersOfTransactionsAreLostWhileOthersReadWhatTheyWrote(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.state.lostAnswers = 0.4;
         for (int i = 1; i <= 16; i++) {
             Job job = job(i, Priority.HIGH, 3, 1, 3);
@@ -194,7 +194,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void anOldReportReachesEveryControllerAsALeaderBegins(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.users.submit(job(1, Priority.HIGH, 10, 1, 60));
         world.run(16_000);
         List<SimWorker> machines = with(world, id(1));
@@ -204,14 +204,14 @@
         world.run(24_000);
         int starts = world.checker.starts;
         long epoch = map(world).epoch();
-        SimNode ended = leader(world);
+        SimController ended = leader(world);
         ended.crash(60_000);
         for (long wait = 0; map(world).epoch() == epoch && wait < 20_000; wait += 10) {
             world.run(world.now() + 10);
         }
         assertNotEquals(epoch, map(world).epoch(), "another begins");
         for (int i = 0; i < machines.size(); i++) {
-            for (SimNode node : world.nodes.values()) {
+            for (SimController node : world.nodes.values()) {
                 for (long at : new long[] {1, 300, 1500}) {
                     machines.get(i).copyLate(old.get(i), node, at);
                 }
--- a/src/test/java/dewlane/sim/RandomRunsTest.java
+++ b/src/test/java/dewlane/sim/RandomFaultsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Several cores against the stand-ins, with every kind of failure, in seeded random order. */
-class RandomRunsTest {
+class RandomFaultsTest {
     private static final int RUNS_PER_GROUP = Integer.getInteger("dewlane.runs", 6);
     static final long STORM_MS = 240_000;
     private static final long CALM_MS = 700_000;
@@ -55,7 +55,7 @@
     }
 
     /** Runs a storm of failures, then calm. */
-    private static World run(long seed, int controllers, World.Broken broken) {
+    private static SimCluster run(long seed, int controllers, SimCluster.DisabledGuard broken) {
         return run(seed, controllers, broken, false);
     }
 
@@ -63,11 +63,11 @@
      * Runs a storm of failures, then calm. In an upgrade all controllers begin as the version before and are replaced a
      * few at a time; once all are new, users ask for what is new, and soon the state service's limits shrink.
      */
-    private static World run(long seed, int controllers, World.Broken broken, boolean upgrade) {
-        World world = new World(seed, settings(controllers, upgrade ? LIMITS : LIMITS_NOW), broken);
+    private static SimCluster run(long seed, int controllers, SimCluster.DisabledGuard broken, boolean upgrade) {
+        SimCluster world = new SimCluster(seed, settings(controllers, upgrade ? LIMITS : LIMITS_NOW), broken);
         world.users.pipelines = upgrade ? 0 : 0.4;
         for (String name : names(controllers)) {
-            SimNode node = new SimNode(world, name);
+            SimController node = new SimController(world, name);
             node.production = upgrade;
             world.nodes.put(name, node);
             world.after(world.between(0, 800), node::start);
@@ -89,8 +89,8 @@
         world.every(5000, () -> {
             if (world.now() < STORM_MS) {
                 // Two at once, as troubles are seldom alone.
-                Troubles.strike(world);
-                Troubles.strike(world);
+                FaultInjector.strike(world);
+                FaultInjector.strike(world);
             }
         });
         world.run(STORM_MS);
@@ -107,9 +107,9 @@
     }
 
     /** Controllers that end before their turn come back as they were. */
-    private static void upgrade(World world) {
+    private static void upgrade(SimCluster world) {
         long at = world.between(40_000, 70_000);
-        for (SimNode node : world.nodes.values()) {
+        for (SimController node : world.nodes.values()) {
             world.after(at, () -> node.upgrade(world.between(100, 6000)));
             at += world.between(0, 9000);
         }
@@ -122,7 +122,7 @@
     void noRuleBreaksAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
             long seed = 1000 + group * RUNS_PER_GROUP + i;
-            World world = run(seed, controllers, World.Broken.NONE);
+            SimCluster world = run(seed, controllers, SimCluster.DisabledGuard.NONE);
             assertTrue(world.checker.starts > 50, "seed " + seed + ": only " + world.checker.starts + " starts");
             assertTrue(
                     world.users.accepted().size() > 30,
@@ -145,7 +145,7 @@
     void noRuleBreaksWhileOneVersionReplacesAnotherAndTheLimitsShrink(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
             long seed = 5000 + group * RUNS_PER_GROUP + i;
-            World world = run(seed, controllers, World.Broken.NONE, true);
+            SimCluster world = run(seed, controllers, SimCluster.DisabledGuard.NONE, true);
             assertTrue(world.checker.starts > 50, "seed " + seed + ": only " + world.checker.starts + " starts");
             for (String id : world.users.accepted()) {
                 assertNotNull(
@@ -160,13 +160,13 @@
     /** The checker is worth something only if it sees a rule broken once its guard is gone. */
     @ParameterizedTest
     @EnumSource(
-            value = World.Broken.class,
+            value = SimCluster.DisabledGuard.class,
             names = {"TEAM_GUARD", "SLICE_GUARD", "JOB_GUARD", "WORKER_TOKEN"})
-    void theCheckerSeesABrokenGuard(World.Broken broken) {
+    void theCheckerSeesABrokenGuard(SimCluster.DisabledGuard broken) {
         for (long seed = 100; seed <= 400; seed++) {
             try {
                 run(seed, 3, broken);
-            } catch (Checker.Violation e) {
+            } catch (InvariantChecker.Violation e) {
                 return;
             }
         }
@@ -175,8 +175,8 @@
 
     @Test
     void theSameSeedIsTheSameRun() {
-        World one = run(77, 3, World.Broken.NONE);
-        World two = run(77, 3, World.Broken.NONE);
+        SimCluster one = run(77, 3, SimCluster.DisabledGuard.NONE);
+        SimCluster two = run(77, 3, SimCluster.DisabledGuard.NONE);
         assertEquals(one.checker.starts, two.checker.starts);
         assertEquals(one.users.accepted(), two.users.accepted());
     }
--- a/src/test/java/dewlane/sim/UpgradeTest.java
+++ b/src/test/java/dewlane/sim/RollingUpgradeTest.java
@@ -1,8 +1,8 @@
 package dewlane.sim;
 
-import static dewlane.sim.Scenarios.calm;
-import static dewlane.sim.Scenarios.id;
-import static dewlane.sim.Scenarios.job;
+import static dewlane.sim.SimFixtures.calm;
+import static dewlane.sim.SimFixtures.id;
+import static dewlane.sim.SimFixtures.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -25,15 +25,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** One version replaces another while both serve, and the state service's limits shrink under what is stored. */
-class UpgradeTest {
+class RollingUpgradeTest {
     private static final StateLimits.Limits NOW = new StateLimits.Limits(150, 60, 16_384, 16);
 
     /** Three controllers of the version before, with machines that have settled. */
-    private static World world(long seed, StateLimits.Limits next, int machines) {
+    private static SimCluster world(long seed, StateLimits.Limits next, int machines) {
         Settings settings = new Settings(
                 "none",
                 List.of("n0", "n1", "n2"),
-                Scenarios.NO_LIMIT,
+                SimFixtures.NO_LIMIT,
                 List.of(),
                 List.of("east", "west"),
                 3,
@@ -43,11 +43,11 @@
                 10,
                 3,
                 new Settings.Tuning(3000, 12, 300, 4, 256));
-        World world = new World(seed, settings, World.Broken.NONE);
+        SimCluster world = new SimCluster(seed, settings, SimCluster.DisabledGuard.NONE);
         world.trouble = 0;
         world.cloud.room = machines;
         for (String name : settings.peers()) {
-            SimNode node = new SimNode(world, name);
+            SimController node = new SimController(world, name);
             node.production = true;
             world.nodes.put(name, node);
             node.start();
@@ -59,16 +59,16 @@
         return world;
     }
 
-    private static void upgradeAll(World world, long everyMs) {
+    private static void upgradeAll(SimCluster world, long everyMs) {
         long at = 0;
-        for (SimNode node : world.nodes.values()) {
+        for (SimController node : world.nodes.values()) {
             world.after(at, () -> node.upgrade(2000));
             at += everyMs;
         }
         world.run(world.now() + at + 5000);
     }
 
-    private static int largestSlice(World world) {
+    private static int largestSlice(SimCluster world) {
         return world.state.all(Keys.SLICES).values().stream()
                 .mapToInt(v -> ValueCodec.bytes(v).length)
                 .max()
@@ -79,7 +79,7 @@
     @ParameterizedTest
     @CsvSource({"1, 2048, 5", "2, 2048, 5", "3, 1024, 5", "4, 1024, 3", "5, 1024, 2", "6, 1200, 16"})
     void whatWasStoredUnderLargerLimitsIsBroughtWithinTheSmallerOnes(long seed, int valueBytes, int txnOps) {
-        World world = world(seed, new StateLimits.Limits(150, 40, valueBytes, txnOps), 420);
+        SimCluster world = world(seed, new StateLimits.Limits(150, 40, valueBytes, txnOps), 420);
         world.users.submit(job(1, Priority.HIGH, 300, 4, 150));
         world.users.submit(job(2, Priority.HIGH, 900, 1, 3));
         world.run(25_000);
@@ -97,7 +97,7 @@
     /** The shrinking may come while a controller that is down has not shown yet which version it is. */
     @Test
     void aControllerThatStaysDownDoesNotKeepLargeValuesFromBeingCut() {
-        World world = world(7, new StateLimits.Limits(150, 40, 1024, 3), 150);
+        SimCluster world = world(7, new StateLimits.Limits(150, 40, 1024, 3), 150);
         world.users.submit(job(1, Priority.HIGH, 150, 4, 150));
         world.run(25_000);
         assertTrue(largestSlice(world) > 1024);
@@ -112,7 +112,7 @@
 
     @Test
     void whatIsNewIsRefusedWhileAnOlderVersionRunsAndTheRestIsServed() {
-        World world = world(8, NOW, 9);
+        SimCluster world = world(8, NOW, 9);
         world.users.submit(job(1, Priority.HIGH, 2, 1, 5));
         world.run(15_000);
         world.nodes.get("n0").upgrade(1000);
@@ -140,7 +140,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void whatIsNewIsRefusedWhileAControllerThatIsDownMayComeBackAsItWas(long seed) {
-        World world = world(seed, NOW, 9);
+        SimCluster world = world(seed, NOW, 9);
         world.nodes.get("n2").crash(25_000);
         world.nodes.get("n0").upgrade(1000);
         world.nodes.get("n1").upgrade(1500);
@@ -169,14 +169,14 @@
         assertTrue(world.users.isOver(id(2)));
     }
 
-    private static List<String> members(World world) {
-        return Scenarios.map(world).members().stream().map(Value.Member::name).toList();
+    private static List<String> members(SimCluster world) {
+        return SimFixtures.map(world).members().stream().map(Value.Member::name).toList();
     }
 
     /** A value that cannot be read stops nobody; what depends on it is held. */
     @Test
     void aValueThatCannotBeReadHoldsOnlyWhatDependsOnIt() {
-        World world = Scenarios.world(9, 9);
+        SimCluster world = SimFixtures.world(9, 9);
         Job held = job(1, Priority.HIGH, 2, 1, 5);
         world.users.know(held);
         world.state.put(Keys.job(id(1)), new Value.Unreadable("a priority from tomorrow"));
--- a/src/test/java/dewlane/sim/SimTask.java
+++ b/src/test/java/dewlane/sim/SimAttempt.java
@@ -4,7 +4,7 @@
 import dewlane.core.Report.Phase;
 
 /** An attempt on the machine. */
-final class SimTask {
+final class SimAttempt {
     final String job;
     final int number;
     final int attempt;
@@ -15,7 +15,7 @@
     End end;
     long until;
 
-    SimTask(String job, int number, int attempt, long orderedAt) {
+    SimAttempt(String job, int number, int attempt, long orderedAt) {
         this.orderedAt = orderedAt;
         this.job = job;
         this.number = number;
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -13,7 +13,7 @@
 
 /** The cloud: rents and deletes machines and lists them late. */
 final class SimCloud {
-    private final World world;
+    private final SimCluster world;
     final Map<String, SimWorker> machines = new LinkedHashMap<>();
     private final Map<String, List<String>> requests = new HashMap<>();
     private final List<MachineType> types = List.of(
@@ -24,7 +24,7 @@
     int room = 12;
     private int nextName = 1;
 
-    SimCloud(World world) {
+    SimCloud(SimCluster world) {
         this.world = world;
         world.every(1500, () -> {
             List<ListedMachine> now = new ArrayList<>();
@@ -55,19 +55,19 @@
     int heldUpPastTheirSender;
     private final List<Effect.Command> heldCommands = new ArrayList<>();
 
-    void catalog(SimNode node) {
+    void catalog(SimController node) {
         if (!out) {
             node.call(() -> true, () -> new Input.CatalogRead(types), new Input.Tick(), 5000);
         }
     }
 
-    void list(SimNode node) {
+    void list(SimController node) {
         if (!out) {
             node.call(() -> true, () -> new Input.MachinesListed(shown), new Input.Tick(), 5000);
         }
     }
 
-    void rent(SimNode node, Effect.Rent e) {
+    void rent(SimController node, Effect.Rent e) {
         node.call(
                 () -> true,
                 () -> {
@@ -97,7 +97,7 @@
                 5000);
     }
 
-    void delete(SimNode node, List<String> names) {
+    void delete(SimController node, List<String> names) {
         node.call(
                 () -> true,
                 () -> {
@@ -123,7 +123,7 @@
                 .anyMatch(c -> c.machine().equals(machine) && c.orders().contains(launch));
     }
 
-    void command(SimNode node, Effect.Command e) {
+    void command(SimController node, Effect.Command e) {
         SimWorker m = machines.get(e.machine());
         Input silence = new Input.CommandAnswered(e.machine(), e.token(), true, null);
         if (m == null) {
--- a/src/test/java/dewlane/sim/World.java
+++ b/src/test/java/dewlane/sim/SimCluster.java
@@ -10,11 +10,11 @@
 import java.util.SplittableRandom;
 
 /** A seeded world of stand-ins with a clock of its own: nothing in it depends on real time. */
-final class World {
+final class SimCluster {
     private record Event(long at, long order, Runnable action) {}
 
     /** Guards that a test removes to show that the checker sees what they guard against. */
-    enum Broken {
+    enum DisabledGuard {
         NONE,
         TEAM_GUARD,
         SLICE_GUARD,
@@ -23,14 +23,14 @@
     }
 
     final long seed;
-    final Broken broken;
+    final DisabledGuard broken;
     final SplittableRandom random;
     final Settings settings;
-    final Checker checker;
-    final SimState state;
+    final InvariantChecker checker;
+    final SimStore state;
     final SimCloud cloud;
     final SimUsers users;
-    final Map<String, SimNode> nodes = new java.util.LinkedHashMap<>();
+    final Map<String, SimController> nodes = new java.util.LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final List<String> trace = new ArrayList<>();
@@ -41,13 +41,13 @@
     /** How long a message takes at most beyond the usual. */
     int slowLinksMs;
 
-    World(long seed, Settings settings, Broken broken) {
+    SimCluster(long seed, Settings settings, DisabledGuard broken) {
         this.seed = seed;
         this.broken = broken;
         this.random = new SplittableRandom(seed);
         this.settings = settings;
-        this.checker = new Checker(this);
-        this.state = new SimState(this);
+        this.checker = new InvariantChecker(this);
+        this.state = new SimStore(this);
         this.cloud = new SimCloud(this);
         this.users = new SimUsers(this);
     }
@@ -56,12 +56,12 @@
      * Three controllers and small spot machines in the east that have settled, without troubles, and no idle machine
      * goes back.
      */
-    static World quiet(long seed, Map<String, Settings.Team> teams, int txnOps, int machines) {
+    static SimCluster quiet(long seed, Map<String, Settings.Team> teams, int txnOps, int machines) {
         return quiet(seed, teams, txnOps, machines, 3, 30, 60);
     }
 
     /** The same with workers' times of the deployment's own. */
-    static World quiet(
+    static SimCluster quiet(
             long seed,
             Map<String, Settings.Team> teams,
             int txnOps,
@@ -83,10 +83,10 @@
                 10,
                 3,
                 new Settings.Tuning(3000, 12, 300, 4, 256));
-        World world = new World(seed, settings, Broken.NONE);
+        SimCluster world = new SimCluster(seed, settings, DisabledGuard.NONE);
         world.trouble = 0;
         for (String name : names) {
-            SimNode node = new SimNode(world, name);
+            SimController node = new SimController(world, name);
             world.nodes.put(name, node);
             node.start();
         }
--- a/src/test/java/dewlane/sim/SimNode.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -21,11 +21,11 @@
 import java.util.function.Supplier;
 
 /** A controller process: the real core, with everything round it made up. */
-final class SimNode {
+final class SimController {
     /** A worker's answer: the status, and for 200 the token and orders, for 421 the node to report to. */
     record ReportAnswer(int status, long token, List<Order> orders, String node) {}
 
-    final World world;
+    final SimCluster world;
     final String name;
     /** Grows with every start; messages for an earlier life are dropped. */
     int life;
@@ -47,7 +47,7 @@
     /** What came while the process stood still; it finds all of it at once. */
     private final Deque<Input> slept = new ArrayDeque<>();
 
-    SimNode(World world, String name) {
+    SimController(SimCluster world, String name) {
         this.world = world;
         this.name = name;
     }
@@ -137,7 +137,7 @@
             slept.add(input);
             return;
         }
-        Input read = production ? ProductionView.read(input) : input;
+        Input read = production ? Version01View.read(input) : input;
         effects.addAll(core.handle(world.now(), 1_000_000 + world.now(), read));
         if (acting) {
             return;
@@ -246,7 +246,7 @@
         } else if (effect instanceof Effect.RefuseReport e) {
             answerReport(e.id(), new ReportAnswer(503, 0, null, null));
         } else if (effect instanceof Effect.SendTxn e) {
-            world.state.txn(this, e.id(), production ? ProductionView.written(e.txn()) : e.txn());
+            world.state.txn(this, e.id(), production ? Version01View.written(e.txn()) : e.txn());
         } else if (effect instanceof Effect.Watch e) {
             world.state.watch(this, e.since());
         } else if (effect instanceof Effect.ReadValue e) {
@@ -278,7 +278,7 @@
 
     private void tellPeers(List<PeerStatus> pages) {
         pages.forEach(this::measure);
-        for (SimNode peer : world.nodes.values()) {
+        for (SimController peer : world.nodes.values()) {
             int of = peer.life;
             if (peer != this && !cutFromPeers && !peer.cutFromPeers) {
                 pages.forEach(page -> world.deliver(() -> peer.hear(of, new Input.PeerHeard(page))));
--- a/src/test/java/dewlane/sim/Scenarios.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -13,13 +13,13 @@
 import java.util.Map;
 
 /** What scenarios share: small worlds, jobs, who is where, and what has to hold once all troubles are over. */
-final class Scenarios {
+final class SimFixtures {
     static final Map<String, Settings.Team> NO_LIMIT = Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0));
 
-    private Scenarios() {}
+    private SimFixtures() {}
 
-    static World world(long seed, int machines) {
-        return World.quiet(seed, NO_LIMIT, 16, machines);
+    static SimCluster world(long seed, int machines) {
+        return SimCluster.quiet(seed, NO_LIMIT, 16, machines);
     }
 
     static String id(int number) {
@@ -35,35 +35,35 @@
                 .build();
     }
 
-    static SimNode leader(World world) {
-        return Troubles.leader(world, null);
+    static SimController leader(SimCluster world) {
+        return FaultInjector.leader(world, null);
     }
 
-    static SimNode other(World world, SimNode than) {
+    static SimController other(SimCluster world, SimController than) {
         return world.nodes.values().stream()
                 .filter(n -> n != than && n.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
-    static ClusterMap map(World world) {
+    static ClusterMap map(SimCluster world) {
         return (ClusterMap) world.state.get(Keys.MAP);
     }
 
-    static long running(World world, String job) {
+    static long running(SimCluster world, String job) {
         return world.cloud.machines.values().stream()
                 .mapToLong(m -> m.running(job))
                 .sum();
     }
 
-    static List<SimWorker> with(World world, String job) {
+    static List<SimWorker> with(SimCluster world, String job) {
         return world.cloud.machines.values().stream()
                 .filter(m -> m.running(job) > 0)
                 .toList();
     }
 
     /** All troubles are over: no job is forgotten or left waiting, and in the end nothing but final states is left. */
-    static void calm(World world, long ms) {
+    static void calm(SimCluster world, long ms) {
         world.trouble = 0;
         world.users.askAboutAll();
         world.checker.watchWaiting();
--- a/src/test/java/dewlane/sim/SimState.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -15,17 +15,17 @@
 import java.util.TreeMap;
 
 /** The state service: conditional writes, leases and a watch, with outages, refusals to one node and late writes. */
-final class SimState {
+final class SimStore {
     private record Held(Value value, long version, long lease) {}
 
-    private record Watch(SimNode node, int life, long since, long openedAt) {}
+    private record Watch(SimController node, int life, long since, long openedAt) {}
 
     /** How long a watch blocks without a change, and how long its caller waits for it in all. */
     private static final long BLOCK_MS = 1000;
 
     private static final long WATCH_TIMEOUT_MS = 2500;
 
-    private final World world;
+    private final SimCluster world;
     private final TreeMap<String, Held> keys = new TreeMap<>();
     private final List<Input.Change> log = new ArrayList<>();
     private final Map<Long, Long> leases = new HashMap<>();
@@ -54,20 +54,20 @@
     long machineChanges;
     int longestValue;
     int longestTxn;
-    private final SimRate writeRate = new SimRate();
-    private final SimRate requestRate = new SimRate();
+    private final SimTokenBucket writeRate = new SimTokenBucket();
+    private final SimTokenBucket requestRate = new SimTokenBucket();
     /** Requests so far but watches that wait, and those refused for their rate. */
     int requests;
 
     int requestsRefused;
-    final SimLimits limits;
+    final SimStoreLimits limits;
 
     private long revision;
     private long nextLease = 1;
 
-    SimState(World world) {
+    SimStore(SimCluster world) {
         this.world = world;
-        this.limits = new SimLimits(world);
+        this.limits = new SimStoreLimits(world);
         world.every(50, this::expire);
     }
 
@@ -90,11 +90,11 @@
         return found;
     }
 
-    private boolean serves(SimNode node) {
+    private boolean serves(SimController node) {
         return !out && !refused.contains(node.name);
     }
 
-    void list(SimNode node) {
+    void list(SimController node) {
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
@@ -112,7 +112,7 @@
                 3000);
     }
 
-    void watch(SimNode node, long since) {
+    void watch(SimController node, long since) {
         int life = node.life;
         world.after(60, () -> {
             if (node.life == life) {
@@ -152,7 +152,7 @@
         watches.addAll(left);
     }
 
-    void txn(SimNode node, long id, Transaction txn) {
+    void txn(SimController node, long id, Transaction txn) {
         limits.check(node, txn);
         if (lateWrites > 0 && world.chance(lateWrites) && node.stateReachable()) {
             int of = node.life;
@@ -248,7 +248,7 @@
         };
     }
 
-    void read(SimNode node, long id, String key) {
+    void read(SimController node, long id, String key) {
         node.callState(
                 () -> {
                     Held held = keys.get(key);
@@ -261,7 +261,7 @@
                 1500);
     }
 
-    void readRevision(SimNode node) {
+    void readRevision(SimController node) {
         node.callState(
                 () -> serves(node) && withinRequests()
                         ? new Input.RevisionRead(true, revision)
@@ -270,7 +270,7 @@
                 1500);
     }
 
-    void grant(SimNode node, long ttl) {
+    void grant(SimController node, long ttl) {
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
@@ -284,7 +284,7 @@
                 1500);
     }
 
-    void touch(SimNode node, long lease, long ttl) {
+    void touch(SimController node, long lease, long ttl) {
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
--- a/src/test/java/dewlane/sim/SimLimits.java
+++ b/src/test/java/dewlane/sim/SimStoreLimits.java
@@ -7,15 +7,15 @@
 import dewlane.wire.ValueCodec;
 
 /** The limits of the stand-in for the state service, which may change without notice. */
-final class SimLimits {
+final class SimStoreLimits {
     private static final int MOST_TXN_BYTES = 65_536;
 
-    private final World world;
+    private final SimCluster world;
     private StateLimits.Limits now;
     /** Transactions that were larger than the limits in force. */
     int exceeded;
 
-    SimLimits(World world) {
+    SimStoreLimits(SimCluster world) {
         this.world = world;
         this.now = world.settings.state().present();
     }
@@ -47,7 +47,7 @@
      * A controller that knows the coming limits keeps within them from its start. Only what is stored already may stay
      * larger for a while, and only become smaller.
      */
-    void check(SimNode node, Transaction txn) {
+    void check(SimController node, Transaction txn) {
         if (node.production) {
             return;
         }
--- a/src/test/java/dewlane/sim/SimRate.java
+++ b/src/test/java/dewlane/sim/SimTokenBucket.java
@@ -1,7 +1,7 @@
 package dewlane.sim;
 
 /** A rate as the stand-ins keep it: so much a second, with a burst of one second's worth. */
-final class SimRate {
+final class SimTokenBucket {
     private double tokens;
     private long refilledAt;
 
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -15,7 +15,7 @@
 
 /** Users who submit, poll and cancel through whichever node answers. */
 final class SimUsers {
-    private final World world;
+    private final SimCluster world;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     final List<String> accepted = new ArrayList<>();
     /** When a question about the job was last answered. */
@@ -29,7 +29,7 @@
     /** Answers to odd requests that were as they should be. */
     int oddAnswers;
 
-    SimUsers(World world) {
+    SimUsers(SimCluster world) {
         this.world = world;
     }
 
@@ -89,13 +89,13 @@
     }
 
     /** Cancels through the given controller, once. */
-    void cancelAt(SimNode node, String id) {
+    void cancelAt(SimController node, String id) {
         world.checker.asked(id);
         node.abort(id, a -> told(id, a));
     }
 
     /** Asks the given controller about a job, once. */
-    void pollAt(SimNode node, String id) {
+    void pollAt(SimController node, String id) {
         long askedAt = world.now();
         boolean known = answeredAt.containsKey(id);
         node.poll(id, a -> {
@@ -107,7 +107,7 @@
     }
 
     /** Sends a job's submission once more, to the given controller. */
-    void repeatAt(SimNode node, String id) {
+    void repeatAt(SimController node, String id) {
         node.submit(job(id), a -> told(id, a));
     }
 
@@ -134,7 +134,7 @@
      * cancellation of a job that is done.
      */
     void oddRequest() {
-        SimNode node = anyNode();
+        SimController node = anyNode();
         if (node == null) {
             return;
         }
@@ -151,7 +151,7 @@
             }
             case 4 -> {
                 Job stranger =
-                        Scenarios.job(900_000 + next, Priority.HIGH, 1, 1, 1).withAwaits(List.of("wk-999999"));
+                        SimFixtures.job(900_000 + next, Priority.HIGH, 1, 1, 1).withAwaits(List.of("wk-999999"));
                 node.submit(stranger, a -> expect(a, 422, "a job that awaits one that was never accepted"));
             }
             case 1 -> node.submitMalformed(id, a -> expect(a, 400, "a job that lacks a field"));
@@ -178,13 +178,14 @@
         oddAnswers += a.status() == status ? 1 : 0;
     }
 
-    private SimNode anyNode() {
-        List<SimNode> up = world.nodes.values().stream().filter(n -> n.alive).toList();
+    private SimController anyNode() {
+        List<SimController> up =
+                world.nodes.values().stream().filter(n -> n.alive).toList();
         return up.isEmpty() ? null : up.get(world.random.nextInt(up.size()));
     }
 
     private void submit(Job job, int tries) {
-        SimNode node = anyNode();
+        SimController node = anyNode();
         boolean[] answered = {false};
         world.after(5000, () -> {
             if (!answered[0] && tries < 12) {
@@ -206,7 +207,7 @@
     }
 
     private void abort(String id, int tries) {
-        SimNode node = anyNode();
+        SimController node = anyNode();
         boolean[] answered = {false};
         world.after(5000, () -> {
             if (!answered[0] && tries < 12) {
@@ -226,7 +227,7 @@
 
     void pollSome() {
         List<String> all = List.copyOf(jobs.keySet());
-        SimNode node = anyNode();
+        SimController node = anyNode();
         if (!all.isEmpty() && node != null) {
             String id = all.get(world.random.nextInt(all.size()));
             boolean known = answeredAt.containsKey(id);
@@ -281,7 +282,7 @@
                 if (world.now() - Math.max(from, answeredAt.get(id)) > 75_000) {
                     world.checker.broken("forgotten", id + " got no answer for 75 s");
                 }
-                SimNode node = anyNode();
+                SimController node = anyNode();
                 if (node != null) {
                     node.poll(id, a -> told(id, a));
                 }
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -18,7 +18,7 @@
 
 /** A machine and its worker, as the protocol tells it: sessions, leases, tokens and tasks. */
 final class SimWorker {
-    final World world;
+    final SimCluster world;
     final String name;
     final MachineType type;
     final String zone;
@@ -42,7 +42,7 @@
 
     long hangsUntil;
     private final long rentedAt;
-    final Map<String, SimTask> tasks = new LinkedHashMap<>();
+    final Map<String, SimAttempt> tasks = new LinkedHashMap<>();
     /** Attempts that it was told to forget in this session; a late copy of such a launch would start them anew. */
     private final Set<String> forgotten = new HashSet<>();
 
@@ -58,7 +58,7 @@
     private boolean inFlight;
     private long nextReport;
 
-    SimWorker(World world, String name, MachineType type, String zone, boolean spot) {
+    SimWorker(SimCluster world, String name, MachineType type, String zone, boolean spot) {
         this.world = world;
         this.name = name;
         this.type = type;
@@ -78,7 +78,7 @@
 
     /** Tasks that count as being on the machine. */
     long running() {
-        return tasks.values().stream().filter(SimTask::on).count();
+        return tasks.values().stream().filter(SimAttempt::on).count();
     }
 
     /** Tasks of the job that count as being on the machine. */
@@ -93,7 +93,7 @@
     /** True if it serves as it should and has room for a task of the job, by what is really on it. */
     boolean hasRoom(dewlane.core.Job job) {
         double cpus = job.cpus();
-        for (SimTask t : tasks.values()) {
+        for (SimAttempt t : tasks.values()) {
             cpus += t.phase == Phase.EXITED ? 0 : world.users.job(t.job).cpus();
         }
         return up
@@ -175,7 +175,7 @@
             held.clear();
             late.forEach(Runnable::run);
         }
-        for (SimTask t : List.copyOf(tasks.values())) {
+        for (SimAttempt t : List.copyOf(tasks.values())) {
             if (t.phase == Phase.FETCHING && world.now() >= t.until) {
                 begin(t);
             } else if (t.phase == Phase.RUNNING && world.now() >= t.until) {
@@ -189,7 +189,7 @@
         }
     }
 
-    private void begin(SimTask t) {
+    private void begin(SimAttempt t) {
         if (world.checker.doneTask(t.job, t.number)) {
             exit(t, End.DONE);
             return;
@@ -201,7 +201,7 @@
         changed();
     }
 
-    private void exit(SimTask t, End end) {
+    private void exit(SimAttempt t, End end) {
         t.phase = Phase.EXITED;
         t.end = end;
         world.trace("exit " + t.job + "/" + t.number + " #" + t.attempt + " on " + name + " " + end);
@@ -218,7 +218,7 @@
 
     Report report() {
         List<TaskState> states = new ArrayList<>();
-        for (SimTask t : tasks.values()) {
+        for (SimAttempt t : tasks.values()) {
             states.add(new TaskState(t.job, t.number, t.attempt, t.phase, t.end, false));
         }
         return new Report(name, name + ":1", type.name(), zone, spot, session, ++sequence, seal, Double.NaN, states);
@@ -226,11 +226,11 @@
 
     private void sendReport() {
         nextReport = world.now() + (long) (world.settings.reportS() * world.between(750, 1250));
-        List<SimNode> nodes = List.copyOf(world.nodes.values());
+        List<SimController> nodes = List.copyOf(world.nodes.values());
         if (reportTo == null) {
             reportTo = nodes.get(world.random.nextInt(nodes.size())).name;
         }
-        SimNode node = world.nodes.get(reportTo);
+        SimController node = world.nodes.get(reportTo);
         Report sent = report();
         long sentAt = world.now();
         long of = session;
@@ -257,7 +257,8 @@
     }
 
     /** A report goes its way to a controller, if it gets there, and sometimes a copy comes late. */
-    private void pass(Report sent, SimNode node, List<SimNode> nodes, Consumer<SimNode.ReportAnswer> answer) {
+    private void pass(
+            Report sent, SimController node, List<SimController> nodes, Consumer<SimController.ReportAnswer> answer) {
         if (withheld != null) {
             withheld.add(sent);
             return;
@@ -284,7 +285,7 @@
     }
 
     /** What was held back arrives, in order, at the given controller; returns how many reports that were. */
-    int releaseReports(SimNode at) {
+    int releaseReports(SimController at) {
         List<Report> late = withheld;
         withheld = null;
         late.forEach(r -> copyLate(r, at, 1));
@@ -292,7 +293,7 @@
     }
 
     /** A copy of a report that comes late; its answer reaches nobody. */
-    void copyLate(Report copy, SimNode to, long afterMs) {
+    void copyLate(Report copy, SimController to, long afterMs) {
         world.after(afterMs, () -> {
             if (to.alive) {
                 to.report(copy, answer -> {});
@@ -300,13 +301,14 @@
         });
     }
 
-    private void elsewhere(List<SimNode> nodes) {
+    private void elsewhere(List<SimController> nodes) {
         int at = reportTo == null ? 0 : nodes.indexOf(world.nodes.get(reportTo));
         reportTo = nodes.get((at + 1) % nodes.size()).name;
         nextReport = world.now() + 1000;
     }
 
-    private void answered(SimNode.ReportAnswer answer, long answeredAt, long sentAt, long of, List<SimNode> nodes) {
+    private void answered(
+            SimController.ReportAnswer answer, long answeredAt, long sentAt, long of, List<SimController> nodes) {
         if (answer.status() == 421 && answer.node() != null && !answer.node().equals(reportTo)) {
             reportTo = answer.node();
             nextReport = world.now() + world.between(0, 500);
@@ -316,7 +318,7 @@
             elsewhere(nodes);
             return;
         }
-        if (answer.token() < seal && world.broken != World.Broken.WORKER_TOKEN || of != session) {
+        if (answer.token() < seal && world.broken != SimCluster.DisabledGuard.WORKER_TOKEN || of != session) {
             return;
         }
         leaseFrom = Math.max(leaseFrom, sentAt);
@@ -332,7 +334,7 @@
     }
 
     void command(Effect.Command e, long sentAt) {
-        boolean fits = e.token() >= seal || world.broken == World.Broken.WORKER_TOKEN;
+        boolean fits = e.token() >= seal || world.broken == SimCluster.DisabledGuard.WORKER_TOKEN;
         if (gone || !fits || e.session() != session) {
             return;
         }
@@ -342,7 +344,7 @@
 
     private void execute(Order o, long sentAt) {
         String key = o.job() + "/" + o.task() + "#" + o.attempt();
-        SimTask t = tasks.get(key);
+        SimAttempt t = tasks.get(key);
         switch (o.kind()) {
             case LAUNCH -> {
                 if (t == null) {
@@ -375,11 +377,11 @@
         if (forgotten.contains(key)) {
             world.checker.broken("launched_again", key + " on " + name + ", which was told to forget it");
         }
-        SimTask t = new SimTask(o.job(), o.task(), o.attempt(), sentAt);
+        SimAttempt t = new SimAttempt(o.job(), o.task(), o.attempt(), sentAt);
         boolean busy = tasks.values().stream()
                 .anyMatch(x -> x.phase != Phase.EXITED && x.job.equals(o.job()) && x.number == o.task());
         double used = 0;
-        for (SimTask x : tasks.values()) {
+        for (SimAttempt x : tasks.values()) {
             used += x.phase == Phase.EXITED ? 0 : world.users.job(x.job).cpus();
         }
         tasks.put(key, t);
--- a/src/test/java/dewlane/sim/MeetingsTest.java
+++ b/src/test/java/dewlane/sim/StoreOutageTest.java
@@ -1,15 +1,15 @@
 package dewlane.sim;
 
-import static dewlane.sim.Scenarios.NO_LIMIT;
-import static dewlane.sim.Scenarios.calm;
-import static dewlane.sim.Scenarios.id;
-import static dewlane.sim.Scenarios.job;
-import static dewlane.sim.Scenarios.leader;
-import static dewlane.sim.Scenarios.map;
-import static dewlane.sim.Scenarios.other;
-import static dewlane.sim.Scenarios.running;
-import static dewlane.sim.Scenarios.with;
-import static dewlane.sim.Scenarios.world;
+import static dewlane.sim.SimFixtures.NO_LIMIT;
+import static dewlane.sim.SimFixtures.calm;
+import static dewlane.sim.SimFixtures.id;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.leader;
+import static dewlane.sim.SimFixtures.map;
+import static dewlane.sim.SimFixtures.other;
+import static dewlane.sim.SimFixtures.running;
+import static dewlane.sim.SimFixtures.with;
+import static dewlane.sim.SimFixtures.world;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -34,10 +34,10 @@
 
 /**
  * The meetings of troubles that the operators named, each brought about by itself; that it came about is asserted. The
- * checker looks at the rules after each step, and in {@link Scenarios#calm} at what has to hold once all troubles are
+ * checker looks at the rules after each step, and in {@link SimFixtures#calm} at what has to hold once all troubles are
  * over.
  */
-class MeetingsTest {
+class StoreOutageTest {
     private static final String JOB = "wk-000001";
 
     private static Job placed(int number, int tasks, String zone, boolean oneZone, boolean spread) {
@@ -56,10 +56,10 @@
      * confirmed. If it is to stay untold, who confirmed it ends at once, so that the leader, which still hears a peer,
      * has no word of it.
      */
-    private static long gap(World world, SimNode leader, long afterMs, boolean untold) {
+    private static long gap(SimCluster world, SimController leader, long afterMs, boolean untold) {
         world.state.refused.add(leader.name);
         world.run(world.now() + afterMs);
-        SimNode confirming = other(world, leader);
+        SimController confirming = other(world, leader);
         world.users.cancelAt(confirming, JOB);
         for (int step = 0; step < 200 && world.checker.lastTold(JOB) != Condition.ABORTED; step++) {
             world.run(world.now() + 5);
@@ -81,11 +81,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void refusedAloneThenAnOutageLongerThanACancellationHas(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.users.submit(job(1, Priority.HIGH, 18, 2, 400));
         world.run(25_000);
         assertEquals(18, running(world, JOB));
-        SimNode leader = leader(world);
+        SimController leader = leader(world);
         long confirmed = gap(world, leader, 300 * seed, true);
         assertTrue(
                 world.cloud.machines.values().stream()
@@ -106,12 +106,12 @@
     @ParameterizedTest
     @CsvSource({"2.5, 14, 44", "5, 31, 61"})
     void controllersThatEndAndARollCostNoTaskWhateverTheLease(double reportS, double leaseS, double cancelS) {
-        World world = World.quiet(4, NO_LIMIT, 16, 12, reportS, leaseS, cancelS);
+        SimCluster world = SimCluster.quiet(4, NO_LIMIT, 16, 12, reportS, leaseS, cancelS);
         world.users.submit(job(1, Priority.HIGH, 24, 2, 150));
         world.run(25_000);
         leader(world).crash(8000);
         world.run(50_000);
-        for (SimNode node : List.copyOf(world.nodes.values())) {
+        for (SimController node : List.copyOf(world.nodes.values())) {
             node.crash(2000);
             world.run(world.now() + 15_000);
         }
@@ -119,7 +119,7 @@
         assertEquals(12, world.cloud.machines.size());
         world.users.submit(job(2, Priority.HIGH, 12, 1, 300));
         world.run(110_000);
-        SimNode refused = leader(world);
+        SimController refused = leader(world);
         world.state.refused.add(refused.name);
         world.users.cancelAt(other(world, refused), id(2));
         world.run(111_000);
@@ -133,7 +133,7 @@
     /** The same while peers still hear one another: the owner stops the tasks at once, and those of others go on. */
     @Test
     void whatAPeerConfirmedIsStoppedWithoutTheStateService() {
-        World world = world(6, 9);
+        SimCluster world = world(6, 9);
         world.users.submit(job(1, Priority.HIGH, 10, 2, 400));
         world.users.submit(job(2, Priority.HIGH, 8, 2, 50));
         world.run(25_000);
@@ -149,7 +149,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aMachineThatHangsInTheGapIsDeletedWithoutARecord(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.users.submit(job(1, Priority.HIGH, 18, 2, 400));
         world.run(25_000);
         List<SimWorker> hanging = with(world, JOB).subList(0, 4);
@@ -165,7 +165,7 @@
 
     @Test
     void urgentWorkMeetsAFullFleetOverSlowLinks() {
-        World world = world(7, 6);
+        SimCluster world = world(7, 6);
         world.cloud.room = 6;
         world.slowLinksMs = 250;
         world.state.slowMs = 700;
@@ -189,7 +189,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsBoundToZonesLoseMachines(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         for (int i = 0; i < 6; i++) {
             world.cloud.create("small", "west", true).boot();
         }
@@ -212,14 +212,14 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         for (int i = 0; i < 6; i++) {
             world.cloud.create("small", "west", true).boot();
         }
         world.run(15_000);
         world.users.submit(job(1, Priority.HIGH, 20, 2, 60));
         world.run(25_000);
-        SimNode inside = world.nodes.get("n0");
+        SimController inside = world.nodes.get("n0");
         inside.cutFromState = true;
         inside.cutFromPeers = true;
         for (SimWorker m : world.cloud.machines.values()) {
@@ -242,7 +242,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void oldReportsArriveAfterNewerOnesAlsoOfEarlierSessionsAndAttempts(long seed) {
-        World world = world(seed, 4);
+        SimCluster world = world(seed, 4);
         world.cloud.room = 4;
         world.users.submit(job(1, Priority.HIGH, 8, 2, 90));
         world.run(16_000);
@@ -261,7 +261,7 @@
         assertTrue(world.checker.starts > 8, "tasks of the earlier session were begun again");
         world.users.submit(job(2, Priority.HIGH, 6, 1, 4));
         for (int i = 0; i < old.size(); i++) {
-            for (SimNode node : world.nodes.values()) {
+            for (SimController node : world.nodes.values()) {
                 machine.copyLate(old.get(i), node, 500 + 1500L * i);
                 machine.copyLate(old.get(i), node, 40_000 + 1500L * i);
             }
@@ -272,7 +272,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void unansweredTransactionsAreCarriedOutAfterNewerOnes(long seed) {
-        World world = world(seed, 8);
+        SimCluster world = world(seed, 8);
         world.state.lateWrites = 0.4;
         for (int i = 1; i <= 14; i++) {
             Job job = job(i, Priority.values()[i % 4], 6, 1 + i % 2, 6);
@@ -297,7 +297,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aCommandIsHeldUpForSecondsAndItsJobIsCancelledMeanwhile(long seed) {
-        World world = world(seed, 3);
+        SimCluster world = world(seed, 3);
         world.cloud.room = 3;
         world.users.submit(job(1, Priority.HIGH, 6, 2, 60));
         world.run(10_120);
@@ -317,12 +317,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage(long seed) {
-        World world = world(seed, 8);
+        SimCluster world = world(seed, 8);
         world.users.submit(job(1, Priority.HIGH, 12, 2, 150));
         world.run(20_000);
         List<String> led = new ArrayList<>();
         for (int i = 0; i < 11; i++) {
-            SimNode leader = leader(world);
+            SimController leader = leader(world);
             led.add(leader.name + "@" + map(world).incarnation(leader.name));
             if (leader.alive) {
                 leader.crash(3000);
@@ -340,7 +340,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void tasksOfSmallJobsEndFarApartAcrossChangesOfLeader(long seed) {
-        World world = world(seed, 1);
+        SimCluster world = world(seed, 1);
         world.cloud.room = 1;
         for (int i = 1; i <= 3; i++) {
             world.users.submit(job(i, Priority.HIGH, 1 + i % 3, 4, 25));
@@ -360,7 +360,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aLeaderEndsWhileMachinesWithLongTasksCannotBeReachedOrDoNotHear(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.users.submit(job(1, Priority.HIGH, 18, 2, 90));
         world.run(25_000);
         List<SimWorker> machines = List.copyOf(world.cloud.machines.values());
@@ -385,12 +385,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void cancellationsQuestionsAndRepeatsMeetTheEndOfTheLastTask(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.users.cancelAtEnd = 0.7;
         world.every(250, () -> {
             for (String id : world.users.accepted()) {
                 if (world.checker.allTasksDone(id) && world.now() < 60_000) {
-                    SimNode node = List.copyOf(world.nodes.values()).get(world.random.nextInt(3));
+                    SimController node = List.copyOf(world.nodes.values()).get(world.random.nextInt(3));
                     world.users.pollAt(node, id);
                     world.users.repeatAt(node, id);
                 }
@@ -410,7 +410,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void allControllersAreAwayForLongerThanALease(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.users.submit(job(1, Priority.HIGH, 12, 2, 80));
         world.users.submit(job(2, Priority.HIGH, 2, 2, 80));
         world.run(20_000);
@@ -429,7 +429,7 @@
     @ValueSource(doubles = {12, 1200})
     void aTeamIsAtItsLimitWhenTheLeaderChangesAndItsMachinesCannotBeAsked(double limit) {
         int machines = limit > 100 ? 320 : 6;
-        World world = World.quiet(3, Map.of("blue", new Settings.Team("blue", 0, 0, limit, 0)), 16, machines);
+        SimCluster world = SimCluster.quiet(3, Map.of("blue", new Settings.Team("blue", 0, 0, limit, 0)), 16, machines);
         world.cloud.room = machines;
         int tasks = (int) limit / 4;
         world.users.submit(job(1, Priority.HIGH, tasks, 2, 60));
@@ -455,7 +455,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void usersCancelAndAskWhileTheStateServiceIsSlowThenRefusesOneThenAll(long seed) {
-        World world = world(seed, 8);
+        SimCluster world = world(seed, 8);
         world.users.submit(job(1, Priority.HIGH, 12, 2, 300));
         world.users.submit(job(2, Priority.HIGH, 2, 2, 300));
         world.run(22_000);
@@ -464,7 +464,7 @@
         world.run(28_000);
         world.users.cancel(id(2));
         world.run(31_000);
-        SimNode leader = leader(world);
+        SimController leader = leader(world);
         world.state.refused.add(leader.name);
         world.users.cancelAt(other(world, leader), JOB);
         world.run(35_500);
@@ -480,7 +480,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void workersReachNoControllerWhileCommandsReachThem(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.cloud.room = 6;
         world.run(12_000);
         SimWorker mute = List.copyOf(world.cloud.machines.values()).get(0);
@@ -505,10 +505,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aLeaderThatOnlyWorkersAndUsersReachMissesWhatItsSuccessorCancels(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.users.submit(job(1, Priority.HIGH, 18, 2, 300));
         world.run(25_000);
-        SimNode leader = leader(world);
+        SimController leader = leader(world);
         leader.cutFromState = true;
         leader.cutFromPeers = true;
         world.run(25_000 + 1500 * seed);
@@ -524,7 +524,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void controllersHandOverAndBackAllEndAndOneReturnsWithinASecond(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.users.submit(job(1, Priority.HIGH, 18, 2, 60));
         world.run(25_000);
         world.nodes.get("n0").crash(4500);
@@ -546,17 +546,17 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void reportsAreHeldBackUntilANewLeaderHasActed(long seed) {
-        World world = world(seed, 6);
+        SimCluster world = world(seed, 6);
         world.cloud.room = 6;
         world.users.submit(job(1, Priority.HIGH, 12, 2, 30));
         world.run(18_000);
         SimWorker held = with(world, JOB).get(0);
         held.withholdReports();
         world.run(24_000);
-        SimNode old = leader(world);
+        SimController old = leader(world);
         old.crash(20_000);
         world.run(48_000);
-        SimNode now = leader(world);
+        SimController now = leader(world);
         assertNotEquals(old.name, now.name);
         world.users.submit(job(2, Priority.HIGH, 12, 1, 4));
         world.run(50_000);
@@ -571,7 +571,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aLaunchIsNotSentAgainOnAViewThatLacksItsCancellation(long seed) {
-        World world = world(seed, 9);
+        SimCluster world = world(seed, 9);
         world.users.submit(job(1, Priority.HIGH, 18, 2, 60));
         world.cloud.machines.values().forEach(m -> m.deaf = true);
         world.run(10_300 + 20 * seed);
--- a/src/test/java/dewlane/sim/ProductionView.java
+++ b/src/test/java/dewlane/sim/Version01View.java
@@ -13,8 +13,8 @@
  * What version 0.1 makes of the state service: it refuses keys that it does not know, drops fields that it does not
  * know, and so loses them when it rewrites a value.
  */
-final class ProductionView {
-    private ProductionView() {}
+final class Version01View {
+    private Version01View() {}
 
     /** A message as that version reads it. */
     static Input read(Input input) {
