--- /dev/null
+++ b/src/test/java/dewlane/sim/ControllerFaults.java
@@ -0,0 +1,82 @@
+package dewlane.sim;
+
+/** Faults of controllers: they end, stand still, or cannot reach the store, workers or each other. */
+final class ControllerFaults {
+    private static final int LEADERS_TO_CRASH = 8;
+    private static final long BETWEEN_LEADERS_MS = 4000;
+
+    private ControllerFaults() {}
+
+    static void crash(FaultTarget target) {
+        crash(target.controller(), target.cluster().between(100, 9000));
+    }
+
+    static void crashAll(FaultTarget target) {
+        target.forAllControllers(
+                controller -> crash(controller, target.cluster().between(100, 6000)));
+    }
+
+    /** The second time is in the middle of what the first return set off. */
+    static void crashTwice(FaultTarget target) {
+        crash(target.controller(), 200);
+        target.cluster().after(700, () -> crash(target.controller(), 300));
+    }
+
+    /** Back at once, and then again in the middle of what the first return set off. */
+    static void crashAllTwice(FaultTarget target) {
+        crashAllBriefly(target);
+        target.afterBetween(500, 1500, () -> crashAllBriefly(target));
+    }
+
+    private static void crashAllBriefly(FaultTarget target) {
+        target.forAllControllers(
+                controller -> crash(controller, target.cluster().between(50, 400)));
+    }
+
+    static void crashLeadersInTurn(FaultTarget target) {
+        for (int i = 0; i < LEADERS_TO_CRASH; i++) {
+            target.cluster()
+                    .after(
+                            i * BETWEEN_LEADERS_MS,
+                            () -> crash(target.leader(), target.cluster().between(200, 5000)));
+        }
+    }
+
+    static void crashAllForLongerThanLease(FaultTarget target) {
+        long leaseMs = (long) (target.cluster().settings.leaseS() * 1000);
+        target.forAllControllers(
+                controller -> crash(controller, target.cluster().between(0, 3000) + leaseMs));
+    }
+
+    private static void crash(SimController controller, long backAfterMs) {
+        if (controller.alive) {
+            controller.crash(backAfterMs);
+        }
+    }
+
+    static void freeze(FaultTarget target) {
+        target.controller().freeze(target.cluster().between(1500, 40_000));
+    }
+
+    static void isolate(FaultTarget target) {
+        target.controller().isolate();
+        target.afterBetween(5000, 45_000, () -> target.controller().endIsolation());
+    }
+
+    static void loseStore(FaultTarget target) {
+        target.controller().cutFromStore = true;
+        target.afterBetween(2000, 25_000, () -> target.controller().cutFromStore = false);
+    }
+
+    static void loseWorkers(FaultTarget target) {
+        target.controller().cutFromWorkers = true;
+        target.afterBetween(2000, 25_000, () -> target.controller().cutFromWorkers = false);
+    }
+
+    /** No controller reaches another. */
+    static void partitionPeers(FaultTarget target) {
+        target.forAllControllers(controller -> controller.cutFromPeers = true);
+        target.afterBetween(
+                2000, 30_000, () -> target.forAllControllers(controller -> controller.cutFromPeers = false));
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/ControllerRestartTest.java
@@ -0,0 +1,84 @@
+package dewlane.sim;
+
+import static dewlane.sim.SimFixtures.assertFinished;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.partitionMap;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.Job;
+import dewlane.core.Value;
+import org.junit.jupiter.api.Test;
+
+/** What a controller's end and return cost: found once each, and played again from the start. */
+class ControllerRestartTest {
+    private static final long SEED = 5;
+    private static final String JOB = jobId(1);
+    /** A fencing token holds the epoch of the partition map above so many bits. */
+    private static final int TOKEN_EPOCH_SHIFT = 20;
+
+    @Test
+    void jobAcceptedJustBeforeAllControllersCrashStillRuns() {
+        SimCluster cluster = cluster(SEED, 3);
+        Job job = job(1, 4, 1, 2);
+        boolean[] accepted = {false};
+        cluster.controllers.get("n2").submit(job, answer -> {
+            accepted[0] = answer.status() == 201;
+            cluster.crashAllControllers(4000);
+        });
+        cluster.users.register(job);
+        cluster.runUntil(60_000);
+        assertTrue(accepted[0]);
+        assertFinished(cluster, JOB);
+    }
+
+    @Test
+    void controllersBackAtOnceLoseNoTask() {
+        SimCluster cluster = cluster(SEED, 9);
+        cluster.users.submit(job(1, 18, 2, 60));
+        cluster.runUntil(25_000);
+        cluster.crashAllControllers(200);
+        cluster.runUntil(25_900);
+        cluster.crashAllControllers(150);
+        cluster.runUntil(27_000);
+        cluster.controllers.get("n2").crash(100);
+        cluster.runUntil(200_000);
+        assertEquals(18, cluster.checker.taskStarts);
+        assertEquals(9, cluster.workers().size());
+        assertFinished(cluster, JOB);
+    }
+
+    /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
+    @Test
+    void fencingTokensOfMachinesThatKeepTheirOwnerStay() {
+        SimCluster cluster = cluster(SEED, 9);
+        cluster.users.submit(job(1, 18, 2, 30));
+        cluster.runUntil(10_150);
+        cluster.controllers.get("n2").crash(20_000);
+        cluster.runUntil(200_000);
+        Value.ClusterMap map = partitionMap(cluster);
+        assertTrue(map.epoch() >= 5, "n2 left and came back");
+        assertTrue(
+                cluster.workers().stream()
+                        .anyMatch(worker -> worker.fencingToken() >> TOKEN_EPOCH_SHIFT < map.epoch() - 1),
+                "some kept their token");
+        assertFinished(cluster, JOB);
+    }
+
+    /**
+     * Seen on a grown deployment: each wandering worker of a dead controller made a map, and each map undid launches.
+     */
+    @Test
+    void controllerThatCrashesAndReturnsCostsTwoPartitionMaps() {
+        SimCluster cluster = cluster(SEED, 30);
+        cluster.users.submit(job(1, 60, 2, 60));
+        cluster.runUntil(25_000);
+        long epochBefore = partitionMap(cluster).epoch();
+        cluster.controllers.get("n1").crash(8000);
+        cluster.runUntil(60_000);
+        assertEquals(epochBefore + 2, partitionMap(cluster).epoch());
+        assertEquals(60, cluster.checker.taskStarts);
+    }
+}
--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -3,45 +3,95 @@
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.cluster;
 import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.jobs;
+import static dewlane.sim.SimFixtures.leader;
+import static dewlane.sim.SimFixtures.runningTasks;
+import static dewlane.sim.SimFixtures.submitInTurn;
+import static dewlane.sim.SimFixtures.submitInTurnAndCancelEach;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Priority;
+import dewlane.core.Keys;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Direct commands are held up on their way while tasks fail at once: attempts end before their launch arrives twice.
- */
+/** Direct commands from controllers to workers are delayed for seconds, while what they are about goes on. */
 class DelayedCommandsTest {
     private static final int SEEDS = 20;
+    private static final String JOB = jobId(1);
 
-    /** As in the incident: a machine's tasks fail within half a second of a launch that came with a report's answer. */
+    /**
+     * As in the incident: a machine's tasks fail within half a second of a launch that came with the reply to a
+     * heartbeat, so that attempts end before the command that launches them as well arrives.
+     */
     @Test
-    void attemptsEndAndAreForgottenBeforeTheCommandThatLaunchesThemArrives() {
+    void attemptsForgottenBeforeTheirDelayedLaunchArrivesAreNotLaunchedAgain() {
         int met = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimCluster cluster = cluster(seed, 9);
-            cluster.cloud.delayedCommandRate = 0.9;
-            for (int i = 1; i <= 20; i++) {
-                int number = i;
-                cluster.after(i * 1000L, () -> cluster.users.submit(job(number, Priority.HIGH, 4, 1, 15)));
-            }
-            failInTurn(cluster);
+            cluster.commands.delayRate = 0.9;
+            submitInTurn(cluster, 1000, 1000, jobs(1, 20, i -> job(i, 4, 1, 15)));
+            failTasksOnChangingWorkers(cluster);
             cluster.runUntil(50_000);
-            cluster.cloud.delayedCommandRate = 0;
-            cluster.cloud.machines.values().forEach(m -> m.failsTasks = false);
-            met += cluster.cloud.machines.values().stream()
-                    .mapToInt(m -> m.forgottenBeforeHeldLaunch)
+            cluster.commands.delayRate = 0;
+            cluster.workers().forEach(worker -> worker.failsTasks = false);
+            met += cluster.workers().stream()
+                    .mapToInt(worker -> worker.executor.forgottenBeforeDelayedLaunch)
                     .sum();
             assertRecovers(cluster, 200_000);
         }
-        assertTrue(met >= SEEDS, met + " attempts were forgotten while a command that launches them was held up");
+        assertTrue(met >= SEEDS, met + " attempts were forgotten while a command that launches them was delayed");
     }
 
-    private static void failInTurn(SimCluster cluster) {
+    private static void failTasksOnChangingWorkers(SimCluster cluster) {
         cluster.every(4000, () -> {
-            if (cluster.cloud.delayedCommandRate > 0) {
-                cluster.cloud.machines.values().forEach(m -> m.failsTasks = cluster.chance(0.4));
+            if (cluster.commands.delayRate > 0) {
+                cluster.workers().forEach(worker -> worker.failsTasks = cluster.chance(0.4));
             }
         });
     }
+
+    /** Launches that reach frozen workers are carried out when those go on, unless their job is cancelled meanwhile. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void launchesDelayedByFrozenWorkersStartOnceUnlessCancelledMeanwhile(long seed) {
+        boolean cancelled = seed != 2;
+        SimCluster cluster = cluster(seed, 3);
+        cluster.cloud.capacity = 3;
+        cluster.users.submit(job(1, 6, 2, 60));
+        cluster.runUntil(10_120);
+        cluster.workers().forEach(worker -> worker.frozenUntil = cluster.now() + 6000);
+        cluster.runUntil(13_000);
+        assertFalse(cluster.store.scan(Keys.SLICES).isEmpty(), "launches were written");
+        assertEquals(0, cluster.checker.taskStarts, "and none arrived");
+        if (cancelled) {
+            cluster.users.cancel(JOB);
+        }
+        cluster.runUntil(20_000);
+        if (cancelled) {
+            assertEquals(0, runningTasks(cluster, JOB));
+        }
+        assertRecovers(cluster, 200_000);
+        if (!cancelled) {
+            assertEquals(6, cluster.checker.taskStarts, "each delayed launch began once");
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void commandsOfDeposedLeaderArrivingAfterItsSuccessorsHarmNothing(long seed) {
+        SimCluster cluster = cluster(seed, 6);
+        cluster.commands.delayRate = 0.5;
+        submitInTurnAndCancelEach(3, 2500, cluster, 700, jobs(1, 12, i -> job(i, 4, 1, 8)));
+        for (int at = 13_000; at <= 28_000; at += 5000) {
+            cluster.after(at, () -> leader(cluster).crash(2500));
+        }
+        cluster.runUntil(45_000);
+        assertTrue(cluster.commands.delayedPastSender > 0, cluster.commands.delayed + " delayed, none past its sender");
+        cluster.commands.delayRate = 0;
+        assertRecovers(cluster, 300_000);
+    }
 }
--- /dev/null
+++ b/src/test/java/dewlane/sim/DependencyCancellationTest.java
@@ -0,0 +1,113 @@
+package dewlane.sim;
+
+import static dewlane.sim.DependencyFixtures.abortedInStore;
+import static dewlane.sim.DependencyFixtures.controller;
+import static dewlane.sim.DependencyFixtures.doneInStore;
+import static dewlane.sim.DependencyFixtures.pollCondition;
+import static dewlane.sim.DependencyFixtures.smallJob;
+import static dewlane.sim.DependencyFixtures.submitThrough;
+import static dewlane.sim.SimFixtures.assertRecovers;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.runningTasks;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.Effect.Condition;
+import dewlane.core.Job;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The cancellation of a job cancels all that depends on it, whatever fails or races with it. */
+class DependencyCancellationTest {
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void cancellationPassesDownToAllDependants(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        List<Job> jobs = List.of(
+                job(1, 3, 1, 60), smallJob(2, 1), smallJob(3, 2), smallJob(4), smallJob(5, 3, 4), smallJob(6, 4));
+        for (int i = 0; i < jobs.size(); i++) {
+            submitThrough(controller(cluster, i % 3), jobs.get(i));
+        }
+        cluster.runFor(4000);
+        assertTrue(runningTasks(cluster, jobId(1)) > 0);
+        cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
+        cluster.runFor(1500);
+        for (int number : new int[] {1, 2, 3, 5}) {
+            for (SimController controller : cluster.controllers.values()) {
+                assertEquals(Condition.ABORTED, pollCondition(controller, jobId(number)), jobId(number));
+            }
+        }
+        assertRecovers(cluster, 90_000);
+        assertTrue(doneInStore(cluster, 4) && doneInStore(cluster, 6));
+        assertTrue(abortedInStore(cluster, 2) && abortedInStore(cluster, 3) && abortedInStore(cluster, 5));
+    }
+
+    /** The store is out from just after the confirmation to beyond the time that a cancellation may take. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void outageAfterConfirmationDoesNotKeepDependantsAlive(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        submitThrough(controller(cluster, 0), job(1, 3, 1, 300));
+        for (int i = 2; i < 8; i++) {
+            submitThrough(controller(cluster, i % 3), smallJob(i, i - 1));
+        }
+        cluster.runFor(6000);
+        cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
+        cluster.runFor(60);
+        cluster.store.outage(75_000);
+        cluster.runFor(74_000);
+        cluster.crashAllControllers(300);
+        cluster.runFor(2000);
+        cluster.every(200, () -> pollDependantInTurn(cluster));
+        assertRecovers(cluster, 60_000);
+        for (int i = 2; i < 8; i++) {
+            assertTrue(abortedInStore(cluster, i), jobId(i));
+        }
+    }
+
+    private static void pollDependantInTurn(SimCluster cluster) {
+        String job = jobId(2 + (int) (cluster.now() / 200 % 6));
+        cluster.controllers.values().stream()
+                .filter(controller -> controller.alive)
+                .forEach(controller -> cluster.users.pollThrough(controller, job));
+    }
+
+    /** A submission races the cancellation of its dependency; whichever is first, both are told the same in the end. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    void submissionThatRacesCancellationOfItsDependencyIsCancelledToo(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        submitThrough(controller(cluster, 0), job(1, 3, 1, 300));
+        cluster.runFor(3000);
+        cluster.store.watchLagMs = 700;
+        cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
+        for (int i = 0; i < 6; i++) {
+            Job late = smallJob(10 + i, 1);
+            cluster.after(4L * i, () -> cluster.users.submit(late));
+        }
+        cluster.runFor(3000);
+        cluster.store.watchLagMs = 0;
+        assertRecovers(cluster, 90_000);
+        for (int i = 0; i < 6; i++) {
+            assertTrue(abortedInStore(cluster, 10 + i), jobId(10 + i));
+        }
+    }
+
+    @Test
+    void dependantOfJobThatKeepsFailingIsCancelledWithIt() {
+        SimCluster cluster = cluster(8, 6);
+        cluster.workers().forEach(worker -> worker.failsTasks = true);
+        submitThrough(controller(cluster, 0), smallJob(1));
+        submitThrough(controller(cluster, 1), smallJob(2, 1));
+        cluster.runFor(30_000);
+        assertEquals(Condition.PENDING, pollCondition(controller(cluster, 0), jobId(2)));
+        cluster.workers().forEach(worker -> worker.failsTasks = false);
+        cluster.users.cancel(jobId(1));
+        assertRecovers(cluster, 90_000);
+        assertTrue(abortedInStore(cluster, 1) && abortedInStore(cluster, 2));
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/DependencyFixtures.java
@@ -0,0 +1,68 @@
+package dewlane.sim;
+
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import dewlane.core.Effect;
+import dewlane.core.Effect.Condition;
+import dewlane.core.Job;
+import dewlane.core.Keys;
+import dewlane.core.Value;
+import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
+import java.util.stream.IntStream;
+
+/** What tests of jobs with dependencies share. */
+final class DependencyFixtures {
+    private static final long REPLY_MS = 3000;
+
+    private DependencyFixtures() {}
+
+    /** The job, made to depend on those with the given numbers. */
+    static Job dependent(Job job, int... dependencies) {
+        return job.withAwaits(
+                IntStream.of(dependencies).mapToObj(SimFixtures::jobId).toList());
+    }
+
+    /** Two short tasks of one CPU. */
+    static Job smallJob(int number, int... dependencies) {
+        return dependent(job(number, 2, 1, 4), dependencies);
+    }
+
+    static SimController controller(SimCluster cluster, int number) {
+        return cluster.controllers.get("n" + number);
+    }
+
+    /** Submits a job through a controller, once, and waits for the answer. */
+    static Effect.AnswerUser submitThrough(SimController controller, Job job) {
+        controller.cluster.users.register(job);
+        return awaitAnswer(controller.cluster, onReply -> controller.submit(job, onReply));
+    }
+
+    /** Asks a controller about a job, once, and waits for the answer; null if that names no condition. */
+    static Condition pollCondition(SimController controller, String job) {
+        Effect.AnswerUser answer = awaitAnswer(controller.cluster, onReply -> controller.poll(job, onReply));
+        return answer.state() == null ? null : answer.state().condition();
+    }
+
+    private static Effect.AnswerUser awaitAnswer(SimCluster cluster, Consumer<Consumer<Effect.AnswerUser>> request) {
+        AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
+        request.accept(answer::set);
+        cluster.runFor(REPLY_MS);
+        assertNotNull(answer.get(), "no answer");
+        return answer.get();
+    }
+
+    static boolean doneInStore(SimCluster cluster, int job) {
+        return finalRecord(cluster, job) instanceof Value.FinalRecord result && !result.aborted();
+    }
+
+    static boolean abortedInStore(SimCluster cluster, int job) {
+        return finalRecord(cluster, job) instanceof Value.FinalRecord result && result.aborted();
+    }
+
+    private static Value finalRecord(SimCluster cluster, int job) {
+        return cluster.store.get(Keys.fin(jobId(job)));
+    }
+}
--- a/src/test/java/dewlane/sim/InvariantChecker.java
+++ b/src/test/java/dewlane/sim/InvariantChecker.java
@@ -2,277 +2,135 @@
 
 import dewlane.core.Effect.Condition;
 import dewlane.core.Job;
-import dewlane.core.Settings;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** The protocol's rules, checked against what the stand-ins know to be true. */
+/**
+ * Checks the protocol's invariants against what the simulated cluster knows to be true, and fails the run at the first
+ * one that is broken. What users are told is with {@link AnswerChecker}, places and quotas with
+ * {@link PlacementChecker}, and jobs that wait for too long with {@link StarvationChecker}.
+ */
 final class InvariantChecker {
-    /** A broken rule. */
+    /** A broken invariant. */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1;
-        final String rule;
 
-        Violation(String rule, String text) {
+        Violation(String text) {
             super(text);
-            this.rule = rule;
         }
     }
 
-    private final SimCluster cluster;
-    private final Map<String, Set<Integer>> done = new HashMap<>();
-    private final Map<String, Condition> finals = new HashMap<>();
-    private final Map<String, Long> finalsAt = new HashMap<>();
-    private final Set<String> cancellationsRequested = new HashSet<>();
-    private final Set<String> everStarted = new HashSet<>();
-    private final Map<String, Condition> last = new HashMap<>();
-    /** By job and machine, since when the job waits while that machine has room for it. */
-    private final Map<String, Map<String, Long>> waitsBeside = new HashMap<>();
-
-    int taskStarts;
-    /** Starts after their job's cancellation was confirmed, by launches that were on their way by then. */
-    int taskStartsInFlight;
     /** A launch sent longer after a confirmation than a controller's view may lag is one it should not have sent. */
-    private static final long VIEW_MS = 3000;
+    private static final long LONGEST_VIEW_LAG_MS = 3000;
 
-    private static final long MOST_WAIT_MS = 90_000;
+    private final SimCluster cluster;
+    private final AnswerChecker answers;
+    private final PlacementChecker placement;
+    private final Map<String, Set<Integer>> doneTasks = new HashMap<>();
+    private final Set<String> startedJobs = new HashSet<>();
+    /** Attempts that began to run so far. */
+    int taskStarts;
 
     InvariantChecker(SimCluster cluster) {
         this.cluster = cluster;
+        this.answers = new AnswerChecker(cluster, this);
+        this.placement = new PlacementChecker(cluster, this);
     }
 
-    void violated(String rule, String what) {
-        String job = what.split("[ /]")[0];
-        throw new Violation(
-                rule,
-                "seed " + cluster.seed + " at " + cluster.now() + " ms: " + rule + ": " + what + "\n"
-                        + cluster.recentTrace(job));
-    }
-
-    boolean isTaskDone(String job, int task) {
-        return done.getOrDefault(job, Set.of()).contains(task);
+    /** Fails the run; {@code what} begins with the job or machine that it is about. */
+    void violated(String invariant, String what) {
+        String subject = what.split("[ /]")[0];
+        throw new Violation("seed " + cluster.seed + " at " + cluster.now() + " ms: " + invariant + ": " + what + "\n"
+                + cluster.recentTrace(subject));
     }
 
     void taskDone(String job, int task) {
-        done.computeIfAbsent(job, j -> new HashSet<>()).add(task);
+        doneTasks.computeIfAbsent(job, id -> new HashSet<>()).add(task);
     }
 
-    void cancellationRequested(String job) {
-        cancellationsRequested.add(job);
+    boolean isTaskDone(String job, int task) {
+        return doneTasks.getOrDefault(job, Set.of()).contains(task);
     }
 
-    boolean allTasksDone(String job) {
-        return done.getOrDefault(job, Set.of()).size() == cluster.users.job(job).tasks();
+    int countDoneTasks(String job) {
+        return doneTasks.getOrDefault(job, Set.of()).size();
     }
 
-    void taskStarted(SimWorker on, SimAttempt task) {
-        taskStarts++;
-        if (finals.get(task.job) == Condition.ABORTED) {
-            taskStartsInFlight++;
-            if (task.launchSentAt - finalsAt.get(task.job) > VIEW_MS) {
-                violated(
-                        "started_cancelled",
-                        task.job + "/" + task.task + " on " + on.name + ", launched "
-                                + (task.launchSentAt - finalsAt.get(task.job))
-                                + " ms after its cancellation was confirmed");
-            }
-        }
-        Job job = cluster.users.job(task.job);
-        String name = task.job + "/" + task.task;
-        everStarted.add(task.job);
-        for (String awaited : job.awaits()) {
-            if (!allTasksDone(awaited)) {
-                violated("too_early", name + " started before " + awaited + " was done");
-            }
-        }
-        checkPlace(on, task, job, name);
-        checkLimit(job, name);
+    boolean allTasksDone(String job) {
+        return countDoneTasks(job) == cluster.users.job(job).tasks();
     }
 
-    /** No task is on two machines, and all are where their job allows them beside each other. */
-    private void checkPlace(SimWorker on, SimAttempt task, Job job, String name) {
-        int sameZone = 0;
-        for (SimWorker m : cluster.cloud.machines.values()) {
-            for (SimAttempt t : m.attempts.values()) {
-                if (!t.occupiesMachine() || t == task || !t.job.equals(task.job)) {
-                    continue;
-                }
-                if (t.task == task.task) {
-                    violated(
-                            "ran_twice",
-                            name + " on " + on.name + " #" + task.attempt + " and " + m.name + " #" + t.attempt);
-                }
-                sameZone += m.zone.equals(on.zone) ? 1 : 0;
-                if (job.oneZone() && !m.zone.equals(on.zone)) {
-                    violated("wrong_place", name + " not in the zone of its job");
-                }
-            }
-        }
-        if (!job.allows(on.type.name(), on.zone, on.spot) || (job.spread() && sameZone + 1 > (job.tasks() + 1) / 2)) {
-            violated("wrong_place", name + " on " + on.name);
-        }
+    boolean hasStarted(String job) {
+        return startedJobs.contains(job);
     }
 
-    private void checkLimit(Job job, String name) {
-        Settings.Team team = cluster.settings.teams().get(job.team());
-        double used = 0;
-        for (SimWorker m : cluster.cloud.machines.values()) {
-            for (SimAttempt t : m.attempts.values()) {
-                Job other = cluster.users.job(t.job);
-                used += t.occupiesMachine() && other.team().equals(team.name()) ? other.cpus() : 0;
+    void taskStarted(SimWorker worker, SimAttempt attempt) {
+        taskStarts++;
+        checkNotCancelled(worker, attempt);
+        startedJobs.add(attempt.job);
+        Job job = cluster.users.job(attempt.job);
+        String task = attempt.job + "/" + attempt.task;
+        for (String dependency : job.awaits()) {
+            if (!allTasksDone(dependency)) {
+                violated("too_early", task + " started before " + dependency + " was done");
             }
         }
-        if (team.cpusMax() > 0 && used > team.cpusMax() + 1e-9) {
-            violated("quota", name + " takes " + team.name() + " to " + used);
-        }
+        placement.checkPlace(worker, attempt);
+        placement.checkQuota(attempt);
     }
 
-    void conditionReported(String job, Condition condition, long askedAt) {
-        last.put(job, finals.getOrDefault(job, condition));
-        if (condition == Condition.DONE
-                && done.getOrDefault(job, Set.of()).size()
-                        < cluster.users.job(job).tasks()) {
-            violated("not_done", job + " was called done");
-        }
-        checkCancellation(job, condition, askedAt);
-        Condition known = finals.get(job);
-        // An answer to a question asked before the final state was told may overtake it on the way.
-        if (known != null
-                && condition != known
-                && (askedAt > finalsAt.get(job) && askedAt != Long.MAX_VALUE
-                        || condition == Condition.DONE
-                        || condition == Condition.ABORTED)) {
-            violated("went_back", job + " was called " + known + ", then " + condition);
-        }
-        if (known == null && (condition == Condition.DONE || condition == Condition.ABORTED)) {
-            finals.put(job, condition);
-            finalsAt.put(job, cluster.now());
-            last.put(job, condition);
+    /** A launch may still arrive after the cancellation of its job if it was on its way by then. */
+    private void checkNotCancelled(SimWorker worker, SimAttempt attempt) {
+        Long cancelledAt = answers.cancelledAt(attempt.job);
+        if (cancelledAt != null && attempt.launchSentAt - cancelledAt > LONGEST_VIEW_LAG_MS) {
+            violated(
+                    "started_cancelled",
+                    attempt.job + "/" + attempt.task + " on " + worker.name + ", launched "
+                            + (attempt.launchSentAt - cancelledAt)
+                            + " ms after its cancellation was confirmed");
         }
     }
 
-    /** Cancellations pass down to all jobs that need the cancelled one, within the time they have, and to no others. */
-    private void checkCancellation(String job, Condition condition, long askedAt) {
-        boolean askedSelf = cancellationsRequested.contains(job);
-        if (condition == Condition.ABORTED && !askedSelf) {
-            boolean through = needs(job).stream()
-                    .anyMatch(a -> cancellationsRequested.contains(a) && finals.get(a) != Condition.DONE);
-            if (!through) {
-                violated("went_back", job + " was called cancelled, but nobody asked");
-            }
-            if (everStarted.contains(job)) {
-                violated("cancelled_after_start", job + " had a task, so all that it awaited was done");
-            }
+    /** Checked after every event: no task runs for longer after its job's cancellation than a cancellation may take. */
+    void checkCancelledTasks() {
+        if (!answers.anyCancelled()) {
+            return;
         }
-        if (condition == Condition.PENDING || condition == Condition.RUNNING) {
-            for (String ancestor : needs(job)) {
-                long toldAt = finalsAt.getOrDefault(ancestor, Long.MAX_VALUE);
-                if (finals.get(ancestor) == Condition.ABORTED
-                        && askedAt != Long.MAX_VALUE
-                        && askedAt - toldAt > cluster.settings.cancelS() * 1000) {
+        for (SimWorker worker : cluster.workers()) {
+            for (SimAttempt attempt : worker.attempts()) {
+                if (attempt.occupiesMachine() && hasRunTooLong(attempt)) {
                     violated(
-                            "orphaned",
-                            job + " is called " + condition + ", " + ancestor + " was cancelled at " + toldAt);
+                            "ran_cancelled",
+                            attempt.job + "/" + attempt.task + " on " + worker.name + "\n"
+                                    + cluster.recentTrace(worker.name)
+                                    + cluster.recentTrace(FaultInjector.TRACE_PREFIX));
                 }
             }
         }
     }
 
-    /** All jobs that the job needs, directly or through others. */
-    private Set<String> needs(String job) {
-        Set<String> needed = new HashSet<>();
-        Deque<String> queue = new ArrayDeque<>(cluster.users.job(job).awaits());
-        while (!queue.isEmpty()) {
-            String id = queue.poll();
-            if (needed.add(id)) {
-                queue.addAll(cluster.users.job(id).awaits());
-            }
-        }
-        return needed;
-    }
-
-    /**
-     * From now on, with all troubles over, no job waits for 90 s while a machine that fits has room and its team is
-     * under its limit. Jobs that are bound to places by their other tasks are left out.
-     */
-    void watchForStarvation() {
-        cluster.every(1000, () -> {
-            for (String id : cluster.users.accepted()) {
-                Job job = cluster.users.job(id);
-                boolean waits = !cluster.users.isFinished(id) && !job.placesLinked() && waits(job) && underLimit(job);
-                Map<String, Long> beside = waitsBeside.computeIfAbsent(id, k -> new HashMap<>());
-                beside.keySet().removeIf(name -> !waits || !cluster.cloud.machines.containsKey(name));
-                for (SimWorker m : waits ? cluster.cloud.machines.values() : List.<SimWorker>of()) {
-                    if (!m.hasRoom(job)) {
-                        beside.remove(m.name);
-                    } else if (cluster.now() - beside.computeIfAbsent(m.name, k -> cluster.now()) > MOST_WAIT_MS) {
-                        violated(
-                                "left_waiting",
-                                id + " waits beside room on " + m.name + " of "
-                                        + dewlane.core.Partitions.owner(
-                                                (dewlane.core.Value.ClusterMap)
-                                                        cluster.store.get(dewlane.core.Keys.MAP),
-                                                m.name)
-                                        + "\n" + cluster.recentTrace(m.name) + cluster.describeJob(id));
-                    }
-                }
-            }
-        });
+    private boolean hasRunTooLong(SimAttempt attempt) {
+        Long cancelledAt = answers.cancelledAt(attempt.job);
+        return cancelledAt != null && cluster.now() - cancelledAt > cluster.settings.cancelS() * 1000;
     }
 
-    private boolean waits(Job job) {
-        if (!job.awaits().stream().allMatch(this::allTasksDone)) {
-            return false;
-        }
-        long held = done.getOrDefault(job.id(), Set.of()).size();
-        for (SimWorker m : cluster.cloud.machines.values()) {
-            held += m.attempts.values().stream()
-                    .filter(t -> t.job.equals(job.id()) && t.phase != dewlane.core.Report.Phase.EXITED)
-                    .count();
-        }
-        return held < job.tasks();
+    void cancellationRequested(String job) {
+        answers.cancellationRequested(job);
     }
 
-    private boolean underLimit(Job job) {
-        double used = job.cpus();
-        for (SimWorker m : cluster.cloud.machines.values()) {
-            for (SimAttempt t : m.attempts.values()) {
-                Job other = cluster.users.job(t.job);
-                used += t.phase != dewlane.core.Report.Phase.EXITED
-                                && other.team().equals(job.team())
-                        ? other.cpus()
-                        : 0;
-            }
-        }
-        double most = cluster.settings.teams().get(job.team()).cpusMax();
-        return most <= 0 || used <= most + 1e-9;
+    /** A user was told the job's condition; the time at which they asked is {@link Long#MAX_VALUE} if unknown. */
+    void conditionReported(String job, Condition condition, long askedAt) {
+        answers.conditionReported(job, condition, askedAt);
     }
 
     Condition lastReportedCondition(String job) {
-        return last.get(job);
+        return answers.lastReportedCondition(job);
     }
 
-    /** Checked after every step of the world. */
-    void checkCancelledTasks() {
-        if (!finals.containsValue(Condition.ABORTED)) {
-            return;
-        }
-        for (SimWorker m : cluster.cloud.machines.values()) {
-            for (SimAttempt t : m.attempts.values()) {
-                if (t.occupiesMachine()
-                        && finals.get(t.job) == Condition.ABORTED
-                        && cluster.now() - finalsAt.get(t.job) > cluster.settings.cancelS() * 1000) {
-                    violated(
-                            "ran_cancelled",
-                            t.job + "/" + t.task + " on " + m.name + "\n" + cluster.recentTrace(m.name)
-                                    + cluster.recentTrace("strike"));
-                }
-            }
-        }
+    /** From now on, with all faults over, no job may wait for long beside a machine that has room for it. */
+    void watchForStarvation() {
+        new StarvationChecker(cluster, this).start();
     }
 }
--- /dev/null
+++ b/src/test/java/dewlane/sim/NetworkPartitionTest.java
@@ -0,0 +1,170 @@
+package dewlane.sim;
+
+import static dewlane.sim.SimFixtures.anotherController;
+import static dewlane.sim.SimFixtures.assertFinished;
+import static dewlane.sim.SimFixtures.assertRecovers;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.jobs;
+import static dewlane.sim.SimFixtures.leader;
+import static dewlane.sim.SimFixtures.partitionMap;
+import static dewlane.sim.SimFixtures.submitInTurn;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.Keys;
+import dewlane.core.Partitions;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Controllers and workers are up, but messages do not pass between some of them. */
+class NetworkPartitionTest {
+    private static final long SEED = 5;
+    private static final String JOB = jobId(1);
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2})
+    void zoneWithWorkersAndControllerCutOffForLongerThanLeaseRecovers(long seed) {
+        SimCluster cluster = cluster(seed, 6);
+        cluster.bootMachines(6, "west");
+        cluster.runUntil(15_000);
+        cluster.users.submit(job(1, 20, 2, 60));
+        cluster.runUntil(25_000);
+        SimController inside = cluster.controllers.get("n0");
+        inside.isolate();
+        for (SimWorker worker : cluster.workers()) {
+            worker.blockedControllers.addAll(worker.zone.equals("west") ? List.of("n1", "n2") : List.of("n0"));
+        }
+        long runningInWest = cluster.workers().stream()
+                .filter(worker -> worker.zone.equals("west"))
+                .mapToLong(SimWorker::runningTasks)
+                .sum();
+        assertTrue(runningInWest > 0, "tasks run in the zone");
+        cluster.users.cancelThrough(cluster.controllers.get("n1"), JOB);
+        cluster.users.submit(job(2, 6, 2, 5));
+        cluster.runUntil(25_000 + 1000 * (long) cluster.settings.leaseS() + 25_000);
+        inside.endIsolation();
+        cluster.workers().forEach(worker -> worker.blockedControllers.clear());
+        assertRecovers(cluster, 200_000);
+    }
+
+    /** What is launched by direct commands on a machine that cannot report is lost with its lease. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2})
+    void workerThatOnlyCommandsReachGetsNoMoreLaunchesOnceItIsSilent(long seed) {
+        SimCluster cluster = cluster(seed, 6);
+        cluster.cloud.capacity = 6;
+        cluster.runUntil(12_000);
+        SimWorker worker = List.copyOf(cluster.workers()).get(0);
+        worker.outboundBlocked = true;
+        submitInTurn(cluster, 900, 900, jobs(1, 60, i -> job(i, 20, 1, 4)));
+        cluster.runUntil(14_000);
+        assertTrue(worker.runningTasks() > 0, "commands reach it");
+        cluster.runUntil(40_000);
+        String events = cluster.recentTrace("on " + worker.name);
+        assertFalse(
+                events.lines().anyMatch(line -> line.contains(" start ") && timeOf(line) > 33_000),
+                "nothing more began there\n" + events);
+        worker.outboundBlocked = false;
+        assertRecovers(cluster, 300_000);
+    }
+
+    private static long timeOf(String traceLine) {
+        return Long.parseLong(traceLine.substring(0, traceLine.indexOf(' ')));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void isolatedLeaderMissesCancellationThatItsSuccessorConfirms(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        cluster.users.submit(job(1, 18, 2, 300));
+        cluster.runUntil(25_000);
+        SimController leader = leader(cluster);
+        leader.isolate();
+        cluster.runUntil(25_000 + 1500 * seed);
+        cluster.users.cancelThrough(anotherController(cluster, leader), JOB);
+        cluster.every(500, () -> cluster.users.pollThrough(leader, JOB));
+        cluster.runUntil(100_000);
+        assertNotEquals(leader.name, Partitions.leader(partitionMap(cluster)), "another leads");
+        leader.endIsolation();
+        assertRecovers(cluster, 200_000);
+    }
+
+    /** Seen in a recorded incident: workers cut from their controller were sent back to it until their leases ended. */
+    @Test
+    void workersCutFromTheirControllerMoveAndLoseNoTask() {
+        SimCluster cluster = cluster(SEED, 9);
+        cluster.users.submit(job(1, 18, 2, 60));
+        cluster.runUntil(25_000);
+        assertEquals(18, cluster.checker.taskStarts);
+        cluster.controllers.get("n0").cutFromWorkers = true;
+        cluster.runUntil(200_000);
+        assertEquals(18, cluster.checker.taskStarts, "every task ran on where it was");
+        assertEquals(9, cluster.workers().size(), "no machine was deleted for its silence");
+        assertFinished(cluster, JOB);
+    }
+
+    /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
+    @Test
+    void controllerThatWasCutOffCondemnsNoMachineOnItsReturn() {
+        SimCluster cluster = cluster(SEED, 9);
+        cluster.users.submit(job(1, 18, 2, 80));
+        cluster.runUntil(25_000);
+        SimController controller = cluster.controllers.get("n1");
+        controller.cutFromStore = true;
+        controller.cutFromWorkers = true;
+        cluster.runUntil(60_000);
+        controller.cutFromStore = false;
+        controller.cutFromWorkers = false;
+        cluster.runUntil(90_000);
+        assertNoMachineCondemned(cluster);
+        assertEquals(18, cluster.checker.taskStarts);
+    }
+
+    /** A controller alone stands still for longer than machines may be silent: what it slept through condemns none. */
+    @Test
+    void controllerThatWasFrozenCondemnsNoMachineWhenItGoesOn() {
+        SimCluster cluster = cluster(SEED, 9);
+        cluster.controllers.get("n1").crash(600_000);
+        cluster.controllers.get("n2").crash(600_000);
+        cluster.runUntil(20_000);
+        cluster.users.submit(job(1, 18, 2, 80));
+        cluster.runUntil(35_000);
+        // Nobody can take its partition over: its lease stays for as long as the store is out.
+        cluster.store.outage(45_000);
+        cluster.controllers.get("n0").freeze(44_000);
+        cluster.runUntil(200_000);
+        assertNoMachineCondemned(cluster);
+        for (int i = 1; i <= 9; i++) {
+            assertTrue(cluster.cloud.machines.containsKey("vm-00000" + i), "machine " + i + " was not deleted");
+        }
+    }
+
+    /** A fault the users named: a controller loses the store and the other controllers, not its workers. */
+    @Test
+    void isolatedControllerHandsItsWorkersOverAndCondemnsNoMachine() {
+        SimCluster cluster = cluster(SEED, 9);
+        cluster.users.submit(job(1, 18, 2, 60));
+        cluster.runUntil(25_000);
+        SimController controller = cluster.controllers.get("n1");
+        controller.isolate();
+        cluster.runUntil(45_000);
+        cluster.users.submit(job(2, 18, 1, 5));
+        cluster.runUntil(120_000);
+        assertFinished(cluster, jobId(2));
+        controller.endIsolation();
+        cluster.runUntil(160_000);
+        assertEquals(36, cluster.checker.taskStarts, "no task was lost");
+        assertNoMachineCondemned(cluster);
+    }
+
+    private static void assertNoMachineCondemned(SimCluster cluster) {
+        assertEquals(Map.of(), cluster.store.scan(Keys.MACHINES));
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/PlacementChecker.java
@@ -0,0 +1,61 @@
+package dewlane.sim;
+
+import dewlane.core.Job;
+import dewlane.core.Settings;
+
+/** Checks where tasks start: each on one machine, where its job allows it, and within its team's quota. */
+final class PlacementChecker {
+    private static final double CPU_TOLERANCE = 1e-9;
+
+    private final SimCluster cluster;
+    private final InvariantChecker checker;
+
+    PlacementChecker(SimCluster cluster, InvariantChecker checker) {
+        this.cluster = cluster;
+        this.checker = checker;
+    }
+
+    /** No task is on two machines, and all are where their job allows them beside each other. */
+    void checkPlace(SimWorker worker, SimAttempt attempt) {
+        Job job = cluster.users.job(attempt.job);
+        String task = attempt.job + "/" + attempt.task;
+        int inSameZone = 0;
+        for (SimWorker otherWorker : cluster.workers()) {
+            for (SimAttempt other : otherWorker.attempts()) {
+                if (!other.occupiesMachine() || other == attempt || !other.job.equals(attempt.job)) {
+                    continue;
+                }
+                if (other.task == attempt.task) {
+                    checker.violated(
+                            "ran_twice",
+                            task + " on " + worker.name + " #" + attempt.number + " and " + otherWorker.name + " #"
+                                    + other.number);
+                }
+                boolean sameZone = otherWorker.zone.equals(worker.zone);
+                inSameZone += sameZone ? 1 : 0;
+                if (job.oneZone() && !sameZone) {
+                    checker.violated("wrong_place", task + " not in the zone of its job");
+                }
+            }
+        }
+        boolean tooManyInZone = job.spread() && inSameZone + 1 > (job.tasks() + 1) / 2;
+        if (!job.allows(worker.type.name(), worker.zone, worker.spot) || tooManyInZone) {
+            checker.violated("wrong_place", task + " on " + worker.name);
+        }
+    }
+
+    void checkQuota(SimAttempt attempt) {
+        Settings.Team team =
+                cluster.settings.teams().get(cluster.users.job(attempt.job).team());
+        double used = 0;
+        for (SimWorker worker : cluster.workers()) {
+            for (SimAttempt other : worker.attempts()) {
+                Job job = cluster.users.job(other.job);
+                used += other.occupiesMachine() && job.team().equals(team.name()) ? job.cpus() : 0;
+            }
+        }
+        if (team.cpusMax() > 0 && used > team.cpusMax() + CPU_TOLERANCE) {
+            checker.violated("quota", attempt.job + "/" + attempt.task + " takes " + team.name() + " to " + used);
+        }
+    }
+}
--- a/src/test/java/dewlane/sim/RandomFaultsTest.java
+++ b/src/test/java/dewlane/sim/RandomFaultsTest.java
@@ -1,186 +1,166 @@
 package dewlane.sim;
 
+import static dewlane.sim.SimFixtures.assertOnlyFinalStatesLeft;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.Keys;
 import dewlane.core.Settings;
 import dewlane.core.StateLimits;
-import java.util.List;
-import java.util.Map;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Several cores against the stand-ins, with every kind of failure, in seeded random order. */
+/** Several controllers under every kind of fault, in seeded random order. */
 class RandomFaultsTest {
     private static final int RUNS_PER_GROUP = Integer.getInteger("dewlane.runs", 6);
+    private static final int FIRST_SEED = 1000;
+    private static final int FIRST_UPGRADE_SEED = 5000;
+    private static final int FIRST_GUARD_SEED = 100;
+    private static final int LAST_GUARD_SEED = 400;
     static final long STORM_MS = 240_000;
     private static final long CALM_MS = 700_000;
+    /** What hangs or is cut off at the end of the storm does so for up to a minute more. */
+    private static final long LONGEST_FAULT_MS = 60_000;
 
-    private static final StateLimits LIMITS_NOW = StateLimits.constant(150, 60, 16_384, 16);
+    private static final double DEPENDENCY_RATE = 0.4;
 
-    private static List<String> names(int controllers) {
-        return IntStream.range(0, controllers).mapToObj(i -> "n" + i).toList();
-    }
-
-    /** The next limits are those that {@link #shrinking} worlds change to. */
-    private static final StateLimits LIMITS =
-            new StateLimits(new StateLimits.Limits(150, 60, 16_384, 16), new StateLimits.Limits(150, 45, 1536, 4));
+    /** The limits that the store shrinks to in an upgrade. */
+    private static final StateLimits SHRINKING_LIMITS =
+            new StateLimits(SimSettings.USUAL_LIMITS, new StateLimits.Limits(150, 45, 1536, 4));
 
-    /** Blue's limit is lent launch by launch, green's is shared by the controllers, red has none. */
-    private static Settings settings(int controllers, StateLimits limits) {
-        return new Settings(
-                "none",
-                names(controllers),
-                Map.of(
-                        "green",
+    /** Blue's quota is lent launch by launch, green's is shared by the controllers, red has none. */
+    private static Settings settings(int controllers, boolean upgrade) {
+        SimSettings settings = new SimSettings()
+                .controllers(controllers)
+                .teams(
                         new Settings.Team("green", 6, 0, 4.0 * controllers, 0),
-                        "blue",
                         new Settings.Team("blue", 6, 0, 11.5, 0),
-                        "red",
-                        new Settings.Team("red", 0, 0, 0, 0)),
-                List.of(new Settings.Objective("finished", null, 60)),
-                List.of("east", "west"),
-                3,
-                20,
-                50,
-                limits,
-                10,
-                3,
-                new Settings.Tuning(3000, 9, 20, 4, 4));
+                        new Settings.Team("red", 0, 0, 0, 0))
+                .objectives(new Settings.Objective("finished", null, 60))
+                .workerTimes(3, 20, 50)
+                .silentS(9)
+                .idleS(20)
+                .sharedCpus(4);
+        return upgrade ? settings.storeLimits(SHRINKING_LIMITS).build() : settings.build();
     }
 
-    /** Runs a storm of failures, then calm. */
     private static SimCluster run(long seed, int controllers, SimCluster.DisabledGuard disabledGuard) {
         return run(seed, controllers, disabledGuard, false);
     }
 
     /**
-     * Runs a storm of failures, then calm. In an upgrade all controllers begin as the version before and are replaced a
-     * few at a time; once all are new, users ask for what is new, and soon the state service's limits shrink.
+     * Runs a storm of faults, then calm. In an upgrade all controllers begin as the version before and are replaced a
+     * few at a time; once all are new, users ask for what is new, and soon the store's limits shrink.
      */
     private static SimCluster run(long seed, int controllers, SimCluster.DisabledGuard disabledGuard, boolean upgrade) {
-        SimCluster cluster = new SimCluster(seed, settings(controllers, upgrade ? LIMITS : LIMITS_NOW), disabledGuard);
-        cluster.users.dependencyRate = upgrade ? 0 : 0.4;
-        for (String name : names(controllers)) {
-            SimController controller = new SimController(cluster, name);
-            controller.runsVersion01 = upgrade;
-            cluster.controllers.put(name, controller);
-            cluster.after(cluster.between(0, 800), controller::start);
-        }
-        for (int i = 0; i < 4; i++) {
-            SimWorker m = cluster.cloud.create(i % 2 == 0 ? "small" : "large", i < 2 ? "east" : "west", i % 2 == 0);
-            cluster.after(cluster.between(0, 500), m::boot);
-        }
+        SimCluster cluster = new SimCluster(seed, settings(controllers, upgrade), disabledGuard);
+        RandomWorkload workload = new RandomWorkload(cluster);
+        workload.dependencyRate = upgrade ? 0 : DEPENDENCY_RATE;
+        startAtRandomTimes(cluster, upgrade);
         if (upgrade) {
-            upgrade(cluster);
+            scheduleUpgrade(cluster, workload);
         }
         cluster.every(2600, () -> {
             if (cluster.now() < STORM_MS) {
-                cluster.users.submitRandomJob();
+                workload.submitRandomJob();
             }
         });
         cluster.every(400, cluster.users::pollRandomJob);
-        cluster.every(3000, cluster.users::sendUnusualRequest);
+        cluster.every(3000, workload::sendUnusualRequest);
         cluster.every(5000, () -> {
             if (cluster.now() < STORM_MS) {
-                // Two at once, as troubles are seldom alone.
-                FaultInjector.strike(cluster);
-                FaultInjector.strike(cluster);
+                // Two at once, as faults are seldom alone.
+                FaultInjector.inject(cluster);
+                FaultInjector.inject(cluster);
             }
         });
         cluster.runUntil(STORM_MS);
-        cluster.messageFaultRate = 0;
-        cluster.store.extraLatencyMs = 0;
-        cluster.store.delayedWriteRate = 0;
-        cluster.users.cancelOnCompletionRate = 0;
-        cluster.cloud.delayedCommandRate = 0;
+        endFaults(cluster);
         cluster.users.pollUnfinishedJobs();
-        // What hangs or is cut off at the end of the storm does so for up to a minute more.
-        cluster.after(60_000, cluster.checker::watchForStarvation);
+        cluster.after(LONGEST_FAULT_MS, cluster.checker::watchForStarvation);
         cluster.runUntil(CALM_MS);
         return cluster;
     }
 
+    private static void startAtRandomTimes(SimCluster cluster, boolean asVersion01) {
+        for (String name : cluster.settings.peers()) {
+            SimController controller = cluster.addController(name, asVersion01);
+            cluster.after(cluster.between(0, 800), controller::start);
+        }
+        for (int i = 0; i < 4; i++) {
+            String type = i % 2 == 0 ? "small" : "large";
+            String zone = i < 2 ? "east" : "west";
+            SimWorker worker = cluster.cloud.create(type, zone, i % 2 == 0);
+            cluster.after(cluster.between(0, 500), worker::boot);
+        }
+    }
+
     /** Controllers that end before their turn come back as they were. */
-    private static void upgrade(SimCluster cluster) {
+    private static void scheduleUpgrade(SimCluster cluster, RandomWorkload workload) {
         long at = cluster.between(40_000, 70_000);
         for (SimController controller : cluster.controllers.values()) {
             cluster.after(at, () -> controller.upgrade(cluster.between(100, 6000)));
             at += cluster.between(0, 9000);
         }
-        cluster.after(at, () -> cluster.users.dependencyRate = 0.4);
+        cluster.after(at, () -> workload.dependencyRate = DEPENDENCY_RATE);
         cluster.after(at + cluster.between(0, 30_000), cluster.store.limits::shrink);
     }
 
+    private static void endFaults(SimCluster cluster) {
+        cluster.messageFaultRate = 0;
+        cluster.store.extraLatencyMs = 0;
+        cluster.store.delayedWriteRate = 0;
+        cluster.users.cancelOnCompletionRate = 0;
+        cluster.commands.delayRate = 0;
+    }
+
     @ParameterizedTest
     @CsvSource({"0, 3", "1, 3", "2, 5", "3, 5", "4, 7"})
-    void noRuleBreaksAndEveryJobEnds(int group, int controllers) {
+    void randomFaultsBreakNoInvariantAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
-            long seed = 1000 + group * RUNS_PER_GROUP + i;
+            long seed = FIRST_SEED + group * RUNS_PER_GROUP + i;
             SimCluster cluster = run(seed, controllers, SimCluster.DisabledGuard.NONE);
+            int accepted = cluster.users.accepted().size();
             assertTrue(
                     cluster.checker.taskStarts > 50,
                     "seed " + seed + ": only " + cluster.checker.taskStarts + " starts");
-            assertTrue(
-                    cluster.users.accepted().size() > 30,
-                    "seed " + seed + ": " + cluster.users.accepted().size() + " accepted");
-            for (String id : cluster.users.accepted()) {
-                assertNotNull(
-                        cluster.store.get(Keys.fin(id)),
-                        "seed " + seed + ": " + id + " never ended\n" + cluster.recentTrace(id)
-                                + cluster.describeJob(id));
-            }
-            assertEquals(
-                    Map.of(),
-                    cluster.store.scan(Keys.JOBS),
-                    "seed " + seed + ": jobs that are over leave nothing but their final state");
-            assertEquals(Map.of(), cluster.store.scan(Keys.SLICES), "seed " + seed);
+            assertTrue(accepted > 30, "seed " + seed + ": " + accepted + " accepted");
+            assertOnlyFinalStatesLeft(cluster);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"0, 3", "1, 5", "2, 7"})
-    void noRuleBreaksWhileOneVersionReplacesAnotherAndTheLimitsShrink(int group, int controllers) {
+    void randomFaultsDuringRollingUpgradeBreakNoInvariantAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
-            long seed = 5000 + group * RUNS_PER_GROUP + i;
+            long seed = FIRST_UPGRADE_SEED + group * RUNS_PER_GROUP + i;
             SimCluster cluster = run(seed, controllers, SimCluster.DisabledGuard.NONE, true);
             assertTrue(
                     cluster.checker.taskStarts > 50,
                     "seed " + seed + ": only " + cluster.checker.taskStarts + " starts");
-            for (String id : cluster.users.accepted()) {
-                assertNotNull(
-                        cluster.store.get(Keys.fin(id)),
-                        "seed " + seed + ": " + id + " never ended\n" + cluster.recentTrace(id)
-                                + cluster.describeJob(id));
-            }
-            assertEquals(Map.of(), cluster.store.scan(Keys.JOBS), "seed " + seed);
-            assertEquals(Map.of(), cluster.store.scan(Keys.SLICES), "seed " + seed);
+            assertOnlyFinalStatesLeft(cluster);
         }
     }
 
-    /** The checker is worth something only if it sees a rule broken once its guard is gone. */
+    /** The checker is worth something only if it sees an invariant broken once its guard is gone. */
     @ParameterizedTest
     @EnumSource(
             value = SimCluster.DisabledGuard.class,
             names = {"TEAM_GUARD", "SLICE_GUARD", "JOB_GUARD", "WORKER_TOKEN"})
-    void theCheckerSeesABrokenGuard(SimCluster.DisabledGuard disabledGuard) {
-        for (long seed = 100; seed <= 400; seed++) {
+    void invariantCheckerFailsRunWithoutGuard(SimCluster.DisabledGuard disabledGuard) {
+        for (long seed = FIRST_GUARD_SEED; seed <= LAST_GUARD_SEED; seed++) {
             try {
                 run(seed, 3, disabledGuard);
             } catch (InvariantChecker.Violation e) {
                 return;
             }
         }
-        throw new AssertionError("300 runs without " + disabledGuard + " broke no rule");
+        throw new AssertionError("300 runs without " + disabledGuard + " broke no invariant");
     }
 
     @Test
-    void theSameSeedIsTheSameRun() {
+    void sameSeedGivesSameRun() {
         SimCluster one = run(77, 3, SimCluster.DisabledGuard.NONE);
         SimCluster two = run(77, 3, SimCluster.DisabledGuard.NONE);
         assertEquals(one.checker.taskStarts, two.checker.taskStarts);
--- a/src/test/java/dewlane/sim/RollingUpgradeTest.java
+++ b/src/test/java/dewlane/sim/RollingUpgradeTest.java
@@ -1,8 +1,10 @@
 package dewlane.sim;
 
+import static dewlane.sim.SimFixtures.assertFinished;
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.partitionMap;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -11,8 +13,6 @@
 import dewlane.core.Effect;
 import dewlane.core.Job;
 import dewlane.core.Keys;
-import dewlane.core.Priority;
-import dewlane.core.Settings;
 import dewlane.core.StateLimits;
 import dewlane.core.Value;
 import dewlane.wire.ValueCodec;
@@ -24,66 +24,63 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One version replaces another while both serve, and the state service's limits shrink under what is stored. */
+/** One version replaces another while both serve, and the store's limits shrink under what is stored. */
 class RollingUpgradeTest {
-    private static final StateLimits.Limits NOW = new StateLimits.Limits(150, 60, 16_384, 16);
+    private static final long SETTLED_MS = 10_000;
 
-    /** Three controllers of the version before, with machines that have settled. */
-    private static SimCluster cluster(long seed, StateLimits.Limits next, int machines) {
-        Settings settings = new Settings(
-                "none",
-                List.of("n0", "n1", "n2"),
-                SimFixtures.NO_QUOTA,
-                List.of(),
-                List.of("east", "west"),
-                3,
-                30,
-                60,
-                new StateLimits(NOW, next),
-                10,
-                3,
-                new Settings.Tuning(3000, 12, 300, 4, 256));
-        SimCluster cluster = new SimCluster(seed, settings, SimCluster.DisabledGuard.NONE);
-        cluster.messageFaultRate = 0;
+    /** Three controllers of version 0.1, with machines that have settled. */
+    private static SimCluster version01Cluster(long seed, int machines, StateLimits.Limits nextLimits) {
+        SimSettings settings = new SimSettings().storeLimits(new StateLimits(SimSettings.USUAL_LIMITS, nextLimits));
+        SimCluster cluster = SimCluster.withReliableLinks(seed, settings.build());
         cluster.cloud.capacity = machines;
-        for (String name : settings.peers()) {
-            SimController controller = new SimController(cluster, name);
-            controller.runsVersion01 = true;
-            cluster.controllers.put(name, controller);
-            controller.start();
-        }
-        for (int i = 0; i < machines; i++) {
-            cluster.cloud.create("small", "east", true).boot();
-        }
-        cluster.runUntil(10_000);
+        cluster.startControllers(true);
+        cluster.bootMachines(machines, "east");
+        cluster.runUntil(SETTLED_MS);
         return cluster;
     }
 
-    private static void upgradeAll(SimCluster cluster, long everyMs) {
+    private static SimCluster version01Cluster(long seed, int machines) {
+        return version01Cluster(seed, machines, SimSettings.USUAL_LIMITS);
+    }
+
+    private static StateLimits.Limits limits(int valueBytes, int txnOps) {
+        return new StateLimits.Limits(150, 40, valueBytes, txnOps);
+    }
+
+    private static void upgrade(SimCluster cluster, String controller, long backAfterMs) {
+        cluster.controllers.get(controller).upgrade(backAfterMs);
+    }
+
+    private static void upgradeAll(SimCluster cluster, long intervalMs) {
         long at = 0;
         for (SimController controller : cluster.controllers.values()) {
             cluster.after(at, () -> controller.upgrade(2000));
-            at += everyMs;
+            at += intervalMs;
         }
         cluster.runFor(at + 5000);
     }
 
-    private static int largestSlice(SimCluster cluster) {
+    private static int largestSliceBytes(SimCluster cluster) {
         return cluster.store.scan(Keys.SLICES).values().stream()
-                .mapToInt(v -> ValueCodec.bytes(v).length)
+                .mapToInt(slice -> ValueCodec.bytes(slice).length)
                 .max()
                 .orElse(0);
     }
 
+    private static List<String> members(SimCluster cluster) {
+        return partitionMap(cluster).members().stream().map(Value.Member::name).toList();
+    }
+
     /** Limits under which a stored slice is cut at once, and ones under which it is cut by later slices. */
     @ParameterizedTest
     @CsvSource({"1, 2048, 5", "2, 2048, 5", "3, 1024, 5", "4, 1024, 3", "5, 1024, 2", "6, 1200, 16"})
-    void whatWasStoredUnderLargerLimitsIsBroughtWithinTheSmallerOnes(long seed, int valueBytes, int txnOps) {
-        SimCluster cluster = cluster(seed, new StateLimits.Limits(150, 40, valueBytes, txnOps), 420);
-        cluster.users.submit(job(1, Priority.HIGH, 300, 4, 150));
-        cluster.users.submit(job(2, Priority.HIGH, 900, 1, 3));
+    void valuesStoredUnderLargerLimitsAreCutToSmallerOnes(long seed, int valueBytes, int txnOps) {
+        SimCluster cluster = version01Cluster(seed, 420, limits(valueBytes, txnOps));
+        cluster.users.submit(job(1, 300, 4, 150));
+        cluster.users.submit(job(2, 900, 1, 3));
         cluster.runUntil(25_000);
-        assertTrue(largestSlice(cluster) > valueBytes, largestSlice(cluster) + " bytes are the most that is stored");
+        int bytes = largestSliceBytes(cluster);
+        assertTrue(bytes > valueBytes, bytes + " bytes are the most that is stored");
         upgradeAll(cluster, 3000);
         cluster.store.limits.shrink();
         cluster.runFor(60_000);
@@ -96,14 +93,14 @@
 
     /** The shrinking may come while a controller that is down has not shown yet which version it is. */
     @Test
-    void aControllerThatStaysDownDoesNotKeepLargeValuesFromBeingCut() {
-        SimCluster cluster = cluster(7, new StateLimits.Limits(150, 40, 1024, 3), 150);
-        cluster.users.submit(job(1, Priority.HIGH, 150, 4, 150));
+    void controllerThatStaysDownDoesNotKeepLargeValuesFromBeingCut() {
+        SimCluster cluster = version01Cluster(7, 150, limits(1024, 3));
+        cluster.users.submit(job(1, 150, 4, 150));
         cluster.runUntil(25_000);
-        assertTrue(largestSlice(cluster) > 1024);
+        assertTrue(largestSliceBytes(cluster) > 1024);
         cluster.controllers.get("n2").crash(900_000);
-        cluster.controllers.get("n0").upgrade(2000);
-        cluster.controllers.get("n1").upgrade(3000);
+        upgrade(cluster, "n0", 2000);
+        upgrade(cluster, "n1", 3000);
         cluster.runFor(10_000);
         cluster.store.limits.shrink();
         assertRecovers(cluster, 500_000);
@@ -111,84 +108,78 @@
     }
 
     @Test
-    void whatIsNewIsRefusedWhileAnOlderVersionRunsAndTheRestIsServed() {
-        SimCluster cluster = cluster(8, NOW, 9);
-        cluster.users.submit(job(1, Priority.HIGH, 2, 1, 5));
+    void dependenciesAreRefusedWhileVersion01RunsAndOtherJobsAreServed() {
+        SimCluster cluster = version01Cluster(8, 9);
+        cluster.users.submit(job(1, 2, 1, 5));
         cluster.runUntil(15_000);
-        cluster.controllers.get("n0").upgrade(1000);
+        upgrade(cluster, "n0", 1000);
         cluster.runUntil(22_000);
-        Job waiting = job(2, Priority.HIGH, 2, 1, 5).withAwaits(List.of(jobId(1)));
-        cluster.users.register(waiting);
+        Job dependant = job(2, 2, 1, 5).withAwaits(List.of(jobId(1)));
+        cluster.users.register(dependant);
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
-        cluster.controllers.get("n0").submit(waiting, answer::set);
-        cluster.users.submit(job(3, Priority.HIGH, 2, 1, 5));
+        cluster.controllers.get("n0").submit(dependant, answer::set);
+        cluster.users.submit(job(3, 2, 1, 5));
         cluster.runUntil(25_000);
         assertEquals(503, answer.get().status());
         assertTrue(answer.get().retryAfterS() > 0);
         assertNull(cluster.store.get(Keys.job(jobId(2))));
         assertNotNull(cluster.store.get(Keys.job(jobId(3))));
         upgradeAll(cluster, 4000);
-        cluster.users.submit(waiting);
+        cluster.users.submit(dependant);
         assertRecovers(cluster, 60_000);
         assertTrue(cluster.users.isFinished(jobId(2)));
     }
 
     /**
-     * A controller of the version before is down, its lease has ended, and it comes back as it was: it would start what
-     * awaits other jobs.
+     * A controller of version 0.1 is down, its lease has ended, and it comes back as it was: it would start what
+     * depends on other jobs.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void whatIsNewIsRefusedWhileAControllerThatIsDownMayComeBackAsItWas(long seed) {
-        SimCluster cluster = cluster(seed, NOW, 9);
+    void dependenciesAreRefusedWhileControllerThatIsDownMayComeBackAsVersion01(long seed) {
+        SimCluster cluster = version01Cluster(seed, 9);
         cluster.controllers.get("n2").crash(25_000);
-        cluster.controllers.get("n0").upgrade(1000);
-        cluster.controllers.get("n1").upgrade(1500);
+        upgrade(cluster, "n0", 1000);
+        upgrade(cluster, "n1", 1500);
         cluster.runUntil(20_000);
-        assertEquals(List.of("n0", "n1"), members(cluster), "the map knows no controller of the version before");
-        cluster.users.submit(job(1, Priority.HIGH, 2, 1, 100));
+        assertEquals(List.of("n0", "n1"), members(cluster), "the map knows no controller of version 0.1");
+        cluster.users.submit(job(1, 2, 1, 100));
         cluster.runUntil(22_000);
-        Job waiting = job(2, Priority.HIGH, 8, 1, 5).withAwaits(List.of(jobId(1)));
-        cluster.users.submit(waiting);
+        Job dependant = job(2, 8, 1, 5).withAwaits(List.of(jobId(1)));
+        cluster.users.submit(dependant);
         cluster.runUntil(40_000);
         assertEquals(3, members(cluster).size(), "it is back");
         // With the others away it has all the work.
         cluster.controllers.get("n0").crash(15_000);
         cluster.controllers.get("n1").crash(15_000);
         cluster.runUntil(65_000);
-        assertEquals(List.of(jobId(1)), cluster.users.accepted(), "what is new is refused until it is upgraded, too");
-        cluster.controllers.get("n2").upgrade(2000);
+        assertEquals(List.of(jobId(1)), cluster.users.accepted(), "refused until it is upgraded, too");
+        upgrade(cluster, "n2", 2000);
         cluster.runUntil(75_000);
         // From now on it may be down: it has shown what it knows.
         cluster.controllers.get("n2").crash(30_000);
         cluster.runUntil(90_000);
-        cluster.users.submit(waiting);
+        cluster.users.submit(dependant);
         cluster.runUntil(95_000);
         assertEquals(List.of(jobId(1), jobId(2)), cluster.users.accepted());
         assertRecovers(cluster, 250_000);
         assertTrue(cluster.users.isFinished(jobId(2)));
     }
 
-    private static List<String> members(SimCluster cluster) {
-        return SimFixtures.partitionMap(cluster).members().stream()
-                .map(Value.Member::name)
-                .toList();
-    }
-
     /** A value that cannot be read stops nobody; what depends on it is held. */
     @Test
-    void aValueThatCannotBeReadHoldsOnlyWhatDependsOnIt() {
+    void unreadableValueHoldsOnlyWhatDependsOnIt() {
         SimCluster cluster = SimFixtures.cluster(9, 9);
-        Job held = job(1, Priority.HIGH, 2, 1, 5);
+        Job held = job(1, 2, 1, 5);
         cluster.users.register(held);
         cluster.store.put(Keys.job(jobId(1)), new Value.Unreadable("a priority from tomorrow"));
-        cluster.users.submit(job(2, Priority.HIGH, 2, 1, 5).withAwaits(List.of(jobId(1))));
-        cluster.users.submit(job(3, Priority.HIGH, 2, 1, 5));
+        cluster.users.submit(job(2, 2, 1, 5).withAwaits(List.of(jobId(1))));
+        cluster.users.submit(job(3, 2, 1, 5));
         AtomicReference<Effect.AnswerUser> answer = new AtomicReference<>();
         cluster.after(3000, () -> cluster.controllers.get("n1").poll(jobId(1), answer::set));
         cluster.runUntil(30_000);
         assertEquals(503, answer.get().status());
-        assertNotNull(cluster.store.get(Keys.fin(jobId(3))));
+        assertFinished(cluster, jobId(3));
         assertEquals(2, cluster.checker.taskStarts);
         cluster.store.put(Keys.job(jobId(1)), new Value.JobRecord(held, List.of(new Value.Deal("n0", 0, 2)), 0));
         cluster.users.submit(held);
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -4,98 +4,104 @@
 import dewlane.core.Input;
 import dewlane.core.ListedMachine;
 import dewlane.core.MachineType;
-import dewlane.core.Order;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The cloud: rents and deletes machines and lists them late. */
+/** The cloud provider: rents and deletes machines, and lists them late. */
 final class SimCloud {
+    private static final long REQUEST_TIMEOUT_MS = 5000;
+    private static final long LIST_INTERVAL_MS = 1500;
+    private static final int SHORTEST_LIST_LAG_MS = 1000;
+    private static final int LONGEST_LIST_LAG_MS = 4000;
+    /** Chance that a rented machine never comes up. */
+    private static final double BOOT_FAILURE_RATE = 0.1;
+
     private final SimCluster cluster;
     final Map<String, SimWorker> machines = new LinkedHashMap<>();
-    private final Map<String, List<String>> requests = new HashMap<>();
     private final List<MachineType> types = List.of(
             new MachineType("small", 4, 0, 16, 20, 1, 0.2, 0.06, 4, List.of("east", "west")),
             new MachineType("large", 8, 0, 32, 20, 1, 0.4, 0.1, 6, List.of("east", "west")));
+    /** The machines of each rental request that was granted, so that a repeat of it rents no others. */
+    private final Map<String, List<String>> grantedRequests = new HashMap<>();
+
     private List<ListedMachine> listed = List.of();
+    private int nextName = 1;
     boolean unavailable;
+    /** Machines that may be rented at once. */
     int capacity = 12;
-    private int nextName = 1;
+    /** How long a machine takes to come up. */
+    int fastestBootMs = 2000;
+
+    int slowestBootMs = 9000;
 
     SimCloud(SimCluster cluster) {
         this.cluster = cluster;
-        cluster.every(1500, () -> {
-            List<ListedMachine> now = new ArrayList<>();
-            machines.values().forEach(m -> now.add(m.listed()));
-            cluster.after(cluster.between(1000, 4000), () -> listed = now);
+        cluster.every(LIST_INTERVAL_MS, () -> {
+            List<ListedMachine> present =
+                    machines.values().stream().map(SimWorker::listed).toList();
+            cluster.after(cluster.between(SHORTEST_LIST_LAG_MS, LONGEST_LIST_LAG_MS), () -> listed = present);
         });
     }
 
-    MachineType type(String name) {
-        return types.stream().filter(t -> t.name().equals(name)).findFirst().orElseThrow();
-    }
-
+    /** Adds a machine that has yet to boot. */
     SimWorker create(String type, String zone, boolean spot) {
-        SimWorker m = new SimWorker(cluster, String.format("vm-%06d", nextName++), type(type), zone, spot);
-        machines.put(m.name, m);
-        return m;
+        SimWorker worker = new SimWorker(cluster, String.format("vm-%06d", nextName++), type(type), zone, spot);
+        machines.put(worker.name, worker);
+        return worker;
     }
 
-    /** How long a machine takes to come up. */
-    int fastestBootMs = 2000;
-
-    int slowestBootMs = 9000;
-    /** The share of direct commands that are held up on their way, for up to 16 s, and carried out unanswered. */
-    double delayedCommandRate;
-    /** Commands that were held up, and those of them that came after their sender had ended. */
-    int delayedCommands;
-
-    int delayedPastSender;
-    private final List<Effect.Command> commandsInFlight = new ArrayList<>();
+    private MachineType type(String name) {
+        return types.stream()
+                .filter(type -> type.name().equals(name))
+                .findFirst()
+                .orElseThrow();
+    }
 
     void catalog(SimController controller) {
         if (!unavailable) {
-            controller.request(() -> true, () -> new Input.CatalogRead(types), new Input.Tick(), 5000);
+            controller.request(() -> true, () -> new Input.CatalogRead(types), new Input.Tick(), REQUEST_TIMEOUT_MS);
         }
     }
 
     void list(SimController controller) {
         if (!unavailable) {
-            controller.request(() -> true, () -> new Input.MachinesListed(listed), new Input.Tick(), 5000);
+            controller.request(
+                    () -> true, () -> new Input.MachinesListed(listed), new Input.Tick(), REQUEST_TIMEOUT_MS);
         }
     }
 
-    void rent(SimController controller, Effect.Rent e) {
-        controller.request(
-                () -> true,
-                () -> {
-                    if (unavailable) {
-                        return new Input.Rented(e.request(), Input.RentStatus.UNKNOWN, List.of());
-                    }
-                    List<String> names = requests.get(e.request());
-                    if (names == null) {
-                        names = new ArrayList<>();
-                        long there = machines.values().stream()
-                                .filter(m -> !m.terminated)
-                                .count();
-                        for (int i = 0; i < e.count() && there + i < capacity; i++) {
-                            SimWorker m = create(e.type(), e.zone(), e.spot());
-                            names.add(m.name);
-                            if (!cluster.chance(0.1)) {
-                                cluster.after(cluster.between(fastestBootMs, slowestBootMs), m::boot);
-                            }
-                        }
-                        if (names.isEmpty()) {
-                            return new Input.Rented(e.request(), Input.RentStatus.NO_CAPACITY, List.of());
-                        }
-                        requests.put(e.request(), names);
-                    }
-                    return new Input.Rented(e.request(), Input.RentStatus.RENTED, names);
-                },
-                new Input.Rented(e.request(), Input.RentStatus.UNKNOWN, List.of()),
-                5000);
+    void rent(SimController controller, Effect.Rent request) {
+        Input unknown = new Input.Rented(request.request(), Input.RentStatus.UNKNOWN, List.of());
+        controller.request(() -> true, () -> unavailable ? unknown : grant(request), unknown, REQUEST_TIMEOUT_MS);
+    }
+
+    private Input grant(Effect.Rent request) {
+        List<String> names = grantedRequests.get(request.request());
+        if (names == null) {
+            names = rentUpToCapacity(request);
+            if (names.isEmpty()) {
+                return new Input.Rented(request.request(), Input.RentStatus.NO_CAPACITY, List.of());
+            }
+            grantedRequests.put(request.request(), names);
+        }
+        return new Input.Rented(request.request(), Input.RentStatus.RENTED, names);
+    }
+
+    private List<String> rentUpToCapacity(Effect.Rent request) {
+        List<String> names = new ArrayList<>();
+        long present =
+                machines.values().stream().filter(worker -> !worker.terminated).count();
+        for (int i = 0; i < request.count() && present + i < capacity; i++) {
+            SimWorker worker = create(request.type(), request.zone(), request.spot());
+            names.add(worker.name);
+            if (!cluster.chance(BOOT_FAILURE_RATE)) {
+                cluster.after(cluster.between(fastestBootMs, slowestBootMs), worker::boot);
+            }
+        }
+        return names;
     }
 
     void delete(SimController controller, List<String> names) {
@@ -105,64 +111,17 @@
                     if (unavailable) {
                         return new Input.Deleted(names, false);
                     }
-                    names.forEach(n -> {
-                        SimWorker m = machines.remove(n);
-                        if (m != null) {
-                            m.terminate();
-                        }
-                    });
+                    names.forEach(this::delete);
                     return new Input.Deleted(names, true);
                 },
                 new Input.Deleted(names, false),
-                5000);
+                REQUEST_TIMEOUT_MS);
     }
 
-    /** True if a command to the machine that launches the order's attempt is held up on its way. */
-    boolean hasLaunchInFlight(String machine, Order order) {
-        Order launch = new Order(Order.Kind.LAUNCH, order.job(), order.task(), order.attempt(), 0);
-        return commandsInFlight.stream()
-                .anyMatch(c -> c.machine().equals(machine) && c.orders().contains(launch));
-    }
-
-    void command(SimController controller, Effect.Command e) {
-        SimWorker m = machines.get(e.machine());
-        Input onTimeout = new Input.CommandAnswered(e.machine(), e.token(), true, null);
-        if (m == null) {
-            cluster.after(2500, () -> controller.receive(controller.incarnation, onTimeout));
-            return;
+    private void delete(String name) {
+        SimWorker worker = machines.remove(name);
+        if (worker != null) {
+            worker.terminate();
         }
-        int incarnation = controller.incarnation;
-        long sentAt = cluster.now();
-        boolean[] answered = {false};
-        cluster.after(2500, () -> {
-            if (!answered[0]) {
-                answered[0] = true;
-                controller.receive(incarnation, onTimeout);
-            }
-        });
-        if (controller.cutFromWorkers) {
-            return;
-        }
-        if (delayedCommandRate > 0 && cluster.chance(delayedCommandRate)) {
-            delayedCommands++;
-            commandsInFlight.add(e);
-            cluster.after(cluster.between(2000, 16_000), () -> {
-                commandsInFlight.remove(e);
-                delayedPastSender += controller.incarnation == incarnation ? 0 : 1;
-                m.whenAwake(controller.name, () -> {}, () -> m.command(e, sentAt));
-            });
-            return;
-        }
-        cluster.deliver(() -> m.whenAwake(
-                controller.name,
-                () -> cluster.deliver(() -> {
-                    if (!answered[0] && !controller.cutFromWorkers) {
-                        answered[0] = true;
-                        controller.receive(
-                                incarnation,
-                                new Input.CommandAnswered(e.machine(), e.token(), true, m.nextHeartbeat()));
-                    }
-                }),
-                () -> m.command(e, sentAt)));
     }
 }
--- a/src/test/java/dewlane/sim/SimCluster.java
+++ b/src/test/java/dewlane/sim/SimCluster.java
@@ -1,18 +1,20 @@
 package dewlane.sim;
 
+import dewlane.core.Keys;
 import dewlane.core.Settings;
-import dewlane.core.StateLimits;
-import java.util.ArrayList;
+import java.util.Collection;
 import java.util.Comparator;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** A seeded world of stand-ins with a clock of its own: nothing in it depends on real time. */
+/**
+ * A whole deployment in memory: controllers, workers, the store, the cloud and users, driven by one queue of events.
+ * The seed alone decides what happens, and nothing depends on real time.
+ */
 final class SimCluster {
-    private record Event(long at, long order, Runnable action) {}
-
     /** Guards that a test removes to show that the checker sees what they guard against. */
     enum DisabledGuard {
         NONE,
@@ -22,6 +24,13 @@
         WORKER_TOKEN
     }
 
+    private record Event(long at, long order, Runnable action) {}
+
+    static final double USUAL_MESSAGE_FAULT_RATE = 0.02;
+    private static final int SHORTEST_MESSAGE_DELAY_MS = 2000;
+    private static final int LONGEST_MESSAGE_DELAY_MS = 90_000;
+    private static final int TRACE_LINES_IN_DESCRIPTION = 40;
+
     final long seed;
     final DisabledGuard disabledGuard;
     final SplittableRandom random;
@@ -29,15 +38,16 @@
     final InvariantChecker checker;
     final SimStore store;
     final SimCloud cloud;
+    final SimCommandNetwork commands;
     final SimUsers users;
-    final Map<String, SimController> controllers = new java.util.LinkedHashMap<>();
+    final Map<String, SimController> controllers = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final List<String> trace = new ArrayList<>();
+    private final SimTrace trace = new SimTrace();
     private long order;
     private long now;
     /** Chance that a message is lost or late; 0 once the faults are over. */
-    double messageFaultRate = 0.02;
+    double messageFaultRate = USUAL_MESSAGE_FAULT_RATE;
     /** How long a message takes at most beyond the usual. */
     int extraLinkLatencyMs;
 
@@ -49,52 +59,51 @@
         this.checker = new InvariantChecker(this);
         this.store = new SimStore(this);
         this.cloud = new SimCloud(this);
+        this.commands = new SimCommandNetwork(this);
         this.users = new SimUsers(this);
     }
 
-    /**
-     * Three controllers and small spot machines in the east that have settled, without troubles, and no idle machine
-     * goes back.
-     */
-    static SimCluster quiet(long seed, Map<String, Settings.Team> teams, int txnOps, int machines) {
-        return quiet(seed, teams, txnOps, machines, 3, 30, 60);
-    }
-
-    /** The same with workers' times of the deployment's own. */
-    static SimCluster quiet(
-            long seed,
-            Map<String, Settings.Team> teams,
-            int txnOps,
-            int machines,
-            double reportS,
-            double leaseS,
-            double cancelS) {
-        List<String> names = List.of("n0", "n1", "n2");
-        Settings settings = new Settings(
-                "none",
-                names,
-                teams,
-                List.of(),
-                List.of("east", "west"),
-                reportS,
-                leaseS,
-                cancelS,
-                StateLimits.constant(150, 60, 16_384, txnOps),
-                10,
-                3,
-                new Settings.Tuning(3000, 12, 300, 4, 256));
+    /** A cluster in which no message is lost or late. */
+    static SimCluster withReliableLinks(long seed, Settings settings) {
         SimCluster cluster = new SimCluster(seed, settings, DisabledGuard.NONE);
         cluster.messageFaultRate = 0;
-        for (String name : names) {
-            SimController controller = new SimController(cluster, name);
-            cluster.controllers.put(name, controller);
-            controller.start();
+        return cluster;
+    }
+
+    /** Adds all controllers of the settings, each started at once. */
+    void startControllers(boolean runVersion01) {
+        for (String name : settings.peers()) {
+            addController(name, runVersion01).start();
         }
-        for (int i = 0; i < machines; i++) {
-            cluster.cloud.create("small", "east", true).boot();
+    }
+
+    /** Adds a controller that has yet to start. */
+    SimController addController(String name, boolean runsVersion01) {
+        SimController controller = new SimController(this, name);
+        controller.runsVersion01 = runsVersion01;
+        controllers.put(name, controller);
+        return controller;
+    }
+
+    /** Adds small spot machines that are up at once. */
+    void bootMachines(int count, String zone) {
+        for (int i = 0; i < count; i++) {
+            cloud.create("small", zone, true).boot();
         }
-        cluster.runUntil(10_000);
-        return cluster;
+    }
+
+    /** The machines that are rented, those that have not booted included. */
+    Collection<SimWorker> workers() {
+        return cloud.machines.values();
+    }
+
+    SimController randomController() {
+        return List.copyOf(controllers.values()).get(random.nextInt(controllers.size()));
+    }
+
+    /** Every controller ends and is back after the same time. */
+    void crashAllControllers(long backAfterMs) {
+        controllers.values().forEach(controller -> controller.crash(backAfterMs));
     }
 
     long now() {
@@ -112,75 +121,63 @@
         });
     }
 
-    boolean chance(double p) {
-        return random.nextDouble() < p;
+    /** Performs all events up to the time. */
+    void runUntil(long untilMs) {
+        while (!events.isEmpty() && events.peek().at <= untilMs) {
+            Event event = events.poll();
+            now = event.at;
+            event.action.run();
+            checker.checkCancelledTasks();
+        }
+        now = untilMs;
+    }
+
+    void runFor(long ms) {
+        runUntil(now + ms);
+    }
+
+    boolean chance(double probability) {
+        return random.nextDouble() < probability;
     }
 
     int between(int low, int high) {
         return low + random.nextInt(high - low + 1);
     }
 
-    void trace(String line) {
-        trace.add(now + " " + line);
-        if (trace.size() > 4000) {
-            trace.subList(0, 2000).clear();
+    /** A random latency of at most so long, or none. */
+    int latency(int longestMs) {
+        return longestMs == 0 ? 0 : between(longestMs / 3, longestMs);
+    }
+
+    /** One way of a message: quick mostly, and with faults lost or minutes late. */
+    void deliver(Runnable action) {
+        if (!chance(messageFaultRate)) {
+            after(between(1, 8) + latency(extraLinkLatencyMs), action);
+        } else if (chance(0.5)) {
+            after(between(SHORTEST_MESSAGE_DELAY_MS, LONGEST_MESSAGE_DELAY_MS), action);
         }
     }
 
-    String recentTrace(String about) {
-        StringBuilder text = new StringBuilder();
-        trace.stream().filter(l -> l.contains(about)).forEach(l -> text.append(l)
-                .append('\n'));
-        return text.toString();
+    void trace(String line) {
+        trace.add(now, line);
     }
 
-    /** What stands in a job's way, for a failure's message. */
-    String describeJob(String job) {
-        StringBuilder text = new StringBuilder(String.valueOf(store.get(dewlane.core.Keys.job(job))));
-        store.scan(dewlane.core.Keys.SLICES)
-                .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        store.scan(dewlane.core.Keys.MACHINES)
-                .forEach((k, v) -> text.append('\n').append(k).append(' ').append(v));
-        text.append('\n').append(store.get(dewlane.core.Keys.MAP));
-        cloud.machines.values().forEach(m -> text.append('\n')
-                .append(m.name)
-                .append(' ')
-                .append(m.type.name())
-                .append(' ')
-                .append(m.zone)
-                .append(m.spot ? " spot" : "")
-                .append(m.booted ? " up" : "")
-                .append(m.terminated ? " gone " : " ")
-                .append(m.attempts.keySet()));
-        trace.subList(Math.max(0, trace.size() - 40), trace.size())
-                .forEach(l -> text.append('\n').append(l));
-        return text.toString();
-    }
-
-    /** One way of a message: quick mostly, and in trouble lost or minutes late. */
-    void deliver(Runnable action) {
-        if (chance(messageFaultRate)) {
-            if (chance(0.5)) {
-                after(between(2000, 90_000), action);
-            }
-            return;
-        }
-        after(
-                between(1, 8) + (extraLinkLatencyMs == 0 ? 0 : between(extraLinkLatencyMs / 3, extraLinkLatencyMs)),
-                action);
+    /** The latest events that are about something, for a failure's message. */
+    String recentTrace(String about) {
+        return trace.containing(about);
     }
 
-    void runUntil(long untilMs) {
-        while (!events.isEmpty() && events.peek().at <= untilMs) {
-            Event e = events.poll();
-            now = e.at;
-            e.action.run();
-            checker.checkCancelledTasks();
-        }
-        now = untilMs;
+    /** The stored state and the machines, for the message of a failure about a job. */
+    String describeJob(String job) {
+        StringBuilder text = new StringBuilder(String.valueOf(store.get(Keys.job(job))));
+        store.scan(Keys.SLICES).forEach((key, value) -> appendLine(text, key + " " + value));
+        store.scan(Keys.MACHINES).forEach((key, value) -> appendLine(text, key + " " + value));
+        appendLine(text, String.valueOf(store.get(Keys.MAP)));
+        workers().forEach(worker -> appendLine(text, worker.toString()));
+        return text.append(trace.last(TRACE_LINES_IN_DESCRIPTION)).toString();
     }
 
-    void runFor(long ms) {
-        runUntil(now + ms);
+    private static void appendLine(StringBuilder text, String line) {
+        text.append('\n').append(line);
     }
 }
--- /dev/null
+++ b/src/test/java/dewlane/sim/SimCommandNetwork.java
@@ -0,0 +1,80 @@
+package dewlane.sim;
+
+import dewlane.core.Effect;
+import dewlane.core.Input;
+import dewlane.core.Order;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The way of direct commands from controllers to workers, on which a share of them may be delayed. */
+final class SimCommandNetwork {
+    private static final long REPLY_TIMEOUT_MS = 2500;
+    private static final int SHORTEST_DELAY_MS = 2000;
+    private static final int LONGEST_DELAY_MS = 16_000;
+
+    private final SimCluster cluster;
+    private final List<Effect.Command> inFlight = new ArrayList<>();
+    /** The share of commands that are delayed on their way, for up to 16 s, and carried out without a reply. */
+    double delayRate;
+    /** Commands that were delayed so far, and those of them that came after their sender had ended. */
+    int delayed;
+
+    int delayedPastSender;
+
+    SimCommandNetwork(SimCluster cluster) {
+        this.cluster = cluster;
+    }
+
+    /** True if a delayed command to the machine that launches the order's attempt is still on its way. */
+    boolean hasLaunchInFlight(String machine, Order order) {
+        Order launch = new Order(Order.Kind.LAUNCH, order.job(), order.task(), order.attempt(), 0);
+        return inFlight.stream()
+                .anyMatch(command ->
+                        command.machine().equals(machine) && command.orders().contains(launch));
+    }
+
+    void send(SimController sender, Effect.Command command) {
+        SimWorker worker = cluster.cloud.machines.get(command.machine());
+        Input timeout = new Input.CommandAnswered(command.machine(), command.token(), true, null);
+        if (worker == null) {
+            cluster.after(REPLY_TIMEOUT_MS, () -> sender.receive(sender.incarnation, timeout));
+            return;
+        }
+        int incarnation = sender.incarnation;
+        FirstOf replyOrTimeout = new FirstOf();
+        cluster.after(REPLY_TIMEOUT_MS, () -> replyOrTimeout.run(() -> sender.receive(incarnation, timeout)));
+        if (sender.cutFromWorkers) {
+            return;
+        }
+        if (delayRate > 0 && cluster.chance(delayRate)) {
+            sendDelayed(sender, worker, command);
+        } else {
+            sendInTime(sender, worker, command, replyOrTimeout);
+        }
+    }
+
+    private void sendDelayed(SimController sender, SimWorker worker, Effect.Command command) {
+        int incarnation = sender.incarnation;
+        long sentAt = cluster.now();
+        delayed++;
+        inFlight.add(command);
+        cluster.after(cluster.between(SHORTEST_DELAY_MS, LONGEST_DELAY_MS), () -> {
+            inFlight.remove(command);
+            delayedPastSender += sender.incarnation == incarnation ? 0 : 1;
+            worker.deliverCommand(sender.name, () -> worker.execute(command, sentAt), () -> {});
+        });
+    }
+
+    private void sendInTime(SimController sender, SimWorker worker, Effect.Command command, FirstOf replyOrTimeout) {
+        int incarnation = sender.incarnation;
+        long sentAt = cluster.now();
+        Runnable reply = () -> cluster.deliver(() -> {
+            if (!sender.cutFromWorkers) {
+                replyOrTimeout.run(() -> sender.receive(
+                        incarnation,
+                        new Input.CommandAnswered(command.machine(), command.token(), true, worker.nextHeartbeat())));
+            }
+        });
+        cluster.deliver(() -> worker.deliverCommand(sender.name, () -> worker.execute(command, sentAt), reply));
+    }
+}
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -3,9 +3,11 @@
 import dewlane.core.Controller;
 import dewlane.core.Effect;
 import dewlane.core.Input;
+import dewlane.core.Job;
 import dewlane.core.Order;
 import dewlane.core.PeerStatus;
 import dewlane.core.Report;
+import dewlane.core.Settings;
 import dewlane.core.StateLimits;
 import dewlane.wire.PeerWire;
 import dewlane.wire.ValueCodec;
@@ -18,16 +20,34 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import java.util.function.LongFunction;
 import java.util.function.Supplier;
 
-/** A controller process: the real core, with everything round it made up. */
+/** A controller process: the real core, whose effects act on the simulated cluster. */
 final class SimController {
-    /** A worker's answer: the status, and for 200 the token and orders, for 421 the node to report to. */
-    record HeartbeatReply(int status, long token, List<Order> orders, String controller) {}
+    private static final int ACCEPTED = 200;
+    private static final int MISDIRECTED = 421;
+    private static final int UNAVAILABLE = 503;
+    private static final long TICK_MS = 100;
+    /** The wall clock is ahead of the simulation's clock by this. */
+    private static final long WALL_CLOCK_OFFSET_MS = 1_000_000;
+    /** Half of what a peer takes at most, as names and addresses are short here. */
+    private static final int MAX_PEER_PAGE_BYTES = 32_768;
+
+    /** The reply to a heartbeat: orders under a fencing token, or the controller to report to instead. */
+    record HeartbeatReply(int status, long token, List<Order> orders, String redirectTo) {
+        boolean isAccepted() {
+            return status == ACCEPTED;
+        }
+
+        boolean isRedirect() {
+            return status == MISDIRECTED;
+        }
+    }
 
     final SimCluster cluster;
     final String name;
-    /** Grows with every start; messages for an earlier life are dropped. */
+    /** Grows with every start and every end; messages for an earlier incarnation are dropped. */
     int incarnation;
 
     boolean alive;
@@ -42,7 +62,7 @@
     private final Map<Long, Consumer<HeartbeatReply>> heartbeatReplies = new HashMap<>();
     private final Deque<Effect> effects = new ArrayDeque<>();
     private boolean performingEffects;
-    private long nextId = 1;
+    private long nextRequestId = 1;
     private long frozenUntil;
     /** What came while the process stood still; it finds all of it at once. */
     private final Deque<Input> inputsWhileFrozen = new ArrayDeque<>();
@@ -60,34 +80,35 @@
         effects.clear();
         inputsWhileFrozen.clear();
         frozenUntil = 0;
-        core = new Controller(settingsOf(name), cluster.random.nextLong(), value -> ValueCodec.bytes(value).length);
+        core = new Controller(ownSettings(), cluster.random.nextLong(), value -> ValueCodec.bytes(value).length);
         core.logOrders(true);
-        ticks(incarnation);
+        tick(incarnation);
     }
 
-    private dewlane.core.Settings settingsOf(String controller) {
-        dewlane.core.Settings s = cluster.settings;
-        return new dewlane.core.Settings(
-                controller,
-                s.peers(),
-                s.teams(),
-                s.objectives(),
-                s.zones(),
-                s.reportS(),
-                s.leaseS(),
-                s.cancelS(),
-                runsVersion01 ? new StateLimits(s.state().present(), s.state().present()) : s.state(),
-                s.cloudRps(),
-                s.listLagS(),
-                s.tuning());
+    private Settings ownSettings() {
+        Settings shared = cluster.settings;
+        StateLimits limits = shared.state();
+        return new Settings(
+                name,
+                shared.peers(),
+                shared.teams(),
+                shared.objectives(),
+                shared.zones(),
+                shared.reportS(),
+                shared.leaseS(),
+                shared.cancelS(),
+                runsVersion01 ? new StateLimits(limits.present(), limits.present()) : limits,
+                shared.cloudRps(),
+                shared.listLagS(),
+                shared.tuning());
     }
 
-    private void ticks(int recipient) {
+    private void tick(int recipient) {
         if (incarnation == recipient && alive) {
             if (cluster.now() >= frozenUntil) {
                 receive(recipient, new Input.Tick());
             }
-            cluster.after(100, () -> ticks(recipient));
+            cluster.after(TICK_MS, () -> tick(recipient));
         }
     }
 
@@ -116,19 +137,27 @@
         });
     }
 
+    /** Loses the store and its peers, while workers and users still reach it. */
+    void isolate() {
+        cutFromStore = true;
+        cutFromPeers = true;
+    }
+
+    void endIsolation() {
+        cutFromStore = false;
+        cutFromPeers = false;
+    }
+
     /** How many jobs a pass looked at on average. */
     double jobsPerPass() {
         return core.jobsPerPass();
     }
 
-    boolean ready() {
-        return alive && core.ready();
-    }
-
     boolean storeReachable() {
         return !cutFromStore;
     }
 
+    /** Has the core handle an input, unless the incarnation it is meant for is over, and performs what comes of it. */
     void receive(int recipient, Input input) {
         if (!alive || incarnation != recipient) {
             return;
@@ -138,7 +167,7 @@
             return;
         }
         Input read = runsVersion01 ? Version01View.read(input) : input;
-        effects.addAll(core.handle(cluster.now(), 1_000_000 + cluster.now(), read));
+        effects.addAll(core.handle(cluster.now(), WALL_CLOCK_OFFSET_MS + cluster.now(), read));
         if (performingEffects) {
             return;
         }
@@ -149,132 +178,144 @@
         performingEffects = false;
     }
 
-    /** A request and its answer; if either is lost, {@code silence} is heard once the time is up. */
+    /** A request and its reply; if either is lost, {@code onTimeout} is received once the time is up. */
     void request(BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs) {
         request(reachable, service, onTimeout, timeoutMs, 0);
     }
 
-    /** As above, to the state service, which may be slow. */
+    /** As above, to the store, which may be slow. */
     void requestStore(Supplier<Input> service, Input onTimeout, long timeoutMs) {
         request(this::storeReachable, service, onTimeout, timeoutMs, cluster.store.extraLatencyMs);
     }
 
     private void request(
             BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs, int extraLatencyMs) {
-        int recipient = incarnation;
-        boolean[] answered = {false};
-        cluster.after(timeoutMs, () -> {
-            if (!answered[0]) {
-                answered[0] = true;
-                receive(recipient, onTimeout);
-            }
-        });
+        int sender = incarnation;
+        FirstOf replyOrTimeout = new FirstOf();
+        cluster.after(timeoutMs, () -> replyOrTimeout.run(() -> receive(sender, onTimeout)));
         if (!reachable.getAsBoolean()) {
             return;
         }
         cluster.deliver(() -> {
-            Input answer = service.get();
-            cluster.after(extraLatencyMs == 0 ? 0 : cluster.between(extraLatencyMs / 3, extraLatencyMs), () -> {
+            Input reply = service.get();
+            cluster.after(cluster.latency(extraLatencyMs), () -> {
                 if (reachable.getAsBoolean()) {
-                    cluster.deliver(() -> {
-                        if (!answered[0]) {
-                            answered[0] = true;
-                            receive(recipient, answer);
-                        }
-                    });
+                    cluster.deliver(() -> replyOrTimeout.run(() -> receive(sender, reply)));
                 }
             });
         });
     }
 
-    void submit(dewlane.core.Job job, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Submit(id, job.id(), job, null), then);
+    void submit(Job job, Consumer<Effect.AnswerUser> onReply) {
+        ask(id -> new Input.Submit(id, job.id(), job, null), onReply);
     }
 
-    void submitMalformed(String uid, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Submit(id, uid, null, "a field is missing"), then);
+    void submitMalformed(String job, Consumer<Effect.AnswerUser> onReply) {
+        ask(id -> new Input.Submit(id, job, null, "a field is missing"), onReply);
     }
 
-    void poll(String job, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Poll(id, job), then);
+    void poll(String job, Consumer<Effect.AnswerUser> onReply) {
+        ask(id -> new Input.Poll(id, job), onReply);
     }
 
-    void abort(String job, Consumer<Effect.AnswerUser> then) {
-        ask(id -> new Input.Abort(id, job), then);
+    void abort(String job, Consumer<Effect.AnswerUser> onReply) {
+        ask(id -> new Input.Abort(id, job), onReply);
     }
 
-    private void ask(java.util.function.LongFunction<Input> input, Consumer<Effect.AnswerUser> then) {
-        long id = nextId++;
-        userReplies.put(id, then);
+    private void ask(LongFunction<Input> input, Consumer<Effect.AnswerUser> onReply) {
+        long id = nextRequestId++;
+        userReplies.put(id, onReply);
         receive(incarnation, input.apply(id));
     }
 
-    void heartbeat(Report report, Consumer<HeartbeatReply> then) {
-        long id = nextId++;
-        heartbeatReplies.put(id, then);
+    void heartbeat(Report report, Consumer<HeartbeatReply> onReply) {
+        long id = nextRequestId++;
+        heartbeatReplies.put(id, onReply);
         receive(incarnation, new Input.ReportReceived(id, report));
     }
 
-    private void replyToHeartbeat(long id, HeartbeatReply answer) {
-        Consumer<HeartbeatReply> then = heartbeatReplies.remove(id);
-        if (then != null) {
-            then.accept(answer);
+    private void perform(Effect effect) {
+        boolean performed =
+                performReply(effect) || performOnStore(effect) || performOnCloud(effect) || performOnOthers(effect);
+        if (!performed) {
+            throw new AssertionError("no such effect in the simulation: " + effect);
         }
     }
 
-    /** Half of what a peer takes at most, as names and addresses are short here. */
-    private void checkPageSize(PeerStatus page) {
-        try {
-            int bytes = PeerWire.status(page).length;
-            if (bytes > 32_768) {
-                throw new AssertionError(name + " sends its peers " + bytes + " bytes at once");
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+    private boolean performReply(Effect effect) {
+        if (effect instanceof Effect.AnswerUser answer) {
+            reply(userReplies.remove(answer.id()), answer);
+        } else if (effect instanceof Effect.AnswerReport answer) {
+            replyToHeartbeat(answer.id(), new HeartbeatReply(ACCEPTED, answer.token(), answer.orders(), null));
+        } else if (effect instanceof Effect.RedirectReport redirect) {
+            replyToHeartbeat(redirect.id(), new HeartbeatReply(MISDIRECTED, 0, null, redirect.node()));
+        } else if (effect instanceof Effect.RefuseReport refusal) {
+            replyToHeartbeat(refusal.id(), new HeartbeatReply(UNAVAILABLE, 0, null, null));
+        } else {
+            return false;
         }
+        return true;
     }
 
-    private void perform(Effect effect) {
-        if (effect instanceof Effect.AnswerUser e) {
-            Consumer<Effect.AnswerUser> then = userReplies.remove(e.id());
-            if (then != null) {
-                then.accept(e);
-            }
-        } else if (effect instanceof Effect.AnswerReport e) {
-            replyToHeartbeat(e.id(), new HeartbeatReply(200, e.token(), e.orders(), null));
-        } else if (effect instanceof Effect.RedirectReport e) {
-            replyToHeartbeat(e.id(), new HeartbeatReply(421, 0, null, e.node()));
-        } else if (effect instanceof Effect.RefuseReport e) {
-            replyToHeartbeat(e.id(), new HeartbeatReply(503, 0, null, null));
-        } else if (effect instanceof Effect.SendTxn e) {
-            cluster.store.commit(this, e.id(), runsVersion01 ? Version01View.written(e.txn()) : e.txn());
-        } else if (effect instanceof Effect.Watch e) {
-            cluster.store.watch(this, e.since());
-        } else if (effect instanceof Effect.ReadValue e) {
-            cluster.store.read(this, e.id(), e.key());
+    private void replyToHeartbeat(long id, HeartbeatReply heartbeatReply) {
+        reply(heartbeatReplies.remove(id), heartbeatReply);
+    }
+
+    private static <T> void reply(Consumer<T> onReply, T reply) {
+        if (onReply != null) {
+            onReply.accept(reply);
+        }
+    }
+
+    private boolean performOnStore(Effect effect) {
+        SimStore store = cluster.store;
+        if (effect instanceof Effect.SendTxn send) {
+            store.commit(this, send.id(), runsVersion01 ? Version01View.written(send.txn()) : send.txn());
+        } else if (effect instanceof Effect.Watch watch) {
+            store.watch(this, watch.since());
+        } else if (effect instanceof Effect.ReadValue read) {
+            store.read(this, read.id(), read.key());
         } else if (effect instanceof Effect.ReadRevision) {
-            cluster.store.readRevision(this);
+            store.readRevision(this);
         } else if (effect instanceof Effect.ListState) {
-            cluster.store.list(this);
-        } else if (effect instanceof Effect.GrantLease e) {
-            cluster.store.grant(this, e.ttlMs());
-        } else if (effect instanceof Effect.TouchLease e) {
-            cluster.store.touch(this, e.lease(), cluster.settings.tuning().memberTtlMs());
-        } else if (effect instanceof Effect.Command e) {
-            cluster.cloud.command(this, e);
-        } else if (effect instanceof Effect.ReadCatalog) {
-            cluster.cloud.catalog(this);
+            store.list(this);
+        } else if (effect instanceof Effect.GrantLease grant) {
+            store.grantLease(this, grant.ttlMs());
+        } else if (effect instanceof Effect.TouchLease touch) {
+            store.renewLease(this, touch.lease(), cluster.settings.tuning().memberTtlMs());
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    private boolean performOnCloud(Effect effect) {
+        SimCloud cloud = cluster.cloud;
+        if (effect instanceof Effect.ReadCatalog) {
+            cloud.catalog(this);
         } else if (effect instanceof Effect.ListMachines) {
-            cluster.cloud.list(this);
-        } else if (effect instanceof Effect.Rent e) {
-            cluster.cloud.rent(this, e);
-        } else if (effect instanceof Effect.Delete e) {
-            cluster.cloud.delete(this, e.machines());
-        } else if (effect instanceof Effect.TellPeers e) {
-            broadcast(e.pages());
-        } else if (effect instanceof Effect.Log e) {
-            cluster.trace(name + " " + e.text());
+            cloud.list(this);
+        } else if (effect instanceof Effect.Rent rent) {
+            cloud.rent(this, rent);
+        } else if (effect instanceof Effect.Delete delete) {
+            cloud.delete(this, delete.machines());
+        } else {
+            return false;
         }
+        return true;
+    }
+
+    private boolean performOnOthers(Effect effect) {
+        if (effect instanceof Effect.Command command) {
+            cluster.commands.send(this, command);
+        } else if (effect instanceof Effect.TellPeers tell) {
+            broadcast(tell.pages());
+        } else if (effect instanceof Effect.Log log) {
+            cluster.trace(name + " " + log.text());
+        } else {
+            return false;
+        }
+        return true;
     }
 
     private void broadcast(List<PeerStatus> pages) {
@@ -286,4 +327,15 @@
             }
         }
     }
+
+    private void checkPageSize(PeerStatus page) {
+        try {
+            int bytes = PeerWire.status(page).length;
+            if (bytes > MAX_PEER_PAGE_BYTES) {
+                throw new AssertionError(name + " sends its peers " + bytes + " bytes at once");
+            }
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
 }
--- a/src/test/java/dewlane/sim/SimFixtures.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -6,26 +6,43 @@
 import dewlane.core.Job;
 import dewlane.core.JobBuilder;
 import dewlane.core.Keys;
+import dewlane.core.Partitions;
 import dewlane.core.Priority;
-import dewlane.core.Settings;
 import dewlane.core.Value.ClusterMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.IntFunction;
+import java.util.stream.IntStream;
 
-/** What scenarios share: small worlds, jobs, who is where, and what has to hold once all troubles are over. */
+/** What scenarios share: small clusters, jobs, who is where, and what has to hold once all faults are over. */
 final class SimFixtures {
-    static final Map<String, Settings.Team> NO_QUOTA = Map.of("blue", new Settings.Team("blue", 0, 0, 0, 0));
+    private static final long SETTLED_MS = 10_000;
 
     private SimFixtures() {}
 
+    /** Three controllers and small spot machines in the east that have settled, without faults or quotas. */
     static SimCluster cluster(long seed, int machines) {
-        return SimCluster.quiet(seed, NO_QUOTA, 16, machines);
+        return cluster(seed, machines, new SimSettings());
+    }
+
+    /** As above, under the given settings. */
+    static SimCluster cluster(long seed, int machines, SimSettings settings) {
+        SimCluster cluster = SimCluster.withReliableLinks(seed, settings.build());
+        cluster.startControllers(false);
+        cluster.bootMachines(machines, "east");
+        cluster.runUntil(SETTLED_MS);
+        return cluster;
     }
 
     static String jobId(int number) {
         return String.format("wk-%06d", number);
     }
 
+    /** A job of high priority. */
+    static Job job(int number, int tasks, double cpus, double estimateS) {
+        return job(number, Priority.HIGH, tasks, cpus, estimateS);
+    }
+
     static Job job(int number, Priority priority, int tasks, double cpus, double estimateS) {
         return JobBuilder.job(jobId(number))
                 .priority(priority)
@@ -35,13 +52,40 @@
                 .build();
     }
 
+    /** One job for each number from the first to the last. */
+    static List<Job> jobs(int first, int last, IntFunction<Job> job) {
+        return IntStream.rangeClosed(first, last).mapToObj(job).toList();
+    }
+
+    /** Submits one job after the other at a steady pace, the first one after the given time. */
+    static void submitInTurn(SimCluster cluster, long firstMs, long intervalMs, List<Job> jobs) {
+        for (int i = 0; i < jobs.size(); i++) {
+            Job job = jobs.get(i);
+            cluster.after(firstMs + i * intervalMs, () -> cluster.users.submit(job));
+        }
+    }
+
+    /** Submits one job after the other at a steady pace, and cancels each n-th of them so long after its submission. */
+    static void submitInTurnAndCancelEach(
+            int nth, long cancelAfterMs, SimCluster cluster, long intervalMs, List<Job> jobs) {
+        for (int i = 1; i <= jobs.size(); i++) {
+            Job job = jobs.get(i - 1);
+            cluster.after(i * intervalMs, () -> cluster.users.submit(job));
+            if (i % nth == 0) {
+                cluster.after(i * intervalMs + cancelAfterMs, () -> cluster.users.cancel(job.id()));
+            }
+        }
+    }
+
+    /** The controller that leads, or null if there is none. */
     static SimController leader(SimCluster cluster) {
-        return FaultInjector.leader(cluster, null);
+        String name = Partitions.leader(partitionMap(cluster));
+        return name == null ? null : cluster.controllers.get(name);
     }
 
     static SimController anotherController(SimCluster cluster, SimController than) {
         return cluster.controllers.values().stream()
-                .filter(n -> n != than && n.alive)
+                .filter(controller -> controller != than && controller.alive)
                 .findFirst()
                 .orElseThrow();
     }
@@ -51,29 +95,40 @@
     }
 
     static long runningTasks(SimCluster cluster, String job) {
-        return cluster.cloud.machines.values().stream()
-                .mapToLong(m -> m.runningTasks(job))
+        return cluster.workers().stream()
+                .mapToLong(worker -> worker.runningTasks(job))
                 .sum();
     }
 
     static List<SimWorker> workersRunning(SimCluster cluster, String job) {
-        return cluster.cloud.machines.values().stream()
-                .filter(m -> m.runningTasks(job) > 0)
+        return cluster.workers().stream()
+                .filter(worker -> worker.runningTasks(job) > 0)
                 .toList();
     }
 
-    /** All troubles are over: no job is forgotten or left waiting, and in the end nothing but final states is left. */
-    static void assertRecovers(SimCluster cluster, long ms) {
+    static void assertFinished(SimCluster cluster, String job) {
+        assertNotNull(
+                cluster.store.get(Keys.fin(job)),
+                () -> "seed " + cluster.seed + ": " + job + " never ended\n" + cluster.recentTrace(job)
+                        + cluster.describeJob(job));
+    }
+
+    /** All accepted jobs are over and have left nothing in the store but their final states. */
+    static void assertOnlyFinalStatesLeft(SimCluster cluster) {
+        cluster.users.accepted().forEach(job -> assertFinished(cluster, job));
+        assertEquals(Map.of(), cluster.store.scan(Keys.JOBS), "seed " + cluster.seed);
+        assertEquals(Map.of(), cluster.store.scan(Keys.SLICES), "seed " + cluster.seed);
+    }
+
+    /**
+     * All faults are over: within the time every accepted job ends, none is forgotten or left waiting beside room, and
+     * nothing but final states is left.
+     */
+    static void assertRecovers(SimCluster cluster, long withinMs) {
         cluster.messageFaultRate = 0;
         cluster.users.pollUnfinishedJobs();
         cluster.checker.watchForStarvation();
-        cluster.runFor(ms);
-        for (String id : cluster.users.accepted()) {
-            assertNotNull(
-                    cluster.store.get(Keys.fin(id)),
-                    id + " never ended\n" + cluster.recentTrace(id) + cluster.describeJob(id));
-        }
-        assertEquals(Map.of(), cluster.store.scan(Keys.JOBS));
-        assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
+        cluster.runFor(withinMs);
+        assertOnlyFinalStatesLeft(cluster);
     }
 }
--- /dev/null
+++ b/src/test/java/dewlane/sim/SimLeases.java
@@ -0,0 +1,45 @@
+package dewlane.sim;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** The leases of the store, each with the time at which it ends unless it is renewed. */
+final class SimLeases {
+    private final SimCluster cluster;
+    private final Map<Long, Long> endsAt = new HashMap<>();
+    private long nextLease = 1;
+
+    SimLeases(SimCluster cluster) {
+        this.cluster = cluster;
+    }
+
+    long grant(long ttlMs) {
+        long lease = nextLease++;
+        endsAt.put(lease, cluster.now() + ttlMs);
+        return lease;
+    }
+
+    /** False if the lease has ended. */
+    boolean renew(long lease, long ttlMs) {
+        return endsAt.computeIfPresent(lease, (id, end) -> cluster.now() + ttlMs) != null;
+    }
+
+    boolean holds(long lease) {
+        return endsAt.containsKey(lease);
+    }
+
+    void extendAll(long ms) {
+        endsAt.replaceAll((lease, end) -> end + ms);
+    }
+
+    /** Removes the leases that are over, and returns them. */
+    List<Long> removeExpired() {
+        List<Long> expired = endsAt.entrySet().stream()
+                .filter(entry -> entry.getValue() < cluster.now())
+                .map(Map.Entry::getKey)
+                .toList();
+        expired.forEach(endsAt::remove);
+        return expired;
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/SimSettings.java
@@ -0,0 +1,107 @@
+package dewlane.sim;
+
+import dewlane.core.Settings;
+import dewlane.core.StateLimits;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+
+/** Builds the settings of a simulated cluster. What a test does not name is as in the usual small cluster. */
+final class SimSettings {
+    static final StateLimits.Limits USUAL_LIMITS = new StateLimits.Limits(150, 60, 16_384, 16);
+    static final Settings.Team WITHOUT_QUOTA = new Settings.Team("blue", 0, 0, 0, 0);
+
+    private int controllers = 3;
+    private List<Settings.Team> teams = List.of(WITHOUT_QUOTA);
+    private List<Settings.Objective> objectives = List.of();
+    private double heartbeatS = 3;
+    private double leaseS = 30;
+    private double cancelS = 60;
+    private StateLimits limits = new StateLimits(USUAL_LIMITS, USUAL_LIMITS);
+    private double cloudRequestsPerS = 10;
+    private double listLagS = 3;
+    private double silentS = 12;
+    private double idleS = 300;
+    private double sharedCpus = 256;
+
+    /** The number of controllers. */
+    SimSettings controllers(int value) {
+        controllers = value;
+        return this;
+    }
+
+    /** The teams, with their guarantees and quotas. */
+    SimSettings teams(Settings.Team... value) {
+        teams = List.of(value);
+        return this;
+    }
+
+    SimSettings objectives(Settings.Objective... value) {
+        objectives = List.of(value);
+        return this;
+    }
+
+    /** How often workers report, how long their leases last and how long a cancellation may take. */
+    SimSettings workerTimes(double heartbeat, double lease, double cancel) {
+        heartbeatS = heartbeat;
+        leaseS = lease;
+        cancelS = cancel;
+        return this;
+    }
+
+    /** The limits of the store, the present ones and those to come. */
+    SimSettings storeLimits(StateLimits value) {
+        limits = value;
+        return this;
+    }
+
+    /** Requests a second that the cloud takes, and how late it lists machines. */
+    SimSettings cloud(double requestsPerS, double lagS) {
+        cloudRequestsPerS = requestsPerS;
+        listLagS = lagS;
+        return this;
+    }
+
+    /** Silence after which a machine is deleted. */
+    SimSettings silentS(double value) {
+        silentS = value;
+        return this;
+    }
+
+    /** How long a machine must be idle before it is returned. */
+    SimSettings idleS(double value) {
+        idleS = value;
+        return this;
+    }
+
+    /** From which quota a controller on a team's limit is divided among controllers. */
+    SimSettings sharedCpus(double value) {
+        sharedCpus = value;
+        return this;
+    }
+
+    Settings build() {
+        Map<String, Settings.Team> teamsByName =
+                teams.stream().collect(Collectors.toMap(Settings.Team::name, team -> team));
+        return new Settings(
+                "none",
+                names(controllers),
+                teamsByName,
+                objectives,
+                List.of("east", "west"),
+                heartbeatS,
+                leaseS,
+                cancelS,
+                limits,
+                cloudRequestsPerS,
+                listLagS,
+                new Settings.Tuning(3000, silentS, idleS, 4, sharedCpus));
+    }
+
+    private static List<String> names(int count) {
+        Stream<String> names = IntStream.range(0, count).mapToObj(i -> "n" + i);
+        return names.toList();
+    }
+}
--- a/src/test/java/dewlane/sim/SimStore.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -7,68 +7,71 @@
 import dewlane.wire.StateWire;
 import dewlane.wire.ValueCodec;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Supplier;
 
-/** The state service: conditional writes, leases and a watch, with outages, refusals to one node and late writes. */
+/**
+ * The store: conditional writes, reads, leases and watches, with outages, refusals of single controllers, delayed
+ * writes and lost replies.
+ */
 final class SimStore {
     private record StoredValue(Value value, long version, long lease) {}
 
-    private record Watch(SimController controller, int incarnation, long since, long openedAt) {}
-
-    /** How long a watch blocks without a change, and how long its caller waits for it in all. */
-    private static final long BLOCK_MS = 1000;
-
-    private static final long WATCH_TIMEOUT_MS = 2500;
+    private static final long LIST_TIMEOUT_MS = 3000;
+    private static final long REQUEST_TIMEOUT_MS = 1500;
+    private static final long RENEWAL_TIMEOUT_MS = 1000;
+    private static final long LEASE_CHECK_MS = 50;
+    private static final int SHORTEST_WRITE_DELAY_MS = 2000;
+    private static final int LONGEST_WRITE_DELAY_MS = 12_000;
 
     private final SimCluster cluster;
     private final TreeMap<String, StoredValue> keys = new TreeMap<>();
     private final List<Input.Change> log = new ArrayList<>();
-    private final Map<Long, Long> leases = new HashMap<>();
-    private final List<Watch> watches = new ArrayList<>();
+    private final SimLeases leases;
+    private final SimWatches watches;
+    private final SimTokenBucket writeBucket = new SimTokenBucket();
+    private final SimTokenBucket requestBucket = new SimTokenBucket();
+    final SimStoreLimits limits;
+    private long revision;
+
     final Set<String> refusedControllers = new HashSet<>();
     boolean unavailable;
-    /** How long the answers of watches take beyond the usual. */
+    /** How long the replies of watches take beyond the usual. */
     int watchLagMs;
-    /** How long an answer takes at most beyond the usual. */
+    /** How long a reply takes at most beyond the usual. */
     int extraLatencyMs;
-    /** The share of transactions that get no answer and are carried out seconds later, after newer ones. */
+    /** The share of transactions that get no reply and are carried out seconds later, after newer ones. */
     double delayedWriteRate;
-    /**
-     * The share of transactions that are carried out at once while only the answer is lost; how many changed something.
-     */
+    /** The share of transactions that are carried out at once while only the reply is lost. */
     double lostReplyRate;
 
+    /** Lost replies to transactions that were committed. */
     int lostReplies;
-    /** Transactions carried out late, and how many of them still changed something. */
+    /** Transactions carried out late, and how many of them were still committed. */
     int delayedWrites;
 
     int delayedWritesCommitted;
-    /** Puts and deletes so far but of machines' records, and the longest value and transaction, in bytes. */
+    /** Puts and deletes so far but of machines' records, and those of machines' records. */
     long writes;
 
     long machineRecordWrites;
     int largestValueBytes;
     int largestTransactionBytes;
-    private final SimTokenBucket writeRate = new SimTokenBucket();
-    private final SimTokenBucket requestRate = new SimTokenBucket();
     /** Requests so far but watches that wait, and those refused for their rate. */
     int requests;
 
     int throttledRequests;
-    final SimStoreLimits limits;
-
-    private long revision;
-    private long nextLease = 1;
 
     SimStore(SimCluster cluster) {
         this.cluster = cluster;
         this.limits = new SimStoreLimits(cluster);
-        cluster.every(50, this::expire);
+        this.leases = new SimLeases(cluster);
+        this.watches = new SimWatches(cluster, this);
+        cluster.every(LEASE_CHECK_MS, this::expireLeases);
     }
 
     Value get(String key) {
@@ -81,171 +84,178 @@
         revision++;
         keys.put(key, new StoredValue(value, revision, 0));
         log.add(new Input.Change(key, value, revision));
-        notifyWatches();
+        watches.notifyAllDue();
     }
 
     Map<String, Value> scan(String prefix) {
         Map<String, Value> found = new TreeMap<>();
-        keys.subMap(prefix, prefix + "\uffff").forEach((k, v) -> found.put(k, v.value));
+        keys.subMap(prefix, prefix + "\uffff").forEach((key, stored) -> found.put(key, stored.value));
         return found;
     }
 
+    long revision() {
+        return revision;
+    }
+
+    List<Input.Change> changesAfter(long since) {
+        return log.stream().filter(change -> change.version() > since).toList();
+    }
+
     private boolean accepts(SimController controller) {
         return !unavailable && !refusedControllers.contains(controller.name);
     }
 
-    void list(SimController controller) {
+    /** True if a request is within the rate. */
+    private boolean withinRequestRate() {
+        requests++;
+        boolean within = requestBucket.take(1, cluster.settings.stateRps(), cluster.now());
+        throttledRequests += within ? 0 : 1;
+        return within;
+    }
+
+    /** A request that fails with the same input whether it is refused or lost. */
+    private void request(SimController controller, Supplier<Input> service, Input failure, long timeoutMs) {
         controller.requestStore(
+                () -> accepts(controller) && withinRequestRate() ? service.get() : failure, failure, timeoutMs);
+    }
+
+    void list(SimController controller) {
+        request(controller, this::listing, new Input.ListFailed(), LIST_TIMEOUT_MS);
+    }
+
+    private Input listing() {
+        List<Input.Row> rows = new ArrayList<>();
+        keys.forEach((key, stored) -> {
+            if (!key.startsWith(Keys.FINALS)) {
+                rows.add(new Input.Row(key, stored.value, stored.version));
+            }
+        });
+        return new Input.StateListed(rows, revision, revision);
+    }
+
+    void read(SimController controller, long id, String key) {
+        request(
+                controller,
                 () -> {
-                    if (!accepts(controller) || !withinRequestRate()) {
-                        return new Input.ListFailed();
-                    }
-                    List<Input.Row> rows = new ArrayList<>();
-                    keys.forEach((k, v) -> {
-                        if (!k.startsWith(Keys.FINALS)) {
-                            rows.add(new Input.Row(k, v.value, v.version));
-                        }
-                    });
-                    return new Input.StateListed(rows, revision, revision);
+                    StoredValue stored = keys.get(key);
+                    return stored == null
+                            ? new Input.ValueRead(id, true, null, 0)
+                            : new Input.ValueRead(id, true, stored.value, stored.version);
                 },
-                new Input.ListFailed(),
-                3000);
+                new Input.ValueRead(id, false, null, 0),
+                REQUEST_TIMEOUT_MS);
+    }
+
+    void readRevision(SimController controller) {
+        request(
+                controller,
+                () -> new Input.RevisionRead(true, revision),
+                new Input.RevisionRead(false, 0),
+                REQUEST_TIMEOUT_MS);
     }
 
     void watch(SimController controller, long since) {
-        int incarnation = controller.incarnation;
-        cluster.after(60, () -> {
-            if (controller.incarnation == incarnation) {
-                Watch watch = new Watch(controller, incarnation, since, cluster.now());
-                watches.add(watch);
-                notifyWatches();
-                cluster.after(BLOCK_MS, this::notifyWatches);
-                cluster.after(WATCH_TIMEOUT_MS, () -> {
-                    if (watches.remove(watch)) {
-                        controller.receive(incarnation, new Input.WatchFailed(false));
-                    }
-                });
-            }
-        });
+        watches.open(controller, since);
     }
 
-    private void notifyWatches() {
-        if (unavailable) {
-            return;
+    void grantLease(SimController controller, long ttlMs) {
+        request(
+                controller,
+                () -> new Input.LeaseGranted(leases.grant(ttlMs)),
+                new Input.LeaseGranted(0),
+                REQUEST_TIMEOUT_MS);
+    }
+
+    void renewLease(SimController controller, long lease, long ttlMs) {
+        request(
+                controller,
+                () -> {
+                    boolean renewed = leases.renew(lease, ttlMs);
+                    return new Input.LeaseTouched(lease, renewed, !renewed);
+                },
+                new Input.LeaseTouched(lease, false, false),
+                RENEWAL_TIMEOUT_MS);
+    }
+
+    void commit(SimController controller, long id, Transaction transaction) {
+        limits.check(controller, transaction);
+        if (delayedWriteRate > 0 && cluster.chance(delayedWriteRate) && controller.storeReachable()) {
+            commitLate(id, transaction);
+            receiveUnknownResult(controller, id);
+        } else if (lostReplyRate > 0 && cluster.chance(lostReplyRate) && controller.storeReachable()) {
+            commitWithoutReply(controller, id, transaction);
+            receiveUnknownResult(controller, id);
+        } else {
+            controller.requestStore(
+                    () -> accepts(controller) && withinRequestRate()
+                            ? apply(id, transaction)
+                            : new Input.TxnAnswer(id, Transaction.Status.REFUSED, 0),
+                    new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0),
+                    REQUEST_TIMEOUT_MS);
         }
-        List<Watch> left = new ArrayList<>();
-        for (Watch watch : List.copyOf(watches)) {
-            if (watch.controller.incarnation != watch.incarnation) {
-                continue;
+    }
+
+    private void commitLate(long id, Transaction transaction) {
+        cluster.after(cluster.between(SHORTEST_WRITE_DELAY_MS, LONGEST_WRITE_DELAY_MS), () -> {
+            if (!unavailable) {
+                delayedWrites++;
+                delayedWritesCommitted += isCommitted(apply(id, transaction)) ? 1 : 0;
             }
-            boolean blocks = watch.since >= revision && cluster.now() - watch.openedAt < BLOCK_MS;
-            if (refusedControllers.contains(watch.controller.name) || !watch.controller.storeReachable() || blocks) {
-                left.add(watch);
-                continue;
+        });
+    }
+
+    private void commitWithoutReply(SimController controller, long id, Transaction transaction) {
+        cluster.deliver(() -> {
+            if (accepts(controller)) {
+                lostReplies += isCommitted(apply(id, transaction)) ? 1 : 0;
             }
-            List<Input.Change> changes =
-                    log.stream().filter(c -> c.version() > watch.since).toList();
-            long at = revision;
-            cluster.after(
-                    cluster.between(1, 6) + watchLagMs,
-                    () -> watch.controller.receive(watch.incarnation, new Input.Changes(changes, at)));
-        }
-        watches.clear();
-        watches.addAll(left);
+        });
     }
 
-    void commit(SimController controller, long id, Transaction txn) {
-        limits.check(controller, txn);
-        if (delayedWriteRate > 0 && cluster.chance(delayedWriteRate) && controller.storeReachable()) {
-            int incarnation = controller.incarnation;
-            cluster.after(cluster.between(2000, 12_000), () -> {
-                if (!unavailable) {
-                    delayedWrites++;
-                    Input answer = apply(id, txn);
-                    delayedWritesCommitted +=
-                            answer instanceof Input.TxnAnswer a && a.status() == Transaction.Status.COMMITTED ? 1 : 0;
-                }
-            });
-            cluster.after(
-                    1500,
-                    () -> controller.receive(incarnation, new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0)));
-            return;
-        }
-        if (lostReplyRate > 0 && cluster.chance(lostReplyRate) && controller.storeReachable()) {
-            int incarnation = controller.incarnation;
-            cluster.deliver(() -> {
-                if (accepts(controller) && apply(id, txn) instanceof Input.TxnAnswer a) {
-                    lostReplies += a.status() == Transaction.Status.COMMITTED ? 1 : 0;
-                }
-            });
-            cluster.after(
-                    1500,
-                    () -> controller.receive(incarnation, new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0)));
-            return;
-        }
-        controller.requestStore(
-                () -> accepts(controller) && withinRequestRate()
-                        ? apply(id, txn)
-                        : new Input.TxnAnswer(id, Transaction.Status.REFUSED, 0),
-                new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0),
-                1500);
+    private void receiveUnknownResult(SimController controller, long id) {
+        int sender = controller.incarnation;
+        cluster.after(
+                REQUEST_TIMEOUT_MS,
+                () -> controller.receive(sender, new Input.TxnAnswer(id, Transaction.Status.UNKNOWN, 0)));
     }
 
-    /** True if a request is within the rate. */
-    private boolean withinRequestRate() {
-        requests++;
-        boolean within = requestRate.take(1, cluster.settings.stateRps(), cluster.now());
-        throttledRequests += within ? 0 : 1;
-        return within;
+    private static boolean isCommitted(Input.TxnAnswer result) {
+        return result.status() == Transaction.Status.COMMITTED;
     }
 
-    private Input apply(long id, Transaction txn) {
-        if (!writeRate.take(txn.apply().size(), limits.now().writeRps(), cluster.now())) {
+    private Input.TxnAnswer apply(long id, Transaction transaction) {
+        if (!writeBucket.take(transaction.apply().size(), limits.now().writeRps(), cluster.now())) {
             return new Input.TxnAnswer(id, Transaction.Status.OVER_RATE, 0);
         }
-        if (limits.exceededBy(txn)) {
+        if (limits.exceededBy(transaction) || namesEndedLease(transaction)) {
             return new Input.TxnAnswer(id, Transaction.Status.INVALID, 0);
         }
-        for (Transaction.Write w : txn.apply()) {
-            if (w.lease() != 0 && !leases.containsKey(w.lease())) {
-                return new Input.TxnAnswer(id, Transaction.Status.INVALID, 0);
-            }
+        if (!guardsHold(transaction)) {
+            return new Input.TxnAnswer(id, Transaction.Status.CONFLICT, revision);
         }
-        for (Transaction.Guard g : txn.when()) {
-            StoredValue stored = keys.get(g.key());
-            if ((stored == null ? 0 : stored.version) != g.version() && !guardDisabled(g.key())) {
-                return new Input.TxnAnswer(id, Transaction.Status.CONFLICT, revision);
-            }
-        }
-        int bytes = StateWire.txn(txn).length;
-        machineRecordWrites += txn.apply().stream()
-                .filter(w -> w.key().startsWith(Keys.MACHINES))
-                .count();
-        writes += txn.apply().stream()
-                .filter(w -> !w.key().startsWith(Keys.MACHINES))
-                .count();
-        largestTransactionBytes = Math.max(largestTransactionBytes, bytes);
-        if (!txn.apply().isEmpty()) {
+        count(transaction);
+        if (!transaction.apply().isEmpty()) {
             revision++;
         }
-        for (Transaction.Write w : txn.apply()) {
-            int length = w.value() == null ? 0 : ValueCodec.bytes(w.value()).length;
-            largestValueBytes = Math.max(largestValueBytes, length);
-            if (w.value() == null) {
-                if (keys.remove(w.key()) != null) {
-                    log.add(new Input.Change(w.key(), null, revision));
-                }
-            } else {
-                keys.put(w.key(), new StoredValue(w.value(), revision, w.lease()));
-                log.add(new Input.Change(w.key(), w.value(), revision));
-            }
-        }
-        notifyWatches();
+        transaction.apply().forEach(this::write);
+        watches.notifyAllDue();
         return new Input.TxnAnswer(id, Transaction.Status.COMMITTED, revision);
     }
 
+    private boolean namesEndedLease(Transaction transaction) {
+        return transaction.apply().stream().anyMatch(write -> write.lease() != 0 && !leases.holds(write.lease()));
+    }
+
+    private boolean guardsHold(Transaction transaction) {
+        return transaction.when().stream().allMatch(guard -> {
+            StoredValue stored = keys.get(guard.key());
+            long version = stored == null ? 0 : stored.version;
+            return version == guard.version() || isGuardDisabled(guard.key());
+        });
+    }
+
     /** The conditions that a test has removed. */
-    private boolean guardDisabled(String key) {
+    private boolean isGuardDisabled(String key) {
         return switch (cluster.disabledGuard) {
             case TEAM_GUARD -> key.startsWith(Keys.TEAMS);
             case SLICE_GUARD -> key.startsWith(Keys.SLICES);
@@ -254,90 +264,56 @@
         };
     }
 
-    void read(SimController controller, long id, String key) {
-        controller.requestStore(
-                () -> {
-                    StoredValue stored = keys.get(key);
-                    return accepts(controller) && withinRequestRate()
-                            ? new Input.ValueRead(
-                                    id, true, stored == null ? null : stored.value, stored == null ? 0 : stored.version)
-                            : new Input.ValueRead(id, false, null, 0);
-                },
-                new Input.ValueRead(id, false, null, 0),
-                1500);
-    }
-
-    void readRevision(SimController controller) {
-        controller.requestStore(
-                () -> accepts(controller) && withinRequestRate()
-                        ? new Input.RevisionRead(true, revision)
-                        : new Input.RevisionRead(false, 0),
-                new Input.RevisionRead(false, 0),
-                1500);
-    }
-
-    void grant(SimController controller, long ttl) {
-        controller.requestStore(
-                () -> {
-                    if (!accepts(controller) || !withinRequestRate()) {
-                        return new Input.LeaseGranted(0);
-                    }
-                    long lease = nextLease++;
-                    leases.put(lease, cluster.now() + ttl);
-                    return new Input.LeaseGranted(lease);
-                },
-                new Input.LeaseGranted(0),
-                1500);
+    private void count(Transaction transaction) {
+        long ofMachineRecords = transaction.apply().stream()
+                .filter(write -> write.key().startsWith(Keys.MACHINES))
+                .count();
+        machineRecordWrites += ofMachineRecords;
+        writes += transaction.apply().size() - ofMachineRecords;
+        largestTransactionBytes = Math.max(largestTransactionBytes, StateWire.txn(transaction).length);
     }
 
-    void touch(SimController controller, long lease, long ttl) {
-        controller.requestStore(
-                () -> {
-                    if (!accepts(controller) || !withinRequestRate()) {
-                        return new Input.LeaseTouched(lease, false, false);
-                    }
-                    boolean there = leases.containsKey(lease);
-                    if (there) {
-                        leases.put(lease, cluster.now() + ttl);
-                    }
-                    return new Input.LeaseTouched(lease, there, !there);
-                },
-                new Input.LeaseTouched(lease, false, false),
-                1000);
+    private void write(Transaction.Write write) {
+        if (write.value() != null) {
+            largestValueBytes = Math.max(largestValueBytes, ValueCodec.bytes(write.value()).length);
+            keys.put(write.key(), new StoredValue(write.value(), revision, write.lease()));
+            log.add(new Input.Change(write.key(), write.value(), revision));
+        } else if (keys.remove(write.key()) != null) {
+            log.add(new Input.Change(write.key(), null, revision));
+        }
     }
 
+    /** Serves nobody for some time, in which no lease ends. */
     void outage(long ms) {
         unavailable = true;
         long began = cluster.now();
         cluster.after(ms, () -> {
             unavailable = false;
-            leases.replaceAll((lease, until) -> until + cluster.now() - began);
-            notifyWatches();
+            leases.extendAll(cluster.now() - began);
+            watches.notifyAllDue();
         });
     }
 
-    private void expire() {
+    private void expireLeases() {
         if (unavailable) {
             return;
         }
-        List<Long> ended = leases.entrySet().stream()
-                .filter(e -> e.getValue() < cluster.now())
+        leases.removeExpired().forEach(this::deleteKeysOf);
+        watches.notifyAllDue();
+    }
+
+    private void deleteKeysOf(long lease) {
+        List<String> ended = keys.entrySet().stream()
+                .filter(entry -> entry.getValue().lease == lease)
                 .map(Map.Entry::getKey)
                 .toList();
-        for (long lease : ended) {
-            leases.remove(lease);
-            List<String> dead = keys.entrySet().stream()
-                    .filter(e -> e.getValue().lease == lease)
-                    .map(Map.Entry::getKey)
-                    .toList();
-            if (!dead.isEmpty()) {
-                revision++;
-                for (String key : dead) {
-                    keys.remove(key);
-                    log.add(new Input.Change(key, null, revision));
-                }
-            }
+        if (ended.isEmpty()) {
+            return;
+        }
+        revision++;
+        for (String key : ended) {
+            keys.remove(key);
+            log.add(new Input.Change(key, null, revision));
         }
-        notifyWatches();
     }
 }
--- a/src/test/java/dewlane/sim/SimStoreLimits.java
+++ b/src/test/java/dewlane/sim/SimStoreLimits.java
@@ -6,9 +6,11 @@
 import dewlane.wire.StateWire;
 import dewlane.wire.ValueCodec;
 
-/** The limits of the stand-in for the state service, which may change without notice. */
+/** The limits of the store, which may change without notice. */
 final class SimStoreLimits {
-    private static final int MOST_TXN_BYTES = 65_536;
+    private static final int MAX_TRANSACTION_BYTES = 65_536;
+    /** The store takes so many times as many conditions as changes. */
+    private static final int GUARDS_PER_CHANGE = 4;
 
     private final SimCluster cluster;
     private StateLimits.Limits now;
@@ -30,40 +32,47 @@
     }
 
     /** True, and counted, if the transaction is larger than the limits in force. */
-    boolean exceededBy(Transaction txn) {
-        boolean tooLarge = txn.apply().size() > now.txnOps()
-                || txn.when().size() > 4 * now.txnOps()
-                || StateWire.txn(txn).length > MOST_TXN_BYTES
-                || txn.apply().stream().anyMatch(w -> bytes(w.value()) > now.valueBytes());
+    boolean exceededBy(Transaction transaction) {
+        boolean tooLarge = hasMoreThan(now.txnOps(), transaction)
+                || bytes(transaction) > MAX_TRANSACTION_BYTES
+                || transaction.apply().stream().anyMatch(write -> bytes(write.value()) > now.valueBytes());
         exceeded += tooLarge ? 1 : 0;
         return tooLarge;
     }
 
-    private static int bytes(Value value) {
-        return value == null ? 0 : ValueCodec.bytes(value).length;
-    }
-
     /**
      * A controller that knows the coming limits keeps within them from its start. Only what is stored already may stay
      * larger for a while, and only become smaller.
      */
-    void check(SimController controller, Transaction txn) {
+    void check(SimController controller, Transaction transaction) {
         if (controller.runsVersion01) {
             return;
         }
-        int ops = cluster.settings.txnOps();
-        if (txn.apply().size() > ops || txn.when().size() > 4 * ops) {
+        if (hasMoreThan(cluster.settings.txnOps(), transaction)) {
             throw new AssertionError(controller.name + " sends a transaction of "
-                    + txn.apply().size() + " changes and " + txn.when().size() + " conditions");
+                    + transaction.apply().size() + " changes and "
+                    + transaction.when().size() + " conditions");
         }
-        for (Transaction.Write w : txn.apply()) {
-            int bytes = bytes(w.value());
-            if (bytes > cluster.settings.valueBytes() && bytes > bytes(cluster.store.get(w.key()))) {
-                throw new AssertionError(controller.name + " sends a value of " + bytes + " bytes for " + w.key());
+        for (Transaction.Write write : transaction.apply()) {
+            int bytes = bytes(write.value());
+            if (bytes > cluster.settings.valueBytes() && bytes > bytes(cluster.store.get(write.key()))) {
+                throw new AssertionError(controller.name + " sends a value of " + bytes + " bytes for " + write.key());
             }
         }
-        if (StateWire.txn(txn).length > MOST_TXN_BYTES) {
+        if (bytes(transaction) > MAX_TRANSACTION_BYTES) {
             throw new AssertionError(controller.name + " sends a transaction of more than 64 KiB");
         }
     }
+
+    private static boolean hasMoreThan(int changes, Transaction transaction) {
+        return transaction.apply().size() > changes || transaction.when().size() > GUARDS_PER_CHANGE * changes;
+    }
+
+    private static int bytes(Transaction transaction) {
+        return StateWire.txn(transaction).length;
+    }
+
+    private static int bytes(Value value) {
+        return value == null ? 0 : ValueCodec.bytes(value).length;
+    }
 }
--- /dev/null
+++ b/src/test/java/dewlane/sim/SimTaskExecutor.java
@@ -0,0 +1,160 @@
+package dewlane.sim;
+
+import dewlane.core.Job;
+import dewlane.core.Order;
+import dewlane.core.Report.End;
+import dewlane.core.Report.Phase;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The part of a worker that carries out orders: it launches, stops and forgets attempts, and runs them to their end.
+ */
+final class SimTaskExecutor {
+    private static final double CPU_TOLERANCE = 1e-9;
+    private static final int LONGEST_FETCH_MS = 1500;
+    private static final long FAILING_TASK_MS = 200;
+
+    private final SimWorker worker;
+    private final SimCluster cluster;
+    private final Map<String, SimAttempt> attempts = new LinkedHashMap<>();
+    /** Attempts that it was told to forget in this incarnation; a late copy of such a launch would start them anew. */
+    private final Set<String> forgotten = new HashSet<>();
+
+    /** Attempts that it forgot while a command that launches them was still on its way. */
+    int forgottenBeforeDelayedLaunch;
+
+    SimTaskExecutor(SimWorker worker) {
+        this.worker = worker;
+        this.cluster = worker.cluster;
+    }
+
+    Collection<SimAttempt> attempts() {
+        return attempts.values();
+    }
+
+    void clearAttempts() {
+        attempts.clear();
+    }
+
+    void reset() {
+        attempts.clear();
+        forgotten.clear();
+    }
+
+    /** True if the CPUs that are free suffice for a task of the job. */
+    boolean fits(Job job) {
+        return reservedCpus() + job.cpus() <= worker.type.cpus() + CPU_TOLERANCE;
+    }
+
+    private double reservedCpus() {
+        double cpus = 0;
+        for (SimAttempt attempt : attempts.values()) {
+            cpus += attempt.hasExited() ? 0 : cluster.users.job(attempt.job).cpus();
+        }
+        return cpus;
+    }
+
+    /** Moves attempts on whose phase is over by now. */
+    void advance() {
+        for (SimAttempt attempt : List.copyOf(attempts.values())) {
+            if (cluster.now() < attempt.phaseEndsAt) {
+                continue;
+            }
+            switch (attempt.phase) {
+                case FETCHING -> begin(attempt);
+                case RUNNING -> exit(attempt, worker.failsTasks ? End.ERROR : End.DONE);
+                case SAVING -> exit(attempt, End.STOPPED);
+                default -> {}
+            }
+        }
+    }
+
+    private void begin(SimAttempt attempt) {
+        if (cluster.checker.isTaskDone(attempt.job, attempt.task)) {
+            exit(attempt, End.DONE);
+            return;
+        }
+        attempt.phase = Phase.RUNNING;
+        attempt.phaseEndsAt = cluster.now() + (worker.failsTasks ? FAILING_TASK_MS : randomRunMs(attempt));
+        cluster.trace("start " + attempt + " on " + worker.name);
+        cluster.checker.taskStarted(worker, attempt);
+        worker.heartbeats.hasten();
+    }
+
+    private long randomRunMs(SimAttempt attempt) {
+        return (long) (cluster.users.job(attempt.job).estimateS() * cluster.between(500, 1500));
+    }
+
+    private void exit(SimAttempt attempt, End end) {
+        attempt.exit(end);
+        cluster.trace("exit " + attempt + " on " + worker.name + " " + end);
+        if (end == End.DONE) {
+            cluster.checker.taskDone(attempt.job, attempt.task);
+            cluster.users.onTaskDone(attempt.job);
+        }
+        worker.heartbeats.hasten();
+    }
+
+    void execute(Order order, long sentAt) {
+        String key = order.job() + "/" + order.task() + "#" + order.attempt();
+        SimAttempt attempt = attempts.get(key);
+        switch (order.kind()) {
+            case LAUNCH -> {
+                if (attempt == null) {
+                    launch(order, key, sentAt);
+                }
+            }
+            case STOP -> {
+                if (attempt != null && !attempt.hasExited()) {
+                    stop(attempt, order.graceS());
+                }
+            }
+            case FORGET -> {
+                if (attempt != null && attempt.hasExited()) {
+                    forget(order, key);
+                }
+            }
+        }
+        worker.heartbeats.hasten();
+    }
+
+    private void launch(Order order, String key, long sentAt) {
+        if (forgotten.contains(key)) {
+            cluster.checker.violated("launched_again", key + " on " + worker.name + ", which was told to forget it");
+        }
+        SimAttempt attempt = new SimAttempt(order.job(), order.task(), order.attempt(), sentAt);
+        boolean busy = attempts.values().stream()
+                .anyMatch(other -> !other.hasExited() && other.job.equals(order.job()) && other.task == order.task());
+        boolean fits = fits(cluster.users.job(order.job()));
+        attempts.put(key, attempt);
+        if (busy) {
+            attempt.exit(End.BUSY);
+        } else if (!fits) {
+            attempt.exit(End.NO_ROOM);
+        } else {
+            attempt.phaseEndsAt = cluster.now() + cluster.between(0, LONGEST_FETCH_MS);
+        }
+    }
+
+    /** Lets a running task save its work if it may take the time, and ends it otherwise. */
+    private void stop(SimAttempt attempt, double graceS) {
+        double saveS = cluster.users.job(attempt.job).saveS();
+        if (attempt.phase == Phase.RUNNING && saveS > 0 && graceS >= saveS) {
+            attempt.phase = Phase.SAVING;
+            attempt.phaseEndsAt = cluster.now() + (long) (saveS * 1000);
+        } else if (attempt.phase != Phase.SAVING || graceS == 0) {
+            exit(attempt, End.STOPPED);
+        }
+    }
+
+    private void forget(Order order, String key) {
+        attempts.remove(key);
+        forgotten.add(key);
+        forgottenBeforeDelayedLaunch += cluster.commands.hasLaunchInFlight(worker.name, order) ? 1 : 0;
+    }
+}
--- a/src/test/java/dewlane/sim/SimTokenBucket.java
+++ b/src/test/java/dewlane/sim/SimTokenBucket.java
@@ -1,14 +1,14 @@
 package dewlane.sim;
 
-/** A rate as the stand-ins keep it: so much a second, with a burst of one second's worth. */
+/** A rate limit: so many tokens a second, with a burst of one second's worth. */
 final class SimTokenBucket {
     private double tokens;
-    private long refilledAt;
+    private long refilledAtMs;
 
     /** Takes the cost; false if that is above the rate. */
-    boolean take(int cost, double perS, long now) {
-        tokens = Math.min(perS, tokens + perS * (now - refilledAt) / 1000.0);
-        refilledAt = now;
+    boolean take(int cost, double ratePerS, long nowMs) {
+        tokens = Math.min(ratePerS, tokens + ratePerS * (nowMs - refilledAtMs) / 1000.0);
+        refilledAtMs = nowMs;
         if (tokens < cost) {
             return false;
         }
--- /dev/null
+++ b/src/test/java/dewlane/sim/StarvationChecker.java
@@ -0,0 +1,81 @@
+package dewlane.sim;
+
+import dewlane.core.Job;
+import dewlane.core.Partitions;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Checks, once all faults are over, that no job waits for 90 s while a machine that fits has room and its team is under
+ * its quota. Jobs that are bound to places by their other tasks are left out.
+ */
+final class StarvationChecker {
+    private static final long INTERVAL_MS = 1000;
+    private static final long LONGEST_WAIT_MS = 90_000;
+    private static final double CPU_TOLERANCE = 1e-9;
+
+    private final SimCluster cluster;
+    private final InvariantChecker checker;
+    /** By job and machine, since when the job waits while that machine has room for it. */
+    private final Map<String, Map<String, Long>> waitsBesideRoomSince;
+
+    StarvationChecker(SimCluster cluster, InvariantChecker checker) {
+        this.cluster = cluster;
+        this.checker = checker;
+        this.waitsBesideRoomSince = new HashMap<>();
+    }
+
+    void start() {
+        cluster.every(INTERVAL_MS, () -> cluster.users.accepted().forEach(this::check));
+    }
+
+    private void check(String id) {
+        Job job = cluster.users.job(id);
+        boolean waits = !cluster.users.isFinished(id) && !job.placesLinked() && waits(job) && isUnderQuota(job);
+        Map<String, Long> besideRoomSince = waitsBesideRoomSince.computeIfAbsent(id, key -> new HashMap<>());
+        besideRoomSince.keySet().removeIf(name -> !waits || !cluster.cloud.machines.containsKey(name));
+        Collection<SimWorker> workers = waits ? cluster.workers() : List.of();
+        for (SimWorker worker : workers) {
+            if (!worker.hasRoom(job)) {
+                besideRoomSince.remove(worker.name);
+                continue;
+            }
+            long since = besideRoomSince.computeIfAbsent(worker.name, key -> cluster.now());
+            if (cluster.now() - since > LONGEST_WAIT_MS) {
+                String owner = Partitions.owner(SimFixtures.partitionMap(cluster), worker.name);
+                checker.violated(
+                        "left_waiting",
+                        id + " waits beside room on " + worker.name + " of " + owner + "\n"
+                                + cluster.recentTrace(worker.name) + cluster.describeJob(id));
+            }
+        }
+    }
+
+    /** True if the job has tasks that are neither done nor on a machine, and what it depends on is done. */
+    private boolean waits(Job job) {
+        if (!job.awaits().stream().allMatch(checker::allTasksDone)) {
+            return false;
+        }
+        long placed = checker.countDoneTasks(job.id());
+        for (SimWorker worker : cluster.workers()) {
+            placed += worker.attempts().stream()
+                    .filter(attempt -> attempt.job.equals(job.id()) && !attempt.hasExited())
+                    .count();
+        }
+        return placed < job.tasks();
+    }
+
+    private boolean isUnderQuota(Job job) {
+        double used = job.cpus();
+        for (SimWorker worker : cluster.workers()) {
+            for (SimAttempt attempt : worker.attempts()) {
+                Job other = cluster.users.job(attempt.job);
+                used += !attempt.hasExited() && other.team().equals(job.team()) ? other.cpus() : 0;
+            }
+        }
+        double quota = cluster.settings.teams().get(job.team()).cpusMax();
+        return quota <= 0 || used <= quota + CPU_TOLERANCE;
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/StoreFaults.java
@@ -0,0 +1,43 @@
+package dewlane.sim;
+
+/** Faults of the store: it is out, slow, refuses one controller or carries writes out late. */
+final class StoreFaults {
+    private StoreFaults() {}
+
+    static void outage(FaultTarget target) {
+        target.cluster().store.outage(target.cluster().between(1000, 12_000));
+    }
+
+    static void refuseController(FaultTarget target) {
+        SimStore store = target.cluster().store;
+        String name = target.controller().name;
+        store.refusedControllers.add(name);
+        target.afterBetween(2000, 25_000, () -> store.refusedControllers.remove(name));
+    }
+
+    static void slow(FaultTarget target) {
+        SimStore store = target.cluster().store;
+        store.extraLatencyMs = target.cluster().between(200, 1200);
+        target.afterBetween(5000, 30_000, () -> store.extraLatencyMs = 0);
+    }
+
+    static void delayWrites(FaultTarget target) {
+        SimStore store = target.cluster().store;
+        store.delayedWriteRate = 0.3;
+        target.afterBetween(5000, 25_000, () -> store.delayedWriteRate = 0);
+    }
+
+    /**
+     * The leader alone is refused while others confirm cancellations; then the store is out for all for longer than a
+     * cancellation may take.
+     */
+    static void refuseLeaderThenOutage(FaultTarget target) {
+        SimCluster cluster = target.cluster();
+        String leader = target.leader().name;
+        long cancelMs = (long) (cluster.settings.cancelS() * 1000);
+        cluster.store.refusedControllers.add(leader);
+        target.afterBetween(100, 1500, () -> cluster.users.cancelRunning(3));
+        cluster.after(2000, () -> cluster.store.outage(cancelMs + cluster.between(2000, 12_000)));
+        cluster.after(14_000, () -> cluster.store.refusedControllers.remove(leader));
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/SubmissionLoadTest.java
@@ -0,0 +1,89 @@
+package dewlane.sim;
+
+import static dewlane.sim.SimFixtures.assertFinished;
+import static dewlane.sim.SimFixtures.assertRecovers;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobs;
+import static dewlane.sim.SimFixtures.leader;
+import static dewlane.sim.SimFixtures.submitInTurn;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.Job;
+import dewlane.core.Keys;
+import dewlane.core.Priority;
+import dewlane.core.Value;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Small jobs come as fast as the store takes them, or faster. */
+class SubmissionLoadTest {
+    private static final long SEED = 5;
+    private static final int FIRST_JOB = 500_000;
+
+    /**
+     * Found in a hunt: one-task jobs came faster than they could be written. Submissions that were refused were tried
+     * again without end, each poll was a read, and with all requests and changes used up for that the controllers lost
+     * their leases, and nothing that was accepted ran.
+     */
+    @Test
+    void moreJobsThanCanBeWrittenDoNotStopAcceptedOnes() {
+        SimCluster cluster = cluster(SEED, 9);
+        int submitted = 3000;
+        submitInTurn(cluster, 0, 20, jobs(FIRST_JOB, FIRST_JOB + submitted - 1, i -> job(i, 1, 1, 1)));
+        for (int i = 0; i < 12_000; i++) {
+            cluster.after(5L * i, cluster.users::pollRandomJob);
+        }
+        Value map = cluster.store.get(Keys.MAP);
+        cluster.runUntil(70_000);
+        int done = cluster.store.scan(Keys.FINALS).size();
+        assertTrue(done >= 300, done + " of " + submitted + " jobs were done while they came");
+        assertEquals(map, cluster.store.get(Keys.MAP), "no controller lost its lease");
+        assertTrue(
+                cluster.store.throttledRequests < cluster.store.requests / 10,
+                cluster.store.throttledRequests + " of " + cluster.store.requests + " requests refused");
+        cluster.runUntil(400_000);
+        cluster.users.accepted().forEach(id -> assertFinished(cluster, id));
+    }
+
+    /**
+     * Found in a hunt: what users asked for during a long outage was tried again and again, and each try was owed by
+     * the bucket of changes, so that nothing was launched for ten minutes after it.
+     */
+    @Test
+    void requestsDuringStoreOutageDoNotHoldUpLaunchesAfterIt() {
+        SimCluster cluster = cluster(SEED, 9);
+        submitInTurn(cluster, 0, 150, jobs(FIRST_JOB, FIRST_JOB + 399, i -> job(i, 1, 1, 1)));
+        cluster.runUntil(12_000);
+        int before = cluster.checker.taskStarts;
+        assertTrue(before > 0);
+        cluster.store.outage(70_000);
+        cluster.runUntil(82_000);
+        assertTrue(cluster.checker.taskStarts < before + 30, "the outage came about");
+        cluster.runUntil(102_000);
+        assertTrue(
+                cluster.checker.taskStarts > before + 60,
+                cluster.checker.taskStarts + " started, " + before + " before it");
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2})
+    void fourOneTaskJobsPerSecondWithQuarterCancelledAreAccepted(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        int submitted = 480;
+        for (int i = 1; i <= submitted; i++) {
+            Job job = job(i, Priority.values()[i % 4], 1, 1, 4);
+            cluster.after(250L * i, () -> cluster.users.submit(job));
+            if (i % 4 == 0) {
+                cluster.after(250L * i + cluster.between(50, 8000), () -> cluster.users.cancel(job.id()));
+            }
+        }
+        cluster.after(60_000, () -> leader(cluster).crash(5000));
+        cluster.runUntil(135_000);
+        int accepted = cluster.users.accepted().size();
+        assertTrue(accepted > submitted * 9 / 10, accepted + " accepted");
+        assertRecovers(cluster, 120_000);
+    }
+}
--- /dev/null
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -0,0 +1,131 @@
+package dewlane.sim;
+
+import static dewlane.sim.SimFixtures.assertFinished;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.partitionMap;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.JobBuilder;
+import dewlane.core.Keys;
+import dewlane.core.Report;
+import dewlane.core.Value;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Workers that stand still, do not hear or are gone, each found once and played again from the start. */
+class UnreachableWorkerTest {
+    private static final long SEED = 5;
+    private static final String JOB = jobId(1);
+
+    @Test
+    void frozenWorkerIsDeletedBeforeItsCancelledTaskHasRunTooLong() {
+        SimCluster cluster = cluster(SEED, 2);
+        cluster.users.submit(job(1, 2, 4, 200));
+        cluster.runUntil(20_000);
+        cluster.workers().forEach(worker -> worker.frozenUntil = 500_000);
+        cluster.runUntil(21_000);
+        cluster.users.cancel(JOB);
+        cluster.runUntil(100_000);
+        assertFinished(cluster, JOB);
+        assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
+    }
+
+    /** A fault the users named: heartbeats arrive, replies and commands do not. Being heard is not being reachable. */
+    @Test
+    void workerThatDoesNotHearItsControllerGetsNoLaunchFromItAndMovesToAnother() {
+        SimCluster cluster = cluster(SEED, 6);
+        cluster.users.submit(job(1, 1, 2, 90));
+        cluster.runUntil(16_000);
+        SimWorker worker = cluster.workers().stream()
+                .filter(candidate -> candidate.runningTasks() > 0)
+                .findFirst()
+                .orElseThrow();
+        worker.inboundBlockedFrom = worker.heartbeats.target();
+        for (int i = 2; i < 60; i++) {
+            cluster.users.submit(JobBuilder.job(jobId(i))
+                    .tasks(9)
+                    .cpus(0.02)
+                    .memoryGb(0.01)
+                    .estimateS(1)
+                    .build());
+            for (int step = 0; step < 10; step++) {
+                cluster.runFor(100);
+                boolean launched = hasLaunchOfOtherJobs(cluster, worker, 1_023_500);
+                assertFalse(launched && cluster.now() < 28_000, "launched at " + cluster.now());
+            }
+        }
+        assertTrue(partitionMap(cluster).moved().containsKey(worker.name), "one that it hears has it");
+        cluster.runUntil(200_000);
+        assertEquals(1, cluster.recentTrace("start wk-000001/").lines().count(), "and lost nothing");
+        assertFinished(cluster, JOB);
+    }
+
+    private static boolean hasLaunchOfOtherJobs(SimCluster cluster, SimWorker worker, long afterMs) {
+        return cluster.store.scan(Keys.SLICES).entrySet().stream()
+                .filter(entry -> !entry.getKey().contains(JOB))
+                .flatMap(entry -> ((Value.Slice) entry.getValue()).attempts().stream())
+                .anyMatch(attempt -> attempt.machine().equals(worker.name) && attempt.launchedMs() > afterMs);
+    }
+
+    @Test
+    void cancelledTaskOnWorkerThatDoesNotHearEndsInTime() {
+        SimCluster cluster = cluster(SEED, 6);
+        cluster.users.submit(job(1, 12, 2, 200));
+        cluster.runUntil(16_000);
+        SimWorker worker = cluster.workers().iterator().next();
+        assertTrue(worker.runningTasks() > 0);
+        worker.inboundBlocked = true;
+        cluster.runUntil(17_000);
+        cluster.users.cancel(JOB);
+        cluster.runUntil(100_000);
+        assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
+    }
+
+    @Test
+    void workersThatAllStopHearingForMomentAreKeptAndLoseNoTask() {
+        SimCluster cluster = cluster(SEED, 6);
+        cluster.users.submit(job(1, 12, 2, 60));
+        cluster.runUntil(16_000);
+        cluster.workers().forEach(worker -> worker.inboundBlocked = true);
+        cluster.runUntil(36_000);
+        cluster.workers().forEach(worker -> worker.inboundBlocked = false);
+        cluster.runUntil(150_000);
+        assertEquals(6, cluster.workers().size(), "none was deleted");
+        assertEquals(12, cluster.checker.taskStarts, "and every task ran to its end where it was");
+        assertFinished(cluster, JOB);
+    }
+
+    /** A fault the users named: copies of heartbeats come late, to any controller. */
+    @Test
+    void lateHeartbeatCopyBringsNoMachineBackAndMovesNone() {
+        SimCluster cluster = cluster(SEED, 6);
+        SimWorker gone = cluster.workers().iterator().next();
+        List<Report> copies = List.of(gone.nextHeartbeat(), gone.nextHeartbeat(), gone.nextHeartbeat());
+        cluster.cloud.machines.remove(gone.name);
+        gone.terminate();
+        cluster.runUntil(50_000);
+        cluster.crashAllControllers(300);
+        cluster.runUntil(60_000);
+        Value.ClusterMap mapBefore = partitionMap(cluster);
+        Set<String> recordsBefore = cluster.store.scan(Keys.MACHINES).keySet();
+        for (int i = 0; i < copies.size(); i++) {
+            for (SimController controller : cluster.controllers.values()) {
+                gone.heartbeats.deliverCopy(copies.get(i), controller, 1 + 4000L * i);
+            }
+        }
+        cluster.users.submit(job(1, 14, 2, 5));
+        cluster.runUntil(140_000);
+        assertEquals(mapBefore, partitionMap(cluster), "no machine was moved");
+        Map<String, Value> records = cluster.store.scan(Keys.MACHINES);
+        records.keySet().removeAll(recordsBefore);
+        assertEquals(Map.of(), records, "none was condemned");
+        assertFalse(cluster.recentTrace("wk-000001/").contains("on " + gone.name));
+        assertEquals(14, cluster.checker.taskStarts, "nothing was launched on what is gone");
+    }
+}
--- a/src/test/java/dewlane/sim/Version01View.java
+++ b/src/test/java/dewlane/sim/Version01View.java
@@ -10,25 +10,25 @@
 import java.util.List;
 
 /**
- * What version 0.1 makes of the state service: it refuses keys that it does not know, drops fields that it does not
+ * Stored data as version 0.1 sees it: that version refuses keys that it does not know, drops fields that it does not
  * know, and so loses them when it rewrites a value.
  */
 final class Version01View {
     private Version01View() {}
 
-    /** A message as that version reads it. */
+    /** An input as that version reads it. */
     static Input read(Input input) {
-        if (input instanceof Input.StateListed in) {
-            List<Input.Row> rows = in.rows().stream()
+        if (input instanceof Input.StateListed listed) {
+            List<Input.Row> rows = listed.rows().stream()
                     .map(row -> new Input.Row(row.key(), read(row.key(), row.value()), row.version()))
                     .toList();
-            return new Input.StateListed(rows, in.revision(), in.latest());
+            return new Input.StateListed(rows, listed.revision(), listed.latest());
         }
-        if (input instanceof Input.Changes in) {
-            List<Input.Change> changes = in.changes().stream()
-                    .map(c -> new Input.Change(c.key(), read(c.key(), c.value()), c.version()))
+        if (input instanceof Input.Changes changes) {
+            List<Input.Change> read = changes.changes().stream()
+                    .map(change -> new Input.Change(change.key(), read(change.key(), change.value()), change.version()))
                     .toList();
-            return new Input.Changes(changes, in.revision());
+            return new Input.Changes(read, changes.revision());
         }
         return input;
     }
@@ -37,31 +37,37 @@
         if (!Keys.known(key)) {
             throw new AssertionError("version 0.1 stops at the key " + key);
         }
-        return known(value);
+        return withoutNewFields(value);
     }
 
     /** A transaction as that version writes it. */
-    static Transaction written(Transaction txn) {
-        List<Transaction.Write> writes = txn.apply().stream()
-                .map(w -> new Transaction.Write(w.key(), known(w.value()), w.lease()))
+    static Transaction written(Transaction transaction) {
+        List<Transaction.Write> writes = transaction.apply().stream()
+                .map(write -> new Transaction.Write(write.key(), withoutNewFields(write.value()), write.lease()))
                 .toList();
-        return new Transaction(txn.when(), writes);
+        return new Transaction(transaction.when(), writes);
     }
 
-    private static Value known(Value value) {
-        if (value instanceof Value.JobRecord v) {
-            Job job = v.job().withAwaits(List.of());
-            return new Value.JobRecord(job, v.deals(), v.abortedMs());
+    private static Value withoutNewFields(Value value) {
+        if (value instanceof Value.JobRecord record) {
+            Job job = record.job().withAwaits(List.of());
+            return new Value.JobRecord(job, record.deals(), record.abortedMs());
         }
-        if (value instanceof Value.Presence v) {
-            return new Value.Presence(v.incarnation(), StoredFormat.FIRST);
+        if (value instanceof Value.Presence presence) {
+            return new Value.Presence(presence.incarnation(), StoredFormat.FIRST);
         }
-        if (value instanceof Value.Slice v) {
+        if (value instanceof Value.Slice slice) {
             return new Value.Slice(
-                    v.owner(), v.first(), v.count(), v.launches(), v.done(), v.attempts(), UnknownFields.NONE);
+                    slice.owner(),
+                    slice.first(),
+                    slice.count(),
+                    slice.launches(),
+                    slice.done(),
+                    slice.attempts(),
+                    UnknownFields.NONE);
         }
-        if (value instanceof Value.ClusterMap v) {
-            return new Value.ClusterMap(v.epoch(), v.members(), v.moved(), v.loans());
+        if (value instanceof Value.ClusterMap map) {
+            return new Value.ClusterMap(map.epoch(), map.members(), map.moved(), map.loans());
         }
         return value;
     }
