--- a/src/test/java/dewlane/sim/AnswerConsistencyTest.java
+++ b/src/test/java/dewlane/sim/AnswerConsistencyTest.java
@@ -49,12 +49,14 @@
             }
         }
         cluster.runUntil(40_000);
+
         long aborted = cluster.users.accepted().stream()
                 .filter(id -> cluster.checker.lastReportedCondition(id) == Condition.ABORTED)
                 .count();
         assertTrue(aborted >= 8, aborted + " cancelled");
         assertEquals(30, cluster.users.accepted().size());
         cluster.store.watchLagMs = 0;
+
         assertRecovers(cluster, 60_000);
     }
 
@@ -94,7 +96,9 @@
         }
         cluster.runUntil(40_000);
         assertTrue(cluster.store.lostReplies > 15, cluster.store.lostReplies + " replies lost");
+
         cluster.store.lostReplyRate = 0;
+
         assertRecovers(cluster, 120_000);
     }
 
@@ -109,6 +113,7 @@
         long cancelled = cluster.store.scan(Keys.FINALS).values().stream()
                 .filter(result -> ((Value.FinalRecord) result).aborted())
                 .count();
+
         assertTrue(cancelled > 0 && cancelled < 30, cancelled + " of 30 were cancelled before their end was written");
     }
 
--- a/src/test/java/dewlane/sim/ControllerFailoverTest.java
+++ b/src/test/java/dewlane/sim/ControllerFailoverTest.java
@@ -3,6 +3,7 @@
 import static dewlane.sim.SimFixtures.anotherController;
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.jobs;
@@ -39,6 +40,7 @@
         SimCluster cluster = cluster(4, 12, new SimSettings().workerTimes(heartbeatS, leaseS, cancelS));
         cluster.users.submit(job(1, 24, 2, 150));
         cluster.runUntil(25_000);
+
         leader(cluster).crash(8000);
         cluster.runUntil(50_000);
         for (SimController controller : List.copyOf(cluster.controllers.values())) {
@@ -57,15 +59,15 @@
         cluster.runUntil(111_000 + (long) (1000 * cancelS));
         assertEquals(0, runningTasks(cluster, jobId(2)));
         cluster.store.refusedControllers.clear();
+
         assertRecovers(cluster, 400_000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void tenLeaderChangesInTwoMinutesAndOutageLoseNoJob(long seed) {
-        SimCluster cluster = cluster(seed, 8);
-        cluster.users.submit(job(1, 12, 2, 150));
-        cluster.runUntil(20_000);
+        SimCluster cluster = clusterRunning(seed, 8, 20_000, job(1, 12, 2, 150));
+
         List<String> leaders = new ArrayList<>();
         for (int i = 0; i < 11; i++) {
             SimController leader = leader(cluster);
@@ -79,6 +81,7 @@
             }
             cluster.runFor(11_000);
         }
+
         assertTrue(leaders.stream().distinct().count() >= 10, "leaders: " + leaders);
         assertRecovers(cluster, 300_000);
     }
@@ -98,6 +101,7 @@
             starts += cluster.checker.taskStarts - startsBefore;
             leader(cluster).crash(2000);
         }
+
         assertTrue(starts >= 4, "they ran one after the other: " + starts);
         assertRecovers(cluster, 200_000);
         assertEquals(6, cluster.checker.taskStarts, "and each once");
@@ -106,9 +110,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void leaderCrashWhileWorkersAreUnreachableLosesOnlyTheirTasks(long seed) {
-        SimCluster cluster = cluster(seed, 9);
-        cluster.users.submit(job(1, 18, 2, 90));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 90));
+
         List<SimWorker> workers = List.copyOf(cluster.workers());
         workers.get(0).disconnected = true;
         workers.get(1).disconnected = true;
@@ -122,6 +125,7 @@
         cluster.runUntil(80_000);
         workers.get(0).disconnected = false;
         workers.get(2).inboundBlocked = false;
+
         assertRecovers(cluster, 300_000);
         assertTrue(cluster.checker.taskStarts > 18, "what could not be reached in time was begun again");
         assertTrue(workers.stream().skip(4).noneMatch(worker -> worker.terminated), "and the others lost nothing");
@@ -130,14 +134,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void allControllersDownForLongerThanLeaseRestartsEveryTask(long seed) {
-        SimCluster cluster = cluster(seed, 6);
-        cluster.users.submit(job(1, 12, 2, 80));
-        cluster.users.submit(job(2, 2, 2, 80));
-        cluster.runUntil(20_000);
+        SimCluster cluster = clusterRunning(seed, 6, 20_000, job(1, 12, 2, 80), job(2, 2, 2, 80));
+
         cluster.users.cancel(jobId(2));
         cluster.runUntil(20_500);
         cluster.crashAllControllers(36_000);
         cluster.runUntil(56_000);
+
         assertEquals(0, runningTasks(cluster, JOB), "their leases have ended");
         assertNotNull(cluster.store.get(Keys.job(JOB)));
         assertRecovers(cluster, 300_000);
@@ -157,6 +160,7 @@
         cluster.users.submit(job(2, tasks, 2, 60));
         cluster.users.submit(job(3, tasks, 2, 10));
         cluster.runUntil(40_000);
+
         long running = runningTasks(cluster, JOB) + runningTasks(cluster, jobId(2)) + runningTasks(cluster, jobId(3));
         assertTrue(running * 2 > quotaCpus * 0.95, running + " tasks are as many as the quota allows");
         List<SimWorker> workers = workersRunning(cluster, JOB);
@@ -170,15 +174,15 @@
         assertTrue(lost.stream().anyMatch(worker -> worker.runningTasks(JOB) > 0), "what cannot be asked still runs");
         cluster.runUntil(65_000);
         lost.forEach(worker -> worker.disconnected = false);
+
         assertRecovers(cluster, 300_000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void handOversThenCrashOfAllLoseNoTask(long seed) {
-        SimCluster cluster = cluster(seed, 9);
-        cluster.users.submit(job(1, 18, 2, 60));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 60));
+
         cluster.controllers.get("n0").crash(4500);
         cluster.runUntil(34_000);
         cluster.controllers.get("n1").crash(4500);
@@ -195,6 +199,7 @@
         assertRecovers(cluster, 200_000);
         assertEquals(28, cluster.checker.taskStarts, "no task was lost");
         long epoch = partitionMap(cluster).epoch();
+
         assertTrue(epoch > 8, "epoch " + epoch);
     }
 
@@ -210,12 +215,14 @@
         SimController first = leader(cluster);
         cluster.after(7000, () -> first.crash(4000));
         cluster.runUntil(24_000);
+
         int machines = cluster.workers().size();
         assertTrue(machines > 3, machines + " machines");
         assertNotEquals(first, leader(cluster), "another leads");
         cluster.runUntil(40_000);
         assertTrue(cluster.store.delayedWrites > 5, cluster.store.delayedWrites + " writes were carried out late");
         cluster.store.delayedWriteRate = 0;
+
         assertRecovers(cluster, 300_000);
     }
 
@@ -225,6 +232,7 @@
         SimCluster cluster = cluster(seed, 9);
         jobs(1, 9, i -> job(i, 4, 1, 40)).forEach(cluster.users::submit);
         cluster.runUntil(16_000);
+
         SimController leaving = leader(cluster);
         long epoch = partitionMap(cluster).epoch();
         assertTrue(cluster.checker.taskStarts > 20, "tasks run");
@@ -238,6 +246,7 @@
         for (int i = 1; i <= 8; i++) {
             assertEquals(Condition.ABORTED, cluster.checker.lastReportedCondition(jobId(i)));
         }
+
         assertRecovers(cluster, 120_000);
     }
 }
--- a/src/test/java/dewlane/sim/ControllerRestartTest.java
+++ b/src/test/java/dewlane/sim/ControllerRestartTest.java
@@ -2,6 +2,7 @@
 
 import static dewlane.sim.SimFixtures.assertFinished;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.partitionMap;
@@ -30,21 +31,22 @@
         });
         cluster.users.register(job);
         cluster.runUntil(60_000);
+
         assertTrue(accepted[0]);
         assertFinished(cluster, JOB);
     }
 
     @Test
     void controllersBackAtOnceLoseNoTask() {
-        SimCluster cluster = cluster(SEED, 9);
-        cluster.users.submit(job(1, 18, 2, 60));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
+
         cluster.crashAllControllers(200);
         cluster.runUntil(25_900);
         cluster.crashAllControllers(150);
         cluster.runUntil(27_000);
         cluster.controllers.get("n2").crash(100);
         cluster.runUntil(200_000);
+
         assertEquals(18, cluster.checker.taskStarts);
         assertEquals(9, cluster.workers().size());
         assertFinished(cluster, JOB);
@@ -53,12 +55,12 @@
     /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
     @Test
     void fencingTokensOfMachinesThatKeepTheirOwnerStay() {
-        SimCluster cluster = cluster(SEED, 9);
-        cluster.users.submit(job(1, 18, 2, 30));
-        cluster.runUntil(10_150);
+        SimCluster cluster = clusterRunning(SEED, 9, 10_150, job(1, 18, 2, 30));
+
         cluster.controllers.get("n2").crash(20_000);
         cluster.runUntil(200_000);
         Value.ClusterMap map = partitionMap(cluster);
+
         assertTrue(map.epoch() >= 5, "n2 left and came back");
         assertTrue(
                 cluster.workers().stream()
@@ -72,12 +74,12 @@
      */
     @Test
     void controllerThatCrashesAndReturnsCostsTwoPartitionMaps() {
-        SimCluster cluster = cluster(SEED, 30);
-        cluster.users.submit(job(1, 60, 2, 60));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(SEED, 30, 25_000, job(1, 60, 2, 60));
+
         long epochBefore = partitionMap(cluster).epoch();
         cluster.controllers.get("n1").crash(8000);
         cluster.runUntil(60_000);
+
         assertEquals(epochBefore + 2, partitionMap(cluster).epoch());
         assertEquals(60, cluster.checker.taskStarts);
     }
--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -63,6 +63,7 @@
         cluster.cloud.capacity = 3;
         cluster.users.submit(job(1, 6, 2, 60));
         cluster.runUntil(10_120);
+
         cluster.workers().forEach(worker -> worker.frozenUntil = cluster.now() + 6000);
         cluster.runUntil(13_000);
         assertFalse(cluster.store.scan(Keys.SLICES).isEmpty(), "launches were written");
@@ -91,7 +92,9 @@
         }
         cluster.runUntil(45_000);
         assertTrue(cluster.commands.delayedPastSender > 0, cluster.commands.delayed + " delayed, none past its sender");
+
         cluster.commands.delayRate = 0;
+
         assertRecovers(cluster, 300_000);
     }
 }
--- a/src/test/java/dewlane/sim/DependencyCancellationTest.java
+++ b/src/test/java/dewlane/sim/DependencyCancellationTest.java
@@ -34,6 +34,7 @@
         }
         cluster.runFor(4000);
         assertTrue(runningTasks(cluster, jobId(1)) > 0);
+
         cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
         cluster.runFor(1500);
         for (int number : new int[] {1, 2, 3, 5}) {
@@ -41,6 +42,7 @@
                 assertEquals(Condition.ABORTED, pollCondition(controller, jobId(number)), jobId(number));
             }
         }
+
         assertRecovers(cluster, 90_000);
         assertTrue(doneInStore(cluster, 4) && doneInStore(cluster, 6));
         assertTrue(abortedInStore(cluster, 2) && abortedInStore(cluster, 3) && abortedInStore(cluster, 5));
@@ -56,6 +58,7 @@
             submitThrough(controller(cluster, i % 3), smallJob(i, i - 1));
         }
         cluster.runFor(6000);
+
         cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
         cluster.runFor(60);
         cluster.store.outage(75_000);
@@ -83,6 +86,7 @@
         SimCluster cluster = cluster(seed, 9);
         submitThrough(controller(cluster, 0), job(1, 3, 1, 300));
         cluster.runFor(3000);
+
         cluster.store.watchLagMs = 700;
         cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
         for (int i = 0; i < 6; i++) {
@@ -105,8 +109,10 @@
         submitThrough(controller(cluster, 1), smallJob(2, 1));
         cluster.runFor(30_000);
         assertEquals(Condition.PENDING, pollCondition(controller(cluster, 0), jobId(2)));
+
         cluster.workers().forEach(worker -> worker.failsTasks = false);
         cluster.users.cancel(jobId(1));
+
         assertRecovers(cluster, 90_000);
         assertTrue(abortedInStore(cluster, 1) && abortedInStore(cluster, 2));
     }
--- a/src/test/java/dewlane/sim/JobDependenciesTest.java
+++ b/src/test/java/dewlane/sim/JobDependenciesTest.java
@@ -54,6 +54,7 @@
         }
         jobs.add(smallJob(200, fan));
         submitInTurn(cluster, 0, 150, jobs);
+
         assertRecovers(cluster, 150_000);
         assertEquals(jobs.size(), cluster.users.accepted().size());
         assertEquals(2 * jobs.size(), cluster.checker.taskStarts, "each task ran once");
@@ -69,9 +70,11 @@
         cluster.users.cancelThrough(controller(cluster, 1), jobId(2));
         cluster.runUntil(40_000);
         assertTrue(doneInStore(cluster, 1) && abortedInStore(cluster, 2));
+
         // No controller that starts anew knows of what is over.
         cluster.crashAllControllers(1000);
         cluster.runUntil(60_000);
+
         assertEquals(201, submitThrough(controller(cluster, 2), smallJob(3, 1)).status());
         assertEquals(
                 201, submitThrough(controller(cluster, 2), smallJob(4, 1, 2)).status());
@@ -88,11 +91,13 @@
         cluster.store.outage(8000);
         assertEquals(503, submitThrough(controller(cluster, 0), smallJob(4, 1)).status());
         cluster.runFor(10_000);
+
         // One that was accepted stays known whatever a repeat of it names.
         assertEquals(201, submitThrough(controller(cluster, 1), smallJob(5)).status());
         cluster.runFor(20_000);
         cluster.crashAllControllers(500);
         cluster.runFor(15_000);
+
         assertEquals(200, submitThrough(controller(cluster, 1), smallJob(5, 1)).status());
         assertNull(cluster.store.get(Keys.job(jobId(2))));
     }
@@ -113,7 +118,9 @@
         });
         cluster.runFor(6000);
         assertEquals(List.of(201, 201), statuses);
+
         cluster.store.watchLagMs = 0;
+
         assertRecovers(cluster, 60_000);
     }
 
@@ -131,6 +138,7 @@
                 crash.run(() -> crashAllOrOwner(cluster, seed % 2 == 0, jobId(2)));
             }
         });
+
         assertRecovers(cluster, 120_000);
         assertTrue(crash.isDecided() && doneInStore(cluster, 2) && doneInStore(cluster, 3));
     }
@@ -159,8 +167,10 @@
         submitThrough(controller(cluster, 1), job(7, Priority.IDLE, 11, 1, 150));
         cluster.runFor(10_000);
         assertEquals(11, runningTasks(cluster, jobId(7)));
+
         int startsBefore = cluster.checker.taskStarts;
         cluster.runFor(25_000);
+
         assertEquals(startsBefore, cluster.checker.taskStarts, "nothing was stopped or started for those that wait");
         assertRecovers(cluster, 700_000);
     }
@@ -174,6 +184,7 @@
         submitThrough(controller(cluster, 0), job(2, Priority.IDLE, 1, 4, 6));
         submitThrough(controller(cluster, 1), dependent(job(3, Priority.CRITICAL, 1, 4, 2), 2));
         cluster.runFor(60_000);
+
         assertTrue(doneInStore(cluster, 2) && doneInStore(cluster, 3), "the pipeline went first");
         assertFalse(doneInStore(cluster, 1));
     }
@@ -183,8 +194,10 @@
         SimCluster cluster = cluster(12, 9);
         submitInTurn(cluster, 0, 160, jobs(100, 399, i -> job(i, 1, 1, 1)));
         cluster.runFor(60_000);
+
         int[] dependencies = IntStream.range(100, 400).toArray();
         Effect.AnswerUser answer = submitThrough(controller(cluster, 2), smallJob(500, dependencies));
+
         assertEquals(201, answer.status());
         assertRecovers(cluster, 120_000);
         assertTrue(doneInStore(cluster, 500));
--- a/src/test/java/dewlane/sim/JobDistributionTest.java
+++ b/src/test/java/dewlane/sim/JobDistributionTest.java
@@ -3,6 +3,7 @@
 import static dewlane.sim.SimFixtures.assertFinished;
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.partitionMap;
@@ -55,18 +56,19 @@
         cluster.cloud.capacity = 9;
         cluster.users.submit(job(1, 600, 1, 5));
         cluster.runUntil(400_000);
+
         assertFinished(cluster, JOB);
         assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
     }
 
     @Test
     void largeJobOfSmallTasksStaysWithinStoreLimits() {
-        SimCluster cluster = cluster(SEED, 6);
-        cluster.users.submit(job(1, 60_000, 0.01, 4));
-        cluster.runUntil(60_000);
+        SimCluster cluster = clusterRunning(SEED, 6, 60_000, job(1, 60_000, 0.01, 4));
         assertTrue(cluster.checker.taskStarts > 1000, cluster.checker.taskStarts + " starts");
+
         cluster.users.cancel(JOB);
         cluster.runUntil(150_000);
+
         assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
     }
 
@@ -81,6 +83,7 @@
         cluster.users.submit(job(1, 12, 1, 300));
         cluster.runUntil(20_000);
         assertEquals(12, cluster.checker.taskStarts, "all machines are full");
+
         Map<String, Integer> waiting = new HashMap<>();
         for (int i = 2; i < 11; i++) {
             cluster.users.submit(job(i, 10, 1, 300));
@@ -88,6 +91,7 @@
             Value.JobRecord record = (Value.JobRecord) cluster.store.get(Keys.job(jobId(i)));
             record.deals().forEach(deal -> waiting.merge(deal.owner(), deal.count(), Integer::sum));
         }
+
         assertEquals(Map.of("n0", 30, "n1", 30, "n2", 30), waiting);
     }
 
@@ -98,6 +102,7 @@
         SimWorker large = cluster.cloud.create("large", "east", true);
         large.boot();
         cluster.runUntil(15_000);
+
         String ownerWithRoom = Partitions.owner(partitionMap(cluster), large.name);
         String ownerWithoutRoom = cluster.controllers.keySet().stream()
                 .filter(name -> !name.equals(ownerWithRoom))
@@ -116,6 +121,7 @@
         cluster.store.put(Keys.job(JOB), new Value.JobRecord(job.withAccepted(1_000_000), List.of(), 0));
         cluster.store.put(Keys.slice(JOB, 0), new Value.Slice(ownerWithoutRoom, 0, 3, 1, done, List.of()));
         cluster.runUntil(90_000);
+
         assertFinished(cluster, JOB);
     }
 
@@ -130,6 +136,7 @@
         }
         cluster.runUntil(40_000);
         assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks() >= 3), "the fleet is full");
+
         cluster.users.submit(JobBuilder.job(jobId(7))
                 .priority(Priority.CRITICAL)
                 .tasks(8)
@@ -137,6 +144,7 @@
                 .deadlineS(20)
                 .build());
         cluster.runUntil(75_000);
+
         assertEquals(8, cluster.recentTrace("start " + jobId(7)).lines().count(), "urgent tasks began");
         assertTrue(cluster.recentTrace("STOPPED").lines().count() > 0, "others were stopped for them");
         assertRecovers(cluster, 900_000);
@@ -149,6 +157,7 @@
         cluster.bootMachines(6, "west");
         cluster.cloud.capacity = 12;
         cluster.runUntil(15_000);
+
         cluster.users.submit(zoneJob(1, 6).oneZone(true).build());
         cluster.users.submit(zoneJob(2, 7).spread(true).build());
         cluster.users.submit(zoneJob(3, 6).zone("west").build());
@@ -159,6 +168,7 @@
         }
         cluster.runUntil(30_000);
         workersRunning(cluster, jobId(2)).get(0).terminate();
+
         assertRecovers(cluster, 300_000);
         assertTrue(cluster.checker.taskStarts > 19, "tasks were lost and begun again");
     }
--- a/src/test/java/dewlane/sim/LargeClusterTest.java
+++ b/src/test/java/dewlane/sim/LargeClusterTest.java
@@ -95,6 +95,7 @@
     void sixteenHundredMachinesAndLargeArraysCostFewWritesPerJob() {
         SimCluster cluster = cluster(60, MACHINES);
         cluster.runUntil(SETTLED_MS);
+
         long writesBefore = cluster.store.usage.writes;
         List<Job> jobs = jobs(0, JOBS - 1, i -> job(i, i == 60 ? 500 : tasksOf(i)));
         submitInTurn(cluster, 0, ARRIVAL_INTERVAL_MS, jobs);
@@ -118,12 +119,14 @@
     void controllerAloneWithAllMachinesKeepsThemAndTellsItsPeersInPages() {
         SimCluster cluster = cluster(600, MACHINES);
         cluster.runUntil(SETTLED_MS);
+
         crashAllButFirst(cluster);
         submitInTurn(cluster, 0, ARRIVAL_INTERVAL_MS, jobs(0, 29, i -> job(i, 60)));
         cluster.runUntil(120_000);
         assertAllFinished(cluster, 30);
         assertNoMachineDeleted(cluster, MACHINES);
         long maps = partitionMap(cluster).epoch();
+
         assertTrue(maps <= 3 * CONTROLLERS, maps + " maps for one crash of all but one");
     }
 
@@ -133,11 +136,13 @@
         int machines = 4000;
         SimCluster cluster = cluster(900, machines);
         cluster.runUntil(SETTLED_MS);
+
         long writesBefore = cluster.store.usage.writes;
         submitInTurn(cluster, 0, ARRIVAL_INTERVAL_MS, jobs(0, JOBS - 1, i -> job(i, tasksOf(i))));
         cluster.runUntil(90_000);
         crashAllButFirst(cluster);
         cluster.runUntil(LAST_JOB_DONE_MS);
+
         assertAllFinished(cluster, JOBS);
         assertFewWritesPerJob(cluster, writesBefore);
         assertNoMachineDeleted(cluster, machines);
@@ -150,7 +155,9 @@
         SimCluster cluster = cluster(30, MACHINES);
         cluster.runUntil(110_000);
         assertEquals(0, cluster.workers().size());
+
         long writes = cluster.store.usage.machineRecordWrites;
+
         assertTrue(writes < 200, writes + " changes for " + MACHINES + " machines");
     }
 }
--- a/src/test/java/dewlane/sim/MessageDelayTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -3,6 +3,7 @@
 import static dewlane.sim.SimFixtures.assertFinished;
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.jobs;
@@ -32,6 +33,7 @@
         cluster.cloud.capacity = 4;
         cluster.users.submit(job(1, 8, 2, 90));
         cluster.runUntil(16_000);
+
         SimWorker worker = workersRunning(cluster, JOB).get(0);
         List<Report> old = new ArrayList<>(List.of(worker.nextHeartbeat(), worker.nextHeartbeat()));
         long incarnation = worker.incarnation();
@@ -51,15 +53,15 @@
                 worker.heartbeats.deliverCopy(old.get(i), controller, 40_000 + 1500L * i);
             }
         }
+
         assertRecovers(cluster, 300_000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void oldHeartbeatsAtEveryControllerAsLeaderBeginsRestartNoTask(long seed) {
-        SimCluster cluster = cluster(seed, 6);
-        cluster.users.submit(job(1, 10, 1, 60));
-        cluster.runUntil(16_000);
+        SimCluster cluster = clusterRunning(seed, 6, 16_000, job(1, 10, 1, 60));
+
         List<SimWorker> workers = workersRunning(cluster, JOB);
         assertTrue(workers.size() > 1);
         List<Report> old = workers.stream().map(SimWorker::nextHeartbeat).toList();
@@ -79,6 +81,7 @@
             }
         }
         cluster.runFor(15_000);
+
         assertEquals(startsBefore, cluster.checker.taskStarts, "no task was begun again");
         assertRecovers(cluster, 200_000);
         assertFinished(cluster, JOB);
@@ -91,6 +94,7 @@
         cluster.cloud.capacity = 6;
         cluster.users.submit(job(1, 12, 2, 30));
         cluster.runUntil(18_000);
+
         SimWorker worker = workersRunning(cluster, JOB).get(0);
         worker.heartbeats.withhold();
         cluster.runUntil(24_000);
@@ -102,6 +106,7 @@
         cluster.users.submit(job(2, 12, 1, 4));
         cluster.runUntil(50_000);
         int released = worker.heartbeats.release(newLeader);
+
         assertTrue(released >= 2, "heartbeats of the old leader's time arrive at the new one");
         assertRecovers(cluster, 300_000);
     }
@@ -115,11 +120,13 @@
                 3, 4000, cluster, 2000, jobs(1, 14, i -> job(i, Priority.values()[i % 4], 6, 1 + i % 2, 6)));
         cluster.after(12_000, () -> leader(cluster).crash(3000));
         cluster.runUntil(50_000);
+
         int delayed = cluster.store.delayedWrites;
         int committed = cluster.store.delayedWritesCommitted;
         assertTrue(delayed > 20, delayed + " late");
         assertTrue(committed > 0 && committed < delayed, committed + " of " + delayed + " changed something");
         cluster.store.delayedWriteRate = 0;
+
         assertRecovers(cluster, 300_000);
     }
 }
--- a/src/test/java/dewlane/sim/NetworkPartitionTest.java
+++ b/src/test/java/dewlane/sim/NetworkPartitionTest.java
@@ -4,6 +4,7 @@
 import static dewlane.sim.SimFixtures.assertFinished;
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.jobs;
@@ -34,6 +35,7 @@
         SimCluster cluster = cluster(seed, 6);
         cluster.bootMachines(6, "west");
         cluster.runUntil(15_000);
+
         cluster.users.submit(job(1, 20, 2, 60));
         cluster.runUntil(25_000);
         SimController inside = cluster.controllers.get("n0");
@@ -51,6 +53,7 @@
         cluster.runUntil(25_000 + 1000 * (long) cluster.settings.leaseS() + 25_000);
         inside.endIsolation();
         cluster.workers().forEach(worker -> worker.blockedControllers.clear());
+
         assertRecovers(cluster, 200_000);
     }
 
@@ -61,6 +64,7 @@
         SimCluster cluster = cluster(seed, 6);
         cluster.cloud.capacity = 6;
         cluster.runUntil(12_000);
+
         SimWorker worker = List.copyOf(cluster.workers()).get(0);
         worker.outboundBlocked = true;
         submitInTurn(cluster, 900, 900, jobs(1, 60, i -> job(i, 20, 1, 4)));
@@ -72,6 +76,7 @@
                 events.lines().anyMatch(line -> line.contains(" start ") && timeOf(line) > 33_000),
                 "nothing more began there\n" + events);
         worker.outboundBlocked = false;
+
         assertRecovers(cluster, 300_000);
     }
 
@@ -82,9 +87,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void isolatedLeaderMissesCancellationThatItsSuccessorConfirms(long seed) {
-        SimCluster cluster = cluster(seed, 9);
-        cluster.users.submit(job(1, 18, 2, 300));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 300));
+
         SimController leader = leader(cluster);
         leader.isolate();
         cluster.runUntil(25_000 + 1500 * seed);
@@ -93,18 +97,19 @@
         cluster.runUntil(100_000);
         assertNotEquals(leader.name, Partitions.leader(partitionMap(cluster)), "another leads");
         leader.endIsolation();
+
         assertRecovers(cluster, 200_000);
     }
 
     /** Seen in a recorded incident: workers cut from their controller were sent back to it until their leases ended. */
     @Test
     void workersCutFromTheirControllerMoveAndLoseNoTask() {
-        SimCluster cluster = cluster(SEED, 9);
-        cluster.users.submit(job(1, 18, 2, 60));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
         assertEquals(18, cluster.checker.taskStarts);
+
         cluster.controllers.get("n0").cutFromWorkers = true;
         cluster.runUntil(200_000);
+
         assertEquals(18, cluster.checker.taskStarts, "every task ran on where it was");
         assertEquals(9, cluster.workers().size(), "no machine was deleted for its silence");
         assertFinished(cluster, JOB);
@@ -113,9 +118,8 @@
     /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
     @Test
     void controllerThatWasCutOffCondemnsNoMachineOnItsReturn() {
-        SimCluster cluster = cluster(SEED, 9);
-        cluster.users.submit(job(1, 18, 2, 80));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 80));
+
         SimController controller = cluster.controllers.get("n1");
         controller.cutFromStore = true;
         controller.cutFromWorkers = true;
@@ -123,6 +127,7 @@
         controller.cutFromStore = false;
         controller.cutFromWorkers = false;
         cluster.runUntil(90_000);
+
         assertNoMachineCondemned(cluster);
         assertEquals(18, cluster.checker.taskStarts);
     }
@@ -134,6 +139,7 @@
         cluster.controllers.get("n1").crash(600_000);
         cluster.controllers.get("n2").crash(600_000);
         cluster.runUntil(20_000);
+
         cluster.users.submit(job(1, 18, 2, 80));
         cluster.runUntil(35_000);
         // Nobody can take its partition over: its lease stays for as long as the store is out.
@@ -149,9 +155,8 @@
     /** A fault the users named: a controller loses the store and the other controllers, not its workers. */
     @Test
     void isolatedControllerHandsItsWorkersOverAndCondemnsNoMachine() {
-        SimCluster cluster = cluster(SEED, 9);
-        cluster.users.submit(job(1, 18, 2, 60));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
+
         SimController controller = cluster.controllers.get("n1");
         controller.isolate();
         cluster.runUntil(45_000);
@@ -160,6 +165,7 @@
         assertFinished(cluster, jobId(2));
         controller.endIsolation();
         cluster.runUntil(160_000);
+
         assertEquals(36, cluster.checker.taskStarts, "no task was lost");
         assertNoMachineCondemned(cluster);
     }
--- a/src/test/java/dewlane/sim/RollingUpgradeTest.java
+++ b/src/test/java/dewlane/sim/RollingUpgradeTest.java
@@ -79,6 +79,7 @@
         cluster.users.submit(job(1, 300, 4, 150));
         cluster.users.submit(job(2, 900, 1, 3));
         cluster.runUntil(25_000);
+
         int bytes = largestSliceBytes(cluster);
         assertTrue(bytes > valueBytes, bytes + " bytes are the most that is stored");
         upgradeAll(cluster, 3000);
@@ -86,6 +87,7 @@
         cluster.runFor(60_000);
         // Another controller goes on where one that was cutting ended.
         cluster.controllers.get("n1").crash(4000);
+
         assertRecovers(cluster, 400_000);
         assertEquals(1200, cluster.checker.taskStarts, "every task ran once");
         assertEquals(0, cluster.store.limits.exceeded, "nothing larger than the new limits was sent after they came");
@@ -98,11 +100,13 @@
         cluster.users.submit(job(1, 150, 4, 150));
         cluster.runUntil(25_000);
         assertTrue(largestSliceBytes(cluster) > 1024);
+
         cluster.controllers.get("n2").crash(900_000);
         upgrade(cluster, "n0", 2000);
         upgrade(cluster, "n1", 3000);
         cluster.runFor(10_000);
         cluster.store.limits.shrink();
+
         assertRecovers(cluster, 500_000);
         assertEquals(150, cluster.checker.taskStarts);
     }
@@ -112,6 +116,7 @@
         SimCluster cluster = version01Cluster(8, 9);
         cluster.users.submit(job(1, 2, 1, 5));
         cluster.runUntil(15_000);
+
         upgrade(cluster, "n0", 1000);
         cluster.runUntil(22_000);
         Job dependant = job(2, 2, 1, 5).withAwaits(List.of(jobId(1)));
@@ -126,6 +131,7 @@
         assertNotNull(cluster.store.get(Keys.job(jobId(3))));
         upgradeAll(cluster, 4000);
         cluster.users.submit(dependant);
+
         assertRecovers(cluster, 60_000);
         assertTrue(cluster.users.isFinished(jobId(2)));
     }
@@ -143,6 +149,7 @@
         upgrade(cluster, "n1", 1500);
         cluster.runUntil(20_000);
         assertEquals(List.of("n0", "n1"), members(cluster), "the map knows no controller of version 0.1");
+
         cluster.users.submit(job(1, 2, 1, 100));
         cluster.runUntil(22_000);
         Job dependant = job(2, 8, 1, 5).withAwaits(List.of(jobId(1)));
@@ -161,6 +168,7 @@
         cluster.runUntil(90_000);
         cluster.users.submit(dependant);
         cluster.runUntil(95_000);
+
         assertEquals(List.of(jobId(1), jobId(2)), cluster.users.accepted());
         assertRecovers(cluster, 250_000);
         assertTrue(cluster.users.isFinished(jobId(2)));
@@ -181,8 +189,10 @@
         assertEquals(503, answer.get().status());
         assertFinished(cluster, jobId(3));
         assertEquals(2, cluster.checker.taskStarts);
+
         cluster.store.put(Keys.job(jobId(1)), new Value.JobRecord(held, List.of(new Value.Deal("n0", 0, 2)), 0));
         cluster.users.submit(held);
+
         assertRecovers(cluster, 120_000);
         assertEquals(Map.of(), cluster.store.scan(Keys.JOBS));
     }
--- a/src/test/java/dewlane/sim/SimFixtures.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -34,6 +34,14 @@
         return cluster;
     }
 
+    /** A cluster as above to which jobs were submitted once it had settled, at the given time. */
+    static SimCluster clusterRunning(long seed, int machines, long untilMs, Job... jobs) {
+        SimCluster cluster = cluster(seed, machines);
+        List.of(jobs).forEach(cluster.users::submit);
+        cluster.runUntil(untilMs);
+        return cluster;
+    }
+
     static String jobId(int number) {
         return String.format("wk-%06d", number);
     }
--- a/src/test/java/dewlane/sim/StoreOutageTest.java
+++ b/src/test/java/dewlane/sim/StoreOutageTest.java
@@ -3,6 +3,7 @@
 import static dewlane.sim.SimFixtures.anotherController;
 import static dewlane.sim.SimFixtures.assertRecovers;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.leader;
@@ -63,9 +64,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void outageAfterCancellationThatLeaderMissedEndsTasksInTime(long seed) {
-        SimCluster cluster = cluster(seed, 9);
-        cluster.users.submit(job(1, 18, 2, 400));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 400));
         assertEquals(18, runningTasks(cluster, JOB));
         SimController leader = leader(cluster);
 
@@ -87,10 +86,7 @@
     /** While peers still hear one another, the owner stops the tasks at once, and those of other jobs go on. */
     @Test
     void outageAfterCancellationThatPeersToldEndsOnlyCancelledTasksAtOnce() {
-        SimCluster cluster = cluster(6, 9);
-        cluster.users.submit(job(1, 10, 2, 400));
-        cluster.users.submit(job(2, 8, 2, 50));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(6, 9, 25_000, job(1, 10, 2, 400), job(2, 8, 2, 50));
 
         long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, Leader.INFORMED);
 
@@ -105,9 +101,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void frozenWorkersWithCancelledTasksAreDeletedDuringOutage(long seed) {
-        SimCluster cluster = cluster(seed, 9);
-        cluster.users.submit(job(1, 18, 2, 400));
-        cluster.runUntil(25_000);
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 400));
         List<SimWorker> frozen = workersRunning(cluster, JOB).subList(0, 4);
         frozen.forEach(worker -> worker.frozenUntil = 500_000);
 
@@ -145,10 +139,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsAreConfirmedWhileStoreIsSlowThenRefusesLeaderThenIsOut(long seed) {
-        SimCluster cluster = cluster(seed, 8);
-        cluster.users.submit(job(1, 12, 2, 300));
-        cluster.users.submit(job(2, 2, 2, 300));
-        cluster.runUntil(22_000);
+        SimCluster cluster = clusterRunning(seed, 8, 22_000, job(1, 12, 2, 300), job(2, 2, 2, 300));
+
         cluster.every(300, cluster.users::pollRandomJob);
         cluster.store.extraLatencyMs = 1300;
         cluster.runUntil(28_000);
@@ -163,6 +155,7 @@
         cluster.runUntil(106_500);
         cluster.store.refusedControllers.clear();
         cluster.store.extraLatencyMs = 0;
+
         assertRecovers(cluster, 200_000);
     }
 }
--- a/src/test/java/dewlane/sim/SubmissionLoadTest.java
+++ b/src/test/java/dewlane/sim/SubmissionLoadTest.java
@@ -38,6 +38,7 @@
         }
         Value map = cluster.store.get(Keys.MAP);
         cluster.runUntil(70_000);
+
         int done = cluster.store.scan(Keys.FINALS).size();
         assertTrue(done >= 300, done + " of " + submitted + " jobs were done while they came");
         assertEquals(map, cluster.store.get(Keys.MAP), "no controller lost its lease");
@@ -57,12 +58,14 @@
         SimCluster cluster = cluster(SEED, 9);
         submitInTurn(cluster, 0, 150, jobs(FIRST_JOB, FIRST_JOB + 399, i -> job(i, 1, 1, 1)));
         cluster.runUntil(12_000);
+
         int before = cluster.checker.taskStarts;
         assertTrue(before > 0);
         cluster.store.outage(70_000);
         cluster.runUntil(82_000);
         assertTrue(cluster.checker.taskStarts < before + 30, "the outage came about");
         cluster.runUntil(102_000);
+
         assertTrue(
                 cluster.checker.taskStarts > before + 60,
                 cluster.checker.taskStarts + " started, " + before + " before it");
@@ -82,7 +85,9 @@
         }
         cluster.after(60_000, () -> leader(cluster).crash(5000));
         cluster.runUntil(135_000);
+
         int accepted = cluster.users.accepted().size();
+
         assertTrue(accepted > submitted * 9 / 10, accepted + " accepted");
         assertRecovers(cluster, 120_000);
     }
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -2,6 +2,7 @@
 
 import static dewlane.sim.SimFixtures.assertFinished;
 import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
 import static dewlane.sim.SimFixtures.job;
 import static dewlane.sim.SimFixtures.jobId;
 import static dewlane.sim.SimFixtures.partitionMap;
@@ -25,13 +26,13 @@
 
     @Test
     void frozenWorkerIsDeletedBeforeItsCancelledTaskHasRunTooLong() {
-        SimCluster cluster = cluster(SEED, 2);
-        cluster.users.submit(job(1, 2, 4, 200));
-        cluster.runUntil(20_000);
+        SimCluster cluster = clusterRunning(SEED, 2, 20_000, job(1, 2, 4, 200));
+
         cluster.workers().forEach(worker -> worker.frozenUntil = 500_000);
         cluster.runUntil(21_000);
         cluster.users.cancel(JOB);
         cluster.runUntil(100_000);
+
         assertFinished(cluster, JOB);
         assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
     }
@@ -39,9 +40,8 @@
     /** A fault the users named: heartbeats arrive, replies and commands do not. Being heard is not being reachable. */
     @Test
     void workerThatDoesNotHearItsControllerGetsNoLaunchFromItAndMovesToAnother() {
-        SimCluster cluster = cluster(SEED, 6);
-        cluster.users.submit(job(1, 1, 2, 90));
-        cluster.runUntil(16_000);
+        SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 1, 2, 90));
+
         SimWorker worker = cluster.workers().stream()
                 .filter(candidate -> candidate.runningTasks() > 0)
                 .findFirst()
@@ -62,6 +62,7 @@
         }
         assertTrue(partitionMap(cluster).moved().containsKey(worker.name), "one that it hears has it");
         cluster.runUntil(200_000);
+
         assertEquals(1, cluster.recentTrace("start wk-000001/").lines().count(), "and lost nothing");
         assertFinished(cluster, JOB);
     }
@@ -75,27 +76,27 @@
 
     @Test
     void cancelledTaskOnWorkerThatDoesNotHearEndsInTime() {
-        SimCluster cluster = cluster(SEED, 6);
-        cluster.users.submit(job(1, 12, 2, 200));
-        cluster.runUntil(16_000);
+        SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 12, 2, 200));
+
         SimWorker worker = cluster.workers().iterator().next();
         assertTrue(worker.runningTasks() > 0);
         worker.inboundBlocked = true;
         cluster.runUntil(17_000);
         cluster.users.cancel(JOB);
         cluster.runUntil(100_000);
+
         assertEquals(Map.of(), cluster.store.scan(Keys.SLICES));
     }
 
     @Test
     void workersThatAllStopHearingForMomentAreKeptAndLoseNoTask() {
-        SimCluster cluster = cluster(SEED, 6);
-        cluster.users.submit(job(1, 12, 2, 60));
-        cluster.runUntil(16_000);
+        SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 12, 2, 60));
+
         cluster.workers().forEach(worker -> worker.inboundBlocked = true);
         cluster.runUntil(36_000);
         cluster.workers().forEach(worker -> worker.inboundBlocked = false);
         cluster.runUntil(150_000);
+
         assertEquals(6, cluster.workers().size(), "none was deleted");
         assertEquals(12, cluster.checker.taskStarts, "and every task ran to its end where it was");
         assertFinished(cluster, JOB);
@@ -110,6 +111,7 @@
         cluster.cloud.machines.remove(gone.name);
         gone.terminate();
         cluster.runUntil(50_000);
+
         cluster.crashAllControllers(300);
         cluster.runUntil(60_000);
         Value.ClusterMap mapBefore = partitionMap(cluster);
@@ -124,6 +126,7 @@
         assertEquals(mapBefore, partitionMap(cluster), "no machine was moved");
         Map<String, Value> records = cluster.store.scan(Keys.MACHINES);
         records.keySet().removeAll(recordsBefore);
+
         assertEquals(Map.of(), records, "none was condemned");
         assertFalse(cluster.recentTrace("wk-000001/").contains("on " + gone.name));
         assertEquals(14, cluster.checker.taskStarts, "nothing was launched on what is gone");
