--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
+    void goodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
         DeployFile file = DeployFile.read(GOOD.toString(), null);
         assertEquals("node-0", file.settings().node());
         assertEquals("127.0.0.1:18085", file.endpoints().state());
@@ -56,7 +56,7 @@
                 "max_sockets = 1000 | max_sockets = 135 | "
                         + "settings.resources.max_sockets: expected an integer of at least 136"
             })
-    void aBadFieldIsNamedWithWhatWasExpected(String good, String bad, String message) throws IOException {
+    void badFieldIsNamedWithWhatWasExpected(String good, String bad, String message) throws IOException {
         String file = with(good, bad);
         SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
@@ -73,14 +73,14 @@
                 "next = { write_rps = 0 } | settings.state.next.write_rps: expected a number above 0",
                 "next = { rps = false } | settings.state.next.rps: expected a number above 0"
             })
-    void aBadLimitToComeIsNamedWithTheLeastThatWorks(String next, String message) throws IOException {
+    void badNextLimitIsNamedWithItsMinimum(String next, String message) throws IOException {
         String file = with("txn_ops = 16", "txn_ops = 16\n" + next);
         SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
 
     @Test
-    void sizesKeepWithinTheSmallerOfBothLimits() throws IOException, SettingsException {
+    void sizesStayWithinSmallerOfBothLimits() throws IOException, SettingsException {
         String file = with("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
         Settings settings = DeployFile.read(file, null).settings();
         assertEquals(2048, settings.valueBytes());
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatIsNoTomlOrNoFileIsToldInOneLine() throws IOException {
+    void unreadableFileIsToldInOneLine() throws IOException {
         String file = Files.writeString(dir.resolve("bad.toml"), "= = =\n").toString();
         assertTrue(assertThrows(SettingsException.class, () -> DeployFile.read(file, null))
                 .getMessage()
--- a/src/test/java/dewlane/io/EffectQueueTest.java
+++ b/src/test/java/dewlane/io/EffectQueueTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whatAnEffectGivesRiseToWaitsForItsTurn() {
+    void effectsQueuedByAnEffectWaitForTheirTurn() {
         queue.take(List.of(new Effect.ReadCatalog(), new Effect.ListState()));
         assertEquals(1, deepest);
         assertEquals(100_001, acted);
--- a/src/test/java/dewlane/io/WorkerPoolsTest.java
+++ b/src/test/java/dewlane/io/WorkerPoolsTest.java
@@ -25,7 +25,7 @@
  * connection beside them passed the sockets it is given.
  */
 class WorkerPoolsTest {
-    private static final int MOST = 10;
+    private static final int MAX_POOLS = 10;
 
     private final LinkedBlockingQueue<HttpServerExchange> held = new LinkedBlockingQueue<>();
     private Undertow machines;
@@ -56,7 +56,7 @@
                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                         .getMap());
-        pools = new WorkerPools(worker.getIoThread(), new DefaultByteBufferPool(false, 1024), MOST);
+        pools = new WorkerPools(worker.getIoThread(), new DefaultByteBufferPool(false, 1024), MAX_POOLS);
     }
 
     @AfterEach
@@ -81,25 +81,25 @@
     }
 
     @Test
-    void connectionsToAnyNumberOfMachinesStayWithinTheBound() throws Exception {
-        for (int machine = 0; machine < 5 * MOST; machine++) {
+    void connectionPoolsForAnyNumberOfMachinesStayWithinBound() throws Exception {
+        for (int machine = 0; machine < 5 * MAX_POOLS; machine++) {
             assertEquals(200, send(machine, "/do").get());
-            assertTrue(pools.size() <= MOST, pools.size() + " pools");
+            assertTrue(pools.size() <= MAX_POOLS, pools.size() + " pools");
         }
-        assertEquals(MOST, pools.size());
+        assertEquals(MAX_POOLS, pools.size());
     }
 
     @Test
-    void aCommandThatFindsNoFreeConnectionIsNotSentAndTheNextOneIs() throws Exception {
+    void commandWithoutFreeConnectionIsNotSentAndNextOneIs() throws Exception {
         List<CompletableFuture<Integer>> waiting = new ArrayList<>();
-        for (int machine = 0; machine < MOST; machine++) {
+        for (int machine = 0; machine < MAX_POOLS; machine++) {
             waiting.add(send(machine, "/hold"));
         }
-        assertEquals(null, send(MOST, "/do"));
+        assertEquals(null, send(MAX_POOLS, "/do"));
         HttpServerExchange first = held.take();
         assertFalse(waiting.stream().anyMatch(CompletableFuture::isDone));
         first.getResponseSender().send("{}");
         CompletableFuture.anyOf(waiting.toArray(CompletableFuture[]::new)).get();
-        assertEquals(200, send(MOST, "/do").get());
+        assertEquals(200, send(MAX_POOLS, "/do").get());
     }
 }
