--- a/src/test/java/dewlane/core/ChannelModel.java
+++ b/src/test/java/dewlane/core/ChannelModel.java
@@ -24,7 +24,7 @@
         }
     }
 
-    /** What the state service says of an attempt, as the controller has read it. */
+    /** What the store says of an attempt, as the controller has read it. */
     enum Recorded {
         LIVE,
         END_REPORTED,
--- a/src/test/java/dewlane/core/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/CommandChannelTest.java
@@ -12,6 +12,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -20,8 +21,8 @@
  * attempt is launched again after the worker was told to forget it.
  */
 class CommandChannelTest {
-    private static final int MOST_COMMANDS_UNDER_WAY = 2;
-    private static final int MOST_FENCES = 1;
+    private static final int MAX_COMMANDS_UNDER_WAY = 2;
+    private static final int MAX_RAISED_FENCES = 1;
     /** What a launch may bring about: the task runs, or is refused or fails at once. */
     private static final List<OnWorker> STARTED = List.of(OnWorker.RUNNING, OnWorker.ENDED);
 
@@ -32,7 +33,7 @@
     private int actions;
 
     @Test
-    void noOrderOfMessagesLaunchesAnAttemptAgainThatTheWorkerWasToldToForget() {
+    void noOrderOfMessagesLaunchesForgottenAttemptAgain() {
         add(new ChannelModel());
         while (!open.isEmpty()) {
             expand(open.poll());
@@ -43,6 +44,13 @@
         assertTrue(forgottenBeforeLaunch > 0, "launches arrive after their attempt was forgotten");
     }
 
+    /** Looks at the model that an action makes of another one. */
+    private void branch(ChannelModel at, Consumer<ChannelModel> action) {
+        ChannelModel next = new ChannelModel(at);
+        action.accept(next);
+        add(next);
+    }
+
     private void add(ChannelModel model) {
         actions++;
         String description = model.description();
@@ -83,7 +91,7 @@
     }
 
     private void sendCommand(ChannelModel at) {
-        if (at.controllerWaits || at.commands.size() >= MOST_COMMANDS_UNDER_WAY) {
+        if (at.controllerWaits || at.commands.size() >= MAX_COMMANDS_UNDER_WAY) {
             return;
         }
         ChannelModel next = new ChannelModel(at);
@@ -104,103 +112,103 @@
         if (answerArrives && !awaited) {
             return;
         }
-        ChannelModel next = new ChannelModel(at);
-        next.commands.remove(command);
-        next.execute(command, started);
-        if (awaited) {
-            next.awaited = null;
-        }
-        if (answerArrives) {
-            next.controllerWaits = false;
-            next.step(CommandChannel::commandSettled);
-            next.take(next.newReport());
-        }
-        add(next);
+        branch(at, next -> {
+            next.commands.remove(command);
+            next.execute(command, started);
+            if (awaited) {
+                next.awaited = null;
+            }
+            if (answerArrives) {
+                next.controllerWaits = false;
+                next.step(CommandChannel::commandSettled);
+                next.take(next.newReport());
+            }
+        });
     }
 
     private void giveUpOnCommand(ChannelModel at) {
         if (at.controllerWaits) {
-            ChannelModel next = new ChannelModel(at);
-            next.controllerWaits = false;
-            next.awaited = null;
-            next.step(CommandChannel::commandGivenUp);
-            add(next);
+            branch(at, next -> {
+                next.controllerWaits = false;
+                next.awaited = null;
+                next.step(CommandChannel::commandGivenUp);
+            });
         }
     }
 
     private void sendReport(ChannelModel at) {
         if (!at.workerWaits) {
-            ChannelModel next = new ChannelModel(at);
-            next.workerWaits = true;
-            next.report = next.newReport();
-            add(next);
+            branch(at, next -> {
+                next.workerWaits = true;
+                next.report = next.newReport();
+            });
         }
     }
 
     private void takeReport(ChannelModel at) {
         if (at.report != null) {
-            ChannelModel next = new ChannelModel(at);
-            next.report = null;
-            next.answer = next.answerTo(at.report);
-            add(next);
+            branch(at, next -> {
+                next.report = null;
+                next.answer = next.answerTo(at.report);
+            });
         }
     }
 
     /** A report that the worker no longer waits for is answered as any other, and nobody hears it. */
     private void takeLateReport(ChannelModel at) {
         if (at.lateReport != null) {
-            ChannelModel next = new ChannelModel(at);
-            next.lateReport = null;
-            next.answerTo(at.lateReport);
-            add(next);
+            branch(at, next -> {
+                next.lateReport = null;
+                next.answerTo(at.lateReport);
+            });
         }
     }
 
     private void deliverAnswer(ChannelModel at, OnWorker started) {
         if (at.answer != null) {
-            ChannelModel next = new ChannelModel(at);
-            next.answer = null;
-            next.workerWaits = false;
-            next.execute(at.answer, started);
-            add(next);
+            branch(at, next -> {
+                next.answer = null;
+                next.workerWaits = false;
+                next.execute(at.answer, started);
+            });
         }
     }
 
     /** The worker's time for an answer is over: it drops one that comes later. */
     private void giveUpOnAnswer(ChannelModel at) {
         if (at.workerWaits) {
-            ChannelModel next = new ChannelModel(at);
-            next.workerWaits = false;
-            next.answer = null;
-            next.lateReport = at.report == null ? at.lateReport : at.report;
-            next.report = null;
-            add(next);
+            branch(at, next -> {
+                next.workerWaits = false;
+                next.answer = null;
+                next.lateReport = at.report == null ? at.lateReport : at.report;
+                next.report = null;
+            });
         }
     }
 
     /** As when the machine is suspected not to hear. */
     private void raiseFence(ChannelModel at) {
-        if (at.fences < MOST_FENCES) {
-            ChannelModel next = new ChannelModel(at);
-            next.fences++;
-            next.step(CommandChannel::raiseFence);
-            add(next);
+        if (at.fences < MAX_RAISED_FENCES) {
+            branch(at, next -> {
+                next.fences++;
+                next.step(CommandChannel::raiseFence);
+            });
         }
     }
 
     private void endOnWorker(ChannelModel at, Task task) {
         if (at.worker.get(task) == OnWorker.RUNNING) {
-            ChannelModel next = new ChannelModel(at);
-            next.worker.put(task, OnWorker.ENDED);
-            add(next);
+            branch(at, next -> {
+                next.worker.put(task, OnWorker.ENDED);
+            });
         }
     }
 
     private void writeEnd(ChannelModel at, Task task) {
         if (at.recorded.get(task) == Recorded.END_REPORTED) {
-            ChannelModel next = new ChannelModel(at);
-            next.recorded.put(task, Recorded.END_DURABLE);
-            add(next);
+            branch(at, next -> {
+                next.recorded.put(task, Recorded.END_DURABLE);
+            });
         }
     }
 }
--- a/src/test/java/dewlane/core/ControllerFixture.java
+++ b/src/test/java/dewlane/core/ControllerFixture.java
@@ -2,17 +2,25 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dewlane.core.Report.TaskState;
 import dewlane.core.Value.ClusterMap;
+import dewlane.core.Value.JobRecord;
 import dewlane.core.Value.Member;
 import dewlane.core.Value.Presence;
+import dewlane.core.Value.Slice;
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
-/** One controller core that has joined alone, and the messages that tests give it. */
+/** One controller core, n0, that has joined alone with one machine, m1, and the inputs that tests give it. */
 abstract class ControllerFixture {
     static final MachineType BOX = new MachineType("box", 4, 0, 16, 20, 1, 0.2, 0.1, 30, List.of("east"));
+    static final String JOB = "wk-1";
+    static final String MACHINE = "m1";
+    /** The fencing token that the machine gets first. */
+    static final long FIRST_TOKEN = 1L << 20;
 
     final Controller controller = new Controller(
             TestSettings.of(
@@ -26,16 +34,71 @@
     long now;
     long revision = 10;
 
-    void hear(long afterMs, Input input) {
+    @BeforeEach
+    void join() {
+        receive(0, new Input.Tick());
+        receive(10, new Input.LeaseGranted(7));
+        receive(10, new Input.StateListed(List.of(), revision, revision));
+        receive(10, new Input.CatalogRead(List.of(BOX)));
+        tick(100);
+        Effect.SendTxn joining = takeFirst(Effect.SendTxn.class);
+        revision++;
+        receive(5, new Input.TxnAnswer(joining.id(), Transaction.Status.COMMITTED, revision));
+        receive(
+                5,
+                new Input.Changes(
+                        List.of(
+                                new Input.Change(Keys.MAP, mapOfOne(), revision),
+                                new Input.Change(Keys.presence("n0"), new Presence(1), revision)),
+                        revision));
+        assertTrue(controller.ready());
+        effects.clear();
+    }
+
+    /** The partition map with n0 alone. */
+    static ClusterMap mapOfOne() {
+        return new ClusterMap(1, List.of(new Member("n0", 1)), Map.of());
+    }
+
+    /** The controller receives an input so long after the one before. */
+    void receive(long afterMs, Input input) {
         now += afterMs;
         effects.addAll(controller.handle(now, now, input));
     }
 
-    void change(String key, Value value) {
+    void tick(long afterMs) {
+        receive(afterMs, new Input.Tick());
+    }
+
+    void receiveHeartbeat(long afterMs, long request, Report heartbeat) {
+        receive(afterMs, new Input.ReportReceived(request, heartbeat));
+    }
+
+    /** The controller's watch shows that a key has changed. */
+    void applyChange(String key, Value value) {
         revision++;
-        hear(60, new Input.Changes(List.of(new Input.Change(key, value, revision)), revision));
+        receive(60, new Input.Changes(List.of(new Input.Change(key, value, revision)), revision));
+    }
+
+    void applyJob(Job job) {
+        applyChange(Keys.job(job.id()), new JobRecord(job, List.of(), 0));
+    }
+
+    /** The only slice of the first job, all of whose tasks n0 has. */
+    void applySlice(int tasks, int launches, Attempt... attempts) {
+        applyChange(Keys.slice(JOB, 0), slice(tasks, launches, attempts));
+    }
+
+    static Slice slice(int tasks, int launches, Attempt... attempts) {
+        return new Slice("n0", 0, tasks, launches, new BitSet(), List.of(attempts));
     }
 
+    /** An attempt that was launched on the machine under its first token. */
+    static Attempt attempt(int task, int number) {
+        return new Attempt(task, number, MACHINE, 1, FIRST_TOKEN, 1);
+    }
+
+    /** All effects of the kind since effects were last taken. */
     <T extends Effect> List<T> take(Class<T> kind) {
         List<T> found =
                 effects.stream().filter(kind::isInstance).map(kind::cast).toList();
@@ -43,43 +106,34 @@
         return found;
     }
 
-    Report report(long session, long sequence, long token) {
-        return new Report("m1", "h:1", "box", "east", true, session, sequence, token, Double.NaN, List.of());
+    <T extends Effect> T takeFirst(Class<T> kind) {
+        return take(kind).get(0);
     }
 
-    /** A machine that reports, and shows by its next report that it got the answer. */
-    void meet() {
-        hear(60, new Input.ReportReceived(1, report(1, 1, 0)));
-        hear(500, new Input.ReportReceived(2, report(1, 2, 1L << 20)));
+    /** The slice that a transaction writes. */
+    static Slice writtenSlice(Transaction transaction) {
+        return (Slice) transaction.apply().stream()
+                .filter(write -> write.key().startsWith(Keys.SLICES))
+                .findFirst()
+                .orElseThrow()
+                .value();
+    }
+
+    static Report heartbeat(long incarnation, long sequence, long token, TaskState... tasks) {
+        return TestReports.of(incarnation, sequence, token, List.of(tasks));
+    }
+
+    /** The machine reports, and shows by its next heartbeat that it got the reply. */
+    void connectWorker() {
+        receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
+        receiveHeartbeat(500, 2, heartbeat(1, 2, FIRST_TOKEN));
     }
 
     static Job job(int tasks, double cpus) {
-        return job("wk-1", tasks, cpus);
+        return job(JOB, tasks, cpus);
     }
 
     static Job job(String id, int tasks, double cpus) {
         return JobBuilder.job(id).tasks(tasks).cpus(cpus).acceptedMs(1).build();
     }
-
-    @BeforeEach
-    void join() {
-        hear(0, new Input.Tick());
-        hear(10, new Input.LeaseGranted(7));
-        hear(10, new Input.StateListed(List.of(), revision, revision));
-        hear(10, new Input.CatalogRead(List.of(BOX)));
-        hear(100, new Input.Tick());
-        Effect.SendTxn txn = take(Effect.SendTxn.class).get(0);
-        revision++;
-        hear(5, new Input.TxnAnswer(txn.id(), Transaction.Status.COMMITTED, revision));
-        hear(
-                5,
-                new Input.Changes(
-                        List.of(
-                                new Input.Change(
-                                        Keys.MAP, new ClusterMap(1, List.of(new Member("n0", 1)), Map.of()), revision),
-                                new Input.Change(Keys.presence("n0"), new Presence(1), revision)),
-                        revision));
-        assertTrue(controller.ready());
-        effects.clear();
-    }
 }
--- /dev/null
+++ b/src/test/java/dewlane/core/ControllerUserRepliesTest.java
@@ -0,0 +1,109 @@
+package dewlane.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import dewlane.core.Effect.Condition;
+import dewlane.core.Value.FinalRecord;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What one controller tells users, and what it reads before it does. */
+class ControllerUserRepliesTest extends ControllerFixture {
+    private static final String MALFORMED = "bottles must be an integer";
+
+    @Test
+    void resubmissionIsKnownWhateverItsBodySays() {
+        applyJob(job(1, 1));
+        effects.clear();
+
+        receive(10, new Input.Submit(5, JOB, null, MALFORMED));
+        assertEquals(1, take(Effect.ReadRevision.class).size());
+        receive(10, new Input.RevisionRead(true, revision));
+
+        assertEquals(200, takeFirst(Effect.AnswerUser.class).status());
+    }
+
+    @Test
+    void malformedSubmissionIsRejectedDuringStoreOutageUnlessItsJobMayBeKnown() {
+        applyJob(job(1, 1));
+        effects.clear();
+
+        receive(10, new Input.Submit(5, JOB, null, MALFORMED));
+        assertEquals(1, take(Effect.ReadRevision.class).size());
+        receive(10, new Input.RevisionRead(false, 0));
+        assertEquals(503, takeFirst(Effect.AnswerUser.class).status());
+
+        receive(10, new Input.Submit(6, "wk-2", null, MALFORMED));
+        tick(200);
+        assertEquals(1, take(Effect.ReadRevision.class).size());
+        receive(10, new Input.RevisionRead(false, 0));
+        assertEquals(400, takeFirst(Effect.AnswerUser.class).status());
+    }
+
+    @Test
+    void lateReplyShowsNoConditionOlderThanFinalOne() {
+        applyJob(job(1, 1));
+        effects.clear();
+
+        receive(10, new Input.Poll(5, JOB));
+        assertEquals(1, take(Effect.ReadRevision.class).size());
+        long revisionAsked = revision;
+        applyChange(Keys.fin(JOB), new FinalRecord(true, now));
+        effects.clear();
+        receive(10, new Input.RevisionRead(true, revisionAsked));
+
+        assertEquals(
+                Condition.ABORTED, takeFirst(Effect.AnswerUser.class).state().condition());
+    }
+
+    /** Found in a hunt: a read for each of hundreds of polls used up the request rate, and leases were lost with it. */
+    @Test
+    void pollsShareOneReadAndWaitForTheRevisionItNames() {
+        applyJob(job(1, 1));
+        receive(10, new Input.Poll(5, JOB));
+        effects.clear();
+
+        for (int i = 6; i < 106; i++) {
+            receive(1, new Input.Poll(i, JOB));
+        }
+        receive(1, new Input.RevisionRead(true, revision));
+        tick(200);
+        long reads =
+                effects.stream().filter(Effect.ReadRevision.class::isInstance).count();
+        assertEquals(1, reads, "one read for a hundred polls");
+        assertEquals(List.of(5L), takeAnswered(), "only what came before the read was sent is answered by it");
+
+        effects.clear();
+        receive(1, new Input.RevisionRead(true, revision + 1));
+        assertEquals(List.of(), takeAnswered(), "the replica may lack what others were told");
+
+        applyChange(Keys.fin(JOB), new FinalRecord(true, now));
+        List<Effect.AnswerUser> answers = take(Effect.AnswerUser.class);
+        assertEquals(100, answers.size());
+        for (Effect.AnswerUser answer : answers) {
+            assertEquals(Condition.ABORTED, answer.state().condition());
+        }
+    }
+
+    private List<Long> takeAnswered() {
+        return take(Effect.AnswerUser.class).stream().map(Effect.AnswerUser::id).toList();
+    }
+
+    /** A dependency may have been cancelled long ago: until that is known the user is told to come back. */
+    @Test
+    void dependantIsNotCalledPendingBeforeOutcomeOfItsDependencyIsKnown() {
+        applyJob(job("wk-2", 2, 1).withAwaits(List.of("wk-9")));
+        effects.clear();
+
+        receive(300, new Input.Poll(7, "wk-2"));
+        receive(5, new Input.RevisionRead(true, revision));
+        assertEquals(503, takeFirst(Effect.AnswerUser.class).status());
+
+        tick(100);
+        receive(5, new Input.ValueRead(1, true, new FinalRecord(true, 5), 3));
+        receive(300, new Input.Poll(8, "wk-2"));
+        receive(5, new Input.RevisionRead(true, revision));
+        assertEquals(
+                Condition.ABORTED, takeFirst(Effect.AnswerUser.class).state().condition());
+    }
+}
--- a/src/test/java/dewlane/core/DependenciesTest.java
+++ b/src/test/java/dewlane/core/DependenciesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What jobs that await each other are treated as, change by change. */
+/** What jobs that depend on each other are treated as, change by change. */
 class DependenciesTest {
     private final Context context = new Context(TestSettings.alone(), 1);
     private final Release release = new Release();
@@ -23,14 +23,14 @@
         dependencies = new Dependencies(context, replica, release, new FinalReader(context, replica));
     }
 
-    private JobRecord record(String id, Priority priority, double deadlineS, String... awaits) {
+    private JobRecord record(String id, Priority priority, double deadlineS, String... dependencies) {
         Job job = JobBuilder.job(id)
                 .priority(priority)
                 .tasks(2)
                 .deadlineS(deadlineS)
                 .acceptedMs(1000)
                 .build();
-        return new JobRecord(job.withAwaits(List.of(awaits)), List.of(), 0);
+        return new JobRecord(job.withAwaits(List.of(dependencies)), List.of(), 0);
     }
 
     private void store(JobRecord record) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void priorityAndDeadlineTravelUpAsDependantsComeAndGo() {
+    void dependencyInheritsPriorityAndDeadlineWhileItHasDependants() {
         store(record("first", Priority.IDLE, 0));
         store(record("second", Priority.STANDARD, 0, "first"));
         assertEquals(Priority.STANDARD, replica.job("first").priority());
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void waitingCountsFromTheEndOfTheLastAwaitedJob() {
+    void waitCountsFromEndOfLastDependency() {
         store(record("one", Priority.HIGH, 0));
         store(record("other", Priority.HIGH, 0));
         store(record("both", Priority.HIGH, 60, "one", "other"));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void whatIsNotKnownOfAnAwaitedJobIsNotKnownOfAllThatNeedIt() {
+    void dependantsAreUnresolvedUntilOutcomeOfDependencyIsKnown() {
         store(record("second", Priority.HIGH, 0, "gone"));
         store(record("third", Priority.HIGH, 0, "second"));
         assertFalse(dependencies.resolved("second"));
--- a/src/test/java/dewlane/core/QuotaTest.java
+++ b/src/test/java/dewlane/core/QuotaTest.java
@@ -36,7 +36,7 @@
 
     /** Counted on a day: an idle backlog, always the oldest, took the whole guarantee before work with a deadline. */
     @Test
-    void idleWorkTakesWhatTheOtherWorkOfItsTeamLeavesOfTheGuarantee() {
+    void idleJobsGetOnlyWhatOtherJobsLeaveOfGuarantee() {
         accepted("old-idle", Priority.IDLE, 6);
         accepted("standard", Priority.STANDARD, 7);
         assertEquals(Set.of("standard"), guaranteed());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void withinTheGuaranteeAreAllThatFitAlongWithEarlierOnes() {
+    void jobsThatFitBesideEarlierOnesAreWithinGuarantee() {
         accepted("first", Priority.HIGH, 5);
         accepted("idle", Priority.IDLE, 2);
         accepted("second", Priority.STANDARD, 3);
--- a/src/test/java/dewlane/core/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/ReachabilityTest.java
@@ -12,7 +12,7 @@
     private final Reachability reachability = new Reachability(0);
 
     @Test
-    void aMachineThatComesToThisControllerIsSuspectedUntilItShowsItsToken() {
+    void acquiredMachineIsSuspectedUntilItShowsItsToken() {
         reachability.acquired(1000, 7);
         assertTrue(reachability.isSuspected());
         assertFalse(reachability.endsSuspicion(6), "a token of an owner before");
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void whileALaunchIsUnderWayNoReportEndsTheSuspicion() {
+    void noHeartbeatEndsSuspicionWhileLaunchIsUnderWay() {
         reachability.acquired(0, 7);
         reachability.confirmed(10);
         reachability.suspected(5000, Reachability.NO_TOKEN_ENDS_IT);
@@ -41,18 +41,18 @@
     }
 
     @Test
-    void aWorkerStraysOnceItComesBackWithANewerReport() {
+    void workerStraysOnceItComesBackWithNewerHeartbeat() {
         StrayReports strays = new StrayReports();
-        assertEquals(-1, strays.take(report(1, 5), 1000, 30_000));
-        assertEquals(-1, strays.take(report(1, 5), 2000, 30_000), "a copy");
-        assertEquals(1500, strays.take(report(1, 6), 2500, 30_000));
-        assertEquals(2000, strays.take(report(2, 1), 3000, 30_000), "a later session is newer, too");
-        assertEquals(-1, strays.take(report(2, 9), 31_001, 30_000), "too long ago to have to do with it");
+        assertEquals(-1, strays.take(heartbeat(1, 5), 1000, 30_000));
+        assertEquals(-1, strays.take(heartbeat(1, 5), 2000, 30_000), "a copy");
+        assertEquals(1500, strays.take(heartbeat(1, 6), 2500, 30_000));
+        assertEquals(2000, strays.take(heartbeat(2, 1), 3000, 30_000), "a later incarnation is newer, too");
+        assertEquals(-1, strays.take(heartbeat(2, 9), 31_001, 30_000), "too long ago to have to do with it");
         strays.forget();
-        assertEquals(-1, strays.take(report(2, 10), 31_500, 30_000));
+        assertEquals(-1, strays.take(heartbeat(2, 10), 31_500, 30_000));
     }
 
-    private static Report report(long session, long sequence) {
-        return new Report("m1", "h:1", "box", "east", true, session, sequence, 0, Double.NaN, List.of());
+    private static Report heartbeat(long incarnation, long sequence) {
+        return TestReports.of(incarnation, sequence, 0, List.of());
     }
 }
--- a/src/test/java/dewlane/core/ReleaseTest.java
+++ b/src/test/java/dewlane/core/ReleaseTest.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When jobs with sources may start. */
+/** When jobs with dependencies may start. */
 class ReleaseTest {
     private final Release release = new Release();
 
     @Test
-    void itemsBecomeReadyWhenTheirLastSourceClearsAndInThatOrder() {
+    void dependantsBecomeReadyInOrderOnceTheirLastDependencyIsDone() {
         release.add("join", List.of("left", "right"));
         release.add("left", List.of("root"));
         release.add("right", List.of("root"));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theFirstResultCountsAndLaterCopiesAreDropped() {
+    void laterResultsAndRepeatedArrivalsAreIgnored() {
         release.add("a", List.of());
         release.add("b", List.of("a"));
         release.finish("a", Result.DONE);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aFailurePassesToAllDependants() {
+    void failurePassesToAllDependants() {
         release.add("a", List.of());
         release.add("b", List.of("a"));
         release.add("c", List.of("b", "other"));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aSourceThatIsDoneBeforeItsDependantArrivesIsNotWaitedFor() {
+    void dependantOfDoneDependencyIsReadyOnArrival() {
         release.add("a", List.of());
         release.finish("a", Result.DONE);
         release.add("b", List.of("a"));
--- a/src/test/java/dewlane/core/StandingTest.java
+++ b/src/test/java/dewlane/core/StandingTest.java
@@ -9,17 +9,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a controller may do while it lacks its place in the map, the state service, its peers or a young view. */
+/** What a controller may do while it lacks its place in the map, the store, its peers or a young view. */
 class StandingTest extends ControllerFixture {
-    private static final long TOKEN = 1L << 20;
-
     private static Standing standing(int bits) {
         return new Standing(
                 (bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0, (bits & 8) != 0, (bits & 16) != 0, (bits & 32) != 0);
     }
 
     @Test
-    void everyLimitTakesAwayWhatItSays() {
+    void everyLimitTakesAwayWhatItsNameSays() {
         for (int bits = 0; bits < 64; bits++) {
             Standing standing = standing(bits);
             Limit limit = standing.limit();
@@ -35,79 +33,85 @@
         }
     }
 
-    private List<String> said() {
+    /** The status of peer n1, which says how new its map is and whether it reaches the store. */
+    private static Input peerStatus(long epoch, boolean reachesStore) {
+        return new Input.PeerHeard(new PeerStatus("n1", epoch, reachesStore, List.of(), List.of()));
+    }
+
+    /** The limits that the controller has logged since effects were last taken. */
+    private List<String> takeLimitsLogged() {
         return take(Effect.Log.class).stream()
                 .filter(log -> log.level() == Effect.Level.INFO && log.text().startsWith("this controller "))
                 .map(log -> log.text().substring("this controller ".length()))
                 .toList();
     }
 
-    /** The state service stops to answer while a peer is heard, and later the peer is silent, too. */
+    /** The store stops to answer while a peer is heard, and later the peer is silent, too. */
     @Test
-    void theLogSaysWhichCaseItIsIn() {
-        hear(1000, new Input.Tick());
-        assertEquals(List.of(Limit.NONE.meaning()), said());
-        hear(2300, new Input.Tick());
-        assertEquals(List.of(Limit.STATE_OUT_OF_REACH.meaning()), said());
+    void limitIsLoggedOnceWhenItChanges() {
+        tick(1000);
+        assertEquals(List.of(Limit.NONE.meaning()), takeLimitsLogged());
+        tick(2300);
+        assertEquals(List.of(Limit.STATE_OUT_OF_REACH.meaning()), takeLimitsLogged());
         for (int i = 0; i < 10; i++) {
-            hear(1000, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-            hear(0, new Input.Tick());
+            receive(1000, peerStatus(1, false));
+            tick(0);
         }
-        assertEquals(List.of(), said(), "an outage for all changes nothing more");
-        hear(5500, new Input.Tick());
-        assertEquals(List.of(Limit.ISOLATED.meaning()), said());
-        hear(10, new Input.ReportReceived(1, report(1, 1, TOKEN)));
+        assertEquals(List.of(), takeLimitsLogged(), "an outage for all changes nothing more");
+        tick(5500);
+        assertEquals(List.of(Limit.ISOLATED.meaning()), takeLimitsLogged());
+        receiveHeartbeat(10, 1, heartbeat(1, 1, FIRST_TOKEN));
         assertEquals(1, take(Effect.RefuseReport.class).size());
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(40_000, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(0, new Input.Tick());
-        assertEquals(List.of(Limit.VIEW_EXPIRED.meaning()), said());
-        hear(10, new Input.Changes(List.of(), revision));
-        hear(10, new Input.Changes(List.of(), revision));
-        hear(1000, new Input.Tick());
-        assertEquals(List.of(Limit.NONE.meaning()), said());
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 9, true, List.of(), List.of())));
-        hear(1100, new Input.Tick());
-        assertEquals(List.of(Limit.SUPERSEDED.meaning()), said());
-        hear(10, new Input.ReportReceived(2, report(1, 2, TOKEN)));
+        receive(10, peerStatus(1, false));
+        receive(40_000, peerStatus(1, false));
+        tick(0);
+        assertEquals(List.of(Limit.VIEW_EXPIRED.meaning()), takeLimitsLogged());
+        receive(10, new Input.Changes(List.of(), revision));
+        receive(10, new Input.Changes(List.of(), revision));
+        tick(1000);
+        assertEquals(List.of(Limit.NONE.meaning()), takeLimitsLogged());
+        receive(10, peerStatus(9, true));
+        tick(1100);
+        assertEquals(List.of(Limit.SUPERSEDED.meaning()), takeLimitsLogged());
+        receiveHeartbeat(10, 2, heartbeat(1, 2, FIRST_TOKEN));
         assertEquals(1, take(Effect.RefuseReport.class).size());
     }
 
-    /** Seen in a recorded incident: users stayed with a controller that the state service refused. */
+    /** Seen in a recorded incident: users stayed with a controller that the store refused. */
     @Test
-    void aControllerThatAloneCannotReachTheStateServiceIsNotHealthy() {
+    void controllerThatAloneCannotReachStoreIsUnhealthy() {
         assertTrue(controller.healthy());
-        hear(6000, new Input.Tick());
+        tick(6000);
         assertTrue(controller.healthy(), "in an outage for all, no other would serve better");
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 1, true, List.of(), List.of())));
+        receive(10, peerStatus(1, true));
         assertFalse(controller.healthy());
     }
 
     @Test
-    void aControllerWithoutWordFromTheStateServiceLetsItsWorkersLeasesRunOut() {
-        hear(60, new Input.ReportReceived(1, report(1, 1, 0)));
+    void controllerWithOldViewLetsItsWorkersLeasesRunOut() {
+        receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         assertEquals(1, take(Effect.AnswerReport.class).size());
-        hear(28_000, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(0, new Input.ReportReceived(2, report(1, 2, 0)));
+        receive(28_000, peerStatus(1, false));
+        receiveHeartbeat(0, 2, heartbeat(1, 2, 0));
         assertEquals(1, take(Effect.AnswerReport.class).size(), "what it renews still ends in time");
-        hear(1000, new Input.ReportReceived(3, report(1, 3, 0)));
+        receiveHeartbeat(1000, 3, heartbeat(1, 3, 0));
         assertEquals(1, take(Effect.RefuseReport.class).size(), "a cancellation may have been missed");
     }
 
-    /** A trouble the users named: without state service and peers its lease is over, and others have its machines. */
+    /** A fault the users named: without store and peers its lease is over, and others have its machines. */
     @Test
-    void aControllerThatOnlyItsWorkersReachSendsThemAwayButNotInAnOutageForAll() {
-        hear(60, new Input.ReportReceived(1, report(1, 1, 0)));
+    void isolatedControllerRefusesHeartbeatsButNotInStoreOutageForAll() {
+        receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         assertEquals(1, take(Effect.AnswerReport.class).size());
-        hear(6000, new Input.ReportReceived(2, report(1, 2, 0)));
+        receiveHeartbeat(6000, 2, heartbeat(1, 2, 0));
         assertEquals(1, take(Effect.RefuseReport.class).size());
-        hear(10, new Input.PeerHeard(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(10, new Input.ReportReceived(3, report(1, 3, 0)));
-        assertEquals(1, take(Effect.AnswerReport.class).size(), "its peers do not reach the state service either");
+        receive(10, peerStatus(1, false));
+        receiveHeartbeat(10, 3, heartbeat(1, 3, 0));
+        assertEquals(1, take(Effect.AnswerReport.class).size(), "its peers do not reach the store either");
     }
 
     @Test
-    void settingsThatLeaveNoTimeForACancellationAreWarnedOf() {
+    void settingsThatLeaveNoTimeForCancellationAreWarnedOf() {
         for (double cancelS : new double[] {31, 44}) {
             Controller tight =
                     new Controller(TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.LIMITS), 1, value -> 0);
--- a/src/test/java/dewlane/core/WriteBudgetTest.java
+++ b/src/test/java/dewlane/core/WriteBudgetTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The share of the rate of changes, against a state service whose limit becomes smaller. */
+/** The share of the rate of changes, against a store whose limit becomes smaller. */
 class WriteBudgetTest {
     private static final int CONTROLLERS = 5;
     private static final StateLimits LIMITS =
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void theLargerRateIsUsedWhileItLastsAndTheSmallerOneSoonAfter() {
+    void largerRateIsUsedWhileItLastsAndSmallerOneSoonAfter() {
         spend(30, 20);
         double before = spend(30, 30);
         assertTrue(before > 0.8 * 30, before + " a second before");
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void refusalsForAnotherReasonSlowNothingDownForGood() {
+    void refusalsForOtherReasonSlowWritesOnlyForWhile() {
         spend(30, 20);
         spend(8, 3);
         spend(30, 90);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void anOutageIsNoReasonToKeepToTheSmallerRate() {
+    void outageDoesNotReduceRate() {
         spend(30, 10);
         for (int i = 0; i < 100; i++) {
             now += 20;
