--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -8,7 +8,7 @@
 import static dewlane.sim.SimFixtures.leader;
 import static dewlane.sim.SimFixtures.runningTasks;
 import static dewlane.sim.SimFixtures.submitInTurn;
-import static dewlane.sim.SimFixtures.submitInTurnAndCancelEach;
+import static dewlane.sim.SimFixtures.submitInTurnAndCancelEachThird;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -86,7 +86,7 @@
     void commandsOfDeposedLeaderArrivingAfterItsSuccessorsHarmNothing(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.commands.delayRate = 0.5;
-        submitInTurnAndCancelEach(3, 2500, cluster, 700, jobs(1, 12, i -> job(i, 4, 1, 8)));
+        submitInTurnAndCancelEachThird(cluster, 700, jobs(1, 12, i -> job(i, 4, 1, 8)), 2500);
         for (int at = 13_000; at <= 28_000; at += 5000) {
             cluster.after(at, () -> leader(cluster).crash(2500));
         }
--- a/src/test/java/dewlane/sim/NetworkFaults.java
+++ b/src/test/java/dewlane/sim/EnvironmentFaults.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Faults of the links and the cloud, and users who cancel at the worst moment. */
-final class NetworkFaults {
-    private NetworkFaults() {}
+/** Faults of what surrounds controllers and workers: links that fail, a cloud that is out, users who cancel late. */
+final class EnvironmentFaults {
+    private EnvironmentFaults() {}
 
     static void loseMessages(FaultTarget target) {
         SimCluster cluster = target.cluster();
--- a/src/test/java/dewlane/sim/FaultInjector.java
+++ b/src/test/java/dewlane/sim/FaultInjector.java
@@ -28,7 +28,7 @@
             new Kind("worker_freezes", 2, WorkerFaults::freeze),
             new Kind("worker_disconnects", 2, WorkerFaults::disconnect),
             new Kind("worker_fails_tasks", 1, WorkerFaults::failTasks),
-            new Kind("cloud_outage", 1, NetworkFaults::cloudOutage),
+            new Kind("cloud_outage", 1, EnvironmentFaults::cloudOutage),
             new Kind("worker_inbound_blocked", 2, WorkerFaults::blockInbound),
             new Kind("controller_isolated", 2, ControllerFaults::isolate),
             new Kind("crash_all_twice", 1, ControllerFaults::crashAllTwice),
@@ -40,12 +40,12 @@
             new Kind("store_delays_writes", 2, StoreFaults::delayWrites),
             new Kind("worker_outbound_blocked", 2, WorkerFaults::blockOutbound),
             new Kind("cancellations_while_workers_freeze", 2, WorkerFaults::freezeWhileCancelling),
-            new Kind("cancellations_on_completion", 1, NetworkFaults::cancelOnCompletion),
+            new Kind("cancellations_on_completion", 1, EnvironmentFaults::cancelOnCompletion),
             new Kind("leader_refused_then_store_outage", 1, StoreFaults::refuseLeaderThenOutage),
             new Kind("leaders_crash_in_turn", 1, ControllerFaults::crashLeadersInTurn),
             new Kind("crash_all_for_longer_than_lease", 1, ControllerFaults::crashAllForLongerThanLease),
-            new Kind("messages_lost", 1, NetworkFaults::loseMessages),
-            new Kind("commands_delayed_while_tasks_fail", 3, NetworkFaults::delayCommandsWhileTasksFail));
+            new Kind("messages_lost", 1, EnvironmentFaults::loseMessages),
+            new Kind("commands_delayed_while_tasks_fail", 3, EnvironmentFaults::delayCommandsWhileTasksFail));
 
     private static final int TOTAL_WEIGHT =
             KINDS.stream().mapToInt(Kind::weight).sum();
--- a/src/test/java/dewlane/sim/MessageDelayTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -9,7 +9,7 @@
 import static dewlane.sim.SimFixtures.jobs;
 import static dewlane.sim.SimFixtures.leader;
 import static dewlane.sim.SimFixtures.partitionMap;
-import static dewlane.sim.SimFixtures.submitInTurnAndCancelEach;
+import static dewlane.sim.SimFixtures.submitInTurnAndCancelEachThird;
 import static dewlane.sim.SimFixtures.workersRunning;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -116,8 +116,8 @@
     void unansweredTransactionsCarriedOutAfterNewerOnesHarmNothing(long seed) {
         SimCluster cluster = cluster(seed, 8);
         cluster.store.delayedWriteRate = 0.4;
-        submitInTurnAndCancelEach(
-                3, 4000, cluster, 2000, jobs(1, 14, i -> job(i, Priority.values()[i % 4], 6, 1 + i % 2, 6)));
+        submitInTurnAndCancelEachThird(
+                cluster, 2000, jobs(1, 14, i -> job(i, Priority.values()[i % 4], 6, 1 + i % 2, 6)), 4000);
         cluster.after(12_000, () -> leader(cluster).crash(3000));
         cluster.runUntil(50_000);
 
--- a/src/test/java/dewlane/sim/SimFixtures.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -73,13 +73,13 @@
         }
     }
 
-    /** Submits one job after the other at a steady pace, and cancels each n-th of them so long after its submission. */
-    static void submitInTurnAndCancelEach(
-            int nth, long cancelAfterMs, SimCluster cluster, long intervalMs, List<Job> jobs) {
+    /** Submits one job after the other at a steady pace, and cancels each third one so long after its submission. */
+    static void submitInTurnAndCancelEachThird(
+            SimCluster cluster, long intervalMs, List<Job> jobs, long cancelAfterMs) {
         for (int i = 1; i <= jobs.size(); i++) {
             Job job = jobs.get(i - 1);
             cluster.after(i * intervalMs, () -> cluster.users.submit(job));
-            if (i % nth == 0) {
+            if (i % 3 == 0) {
                 cluster.after(i * intervalMs + cancelAfterMs, () -> cluster.users.cancel(job.id()));
             }
         }
--- a/src/test/java/dewlane/sim/SimSettings.java
+++ b/src/test/java/dewlane/sim/SimSettings.java
@@ -6,13 +6,15 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import java.util.stream.Stream;
 
 /** Builds the settings of a simulated cluster. What a test does not name is as in the usual small cluster. */
 final class SimSettings {
     static final StateLimits.Limits USUAL_LIMITS = new StateLimits.Limits(150, 60, 16_384, 16);
     static final Settings.Team WITHOUT_QUOTA = new Settings.Team("blue", 0, 0, 0, 0);
 
+    private static final long MEMBER_TTL_MS = 3000;
+    private static final double BOOT_PATIENCE = 4;
+
     private int controllers = 3;
     private List<Settings.Team> teams = List.of(WITHOUT_QUOTA);
     private List<Settings.Objective> objectives = List.of();
@@ -38,6 +40,7 @@
         return this;
     }
 
+    /** What users aim at for their jobs. */
     SimSettings objectives(Settings.Objective... value) {
         objectives = List.of(value);
         return this;
@@ -76,7 +79,7 @@
         return this;
     }
 
-    /** From which quota a controller on a team's limit is divided among controllers. */
+    /** A quota of at least so many CPUs a controller is divided among them; a smaller one is lent launch by launch. */
     SimSettings sharedCpus(double value) {
         sharedCpus = value;
         return this;
@@ -97,11 +100,10 @@
                 limits,
                 cloudRequestsPerS,
                 listLagS,
-                new Settings.Tuning(3000, silentS, idleS, 4, sharedCpus));
+                new Settings.Tuning(MEMBER_TTL_MS, silentS, idleS, BOOT_PATIENCE, sharedCpus));
     }
 
     private static List<String> names(int count) {
-        Stream<String> names = IntStream.range(0, count).mapToObj(i -> "n" + i);
-        return names.toList();
+        return IntStream.range(0, count).mapToObj(i -> "n" + i).toList();
     }
 }
