--- a/src/test/java/dewlane/core/fleet/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.model.Heartbeat;
+import dewlane.core.model.TestReports;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,7 +14,7 @@
     private final Reachability reachability = new Reachability(0);
 
     @Test
-    void aMachineThatComesToThisControllerIsSuspectedUntilItShowsItsToken() {
+    void acquiredMachineIsSuspectedUntilItShowsItsToken() {
         reachability.acquired(1000, 7);
         assertTrue(reachability.isSuspected());
         assertFalse(reachability.endsSuspicion(6), "a token of an owner before");
@@ -27,7 +28,7 @@
     }
 
     @Test
-    void whileALaunchIsUnderWayNoReportEndsTheSuspicion() {
+    void noHeartbeatEndsSuspicionWhileLaunchIsUnderWay() {
         reachability.acquired(0, 7);
         reachability.confirmed(10);
         reachability.suspected(5000, Reachability.NO_TOKEN_ENDS_IT);
@@ -42,18 +43,18 @@
     }
 
     @Test
-    void aWorkerStraysOnceItComesBackWithANewerReport() {
+    void workerStraysOnceItComesBackWithNewerHeartbeat() {
         MisroutedHeartbeats strays = new MisroutedHeartbeats();
-        assertEquals(-1, strays.record(report(1, 5), 1000, 30_000));
-        assertEquals(-1, strays.record(report(1, 5), 2000, 30_000), "a copy");
-        assertEquals(1500, strays.record(report(1, 6), 2500, 30_000));
-        assertEquals(2000, strays.record(report(2, 1), 3000, 30_000), "a later session is newer, too");
-        assertEquals(-1, strays.record(report(2, 9), 31_001, 30_000), "too long ago to have to do with it");
+        assertEquals(-1, strays.record(heartbeat(1, 5), 1000, 30_000));
+        assertEquals(-1, strays.record(heartbeat(1, 5), 2000, 30_000), "a copy");
+        assertEquals(1500, strays.record(heartbeat(1, 6), 2500, 30_000));
+        assertEquals(2000, strays.record(heartbeat(2, 1), 3000, 30_000), "a later incarnation is newer, too");
+        assertEquals(-1, strays.record(heartbeat(2, 9), 31_001, 30_000), "too long ago to have to do with it");
         strays.reset();
-        assertEquals(-1, strays.record(report(2, 10), 31_500, 30_000));
+        assertEquals(-1, strays.record(heartbeat(2, 10), 31_500, 30_000));
     }
 
-    private static Heartbeat report(long session, long sequence) {
-        return new Heartbeat("m1", "h:1", "box", "east", true, session, sequence, 0, Double.NaN, List.of());
+    private static Heartbeat heartbeat(long incarnation, long sequence) {
+        return TestReports.of(incarnation, sequence, 0, List.of());
     }
 }
--- a/src/test/java/dewlane/core/job/DependencyTrackerTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What jobs that await each other are treated as, change by change. */
+/** What jobs that depend on each other are treated as, change by change. */
 class DependencyTrackerTest {
     private final ControllerContext context = new ControllerContext(TestSettings.alone(), 1);
     private final DependencyGraph release = new DependencyGraph();
@@ -33,14 +33,14 @@
         dependencies = new DependencyTracker(context, replica, release, new JobResultReader(context, replica));
     }
 
-    private JobRecord record(String id, Priority priority, double deadlineS, String... awaits) {
+    private JobRecord record(String id, Priority priority, double deadlineS, String... dependencies) {
         Job job = JobBuilder.job(id)
                 .priority(priority)
                 .tasks(2)
                 .deadlineS(deadlineS)
                 .acceptedMs(1000)
                 .build();
-        return new JobRecord(job.withDependencies(List.of(awaits)), List.of(), 0);
+        return new JobRecord(job.withDependencies(List.of(dependencies)), List.of(), 0);
     }
 
     private void store(JobRecord record) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void priorityAndDeadlineTravelUpAsDependantsComeAndGo() {
+    void dependencyInheritsPriorityAndDeadlineWhileItHasDependants() {
         store(record("first", Priority.IDLE, 0));
         store(record("second", Priority.STANDARD, 0, "first"));
         assertEquals(Priority.STANDARD, replica.job("first").priority());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void waitingCountsFromTheEndOfTheLastAwaitedJob() {
+    void waitCountsFromEndOfLastDependency() {
         store(record("one", Priority.HIGH, 0));
         store(record("other", Priority.HIGH, 0));
         store(record("both", Priority.HIGH, 60, "one", "other"));
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatIsNotKnownOfAnAwaitedJobIsNotKnownOfAllThatNeedIt() {
+    void dependantsAreUnresolvedUntilOutcomeOfDependencyIsKnown() {
         store(record("second", Priority.HIGH, 0, "gone"));
         store(record("third", Priority.HIGH, 0, "second"));
         assertFalse(dependencies.isResolved("second"));
--- a/src/test/java/dewlane/core/membership/AuthorityTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -15,17 +15,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a controller may do while it lacks its place in the map, the state service, its peers or a young view. */
+/** What a controller may do while it lacks its place in the map, the store, its peers or a young view. */
 class AuthorityTest extends ControllerFixture {
-    private static final long TOKEN = 1L << 20;
-
     private static Authority standing(int bits) {
         return new Authority(
                 (bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0, (bits & 8) != 0, (bits & 16) != 0, (bits & 32) != 0);
     }
 
     @Test
-    void everyLimitTakesAwayWhatItSays() {
+    void everyLimitTakesAwayWhatItsNameSays() {
         for (int bits = 0; bits < 64; bits++) {
             Authority standing = standing(bits);
             Restriction limit = standing.restriction();
@@ -43,79 +41,85 @@
         }
     }
 
-    private List<String> said() {
+    /** The status of peer n1, which says how new its map is and whether it reaches the store. */
+    private static Input peerStatus(long epoch, boolean reachesStore) {
+        return new Input.PeerStatusReceived(new PeerStatus("n1", epoch, reachesStore, List.of(), List.of()));
+    }
+
+    /** The limits that the controller has logged since effects were last taken. */
+    private List<String> takeLimitsLogged() {
         return take(Effect.Log.class).stream()
                 .filter(log -> log.level() == Effect.Level.INFO && log.text().startsWith("this controller "))
                 .map(log -> log.text().substring("this controller ".length()))
                 .toList();
     }
 
-    /** The state service stops to answer while a peer is heard, and later the peer is silent, too. */
+    /** The store stops to answer while a peer is heard, and later the peer is silent, too. */
     @Test
-    void theLogSaysWhichCaseItIsIn() {
-        hear(1000, new Input.Tick());
-        assertEquals(List.of(Restriction.NONE.description()), said());
-        hear(2300, new Input.Tick());
-        assertEquals(List.of(Restriction.STORE_UNREACHABLE.description()), said());
+    void limitIsLoggedOnceWhenItChanges() {
+        tick(1000);
+        assertEquals(List.of(Restriction.NONE.description()), takeLimitsLogged());
+        tick(2300);
+        assertEquals(List.of(Restriction.STORE_UNREACHABLE.description()), takeLimitsLogged());
         for (int i = 0; i < 10; i++) {
-            hear(1000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
-            hear(0, new Input.Tick());
+            receive(1000, peerStatus(1, false));
+            tick(0);
         }
-        assertEquals(List.of(), said(), "an outage for all changes nothing more");
-        hear(5500, new Input.Tick());
-        assertEquals(List.of(Restriction.ISOLATED.description()), said());
-        hear(10, new Input.HeartbeatReceived(1, report(1, 1, TOKEN)));
+        assertEquals(List.of(), takeLimitsLogged(), "an outage for all changes nothing more");
+        tick(5500);
+        assertEquals(List.of(Restriction.ISOLATED.description()), takeLimitsLogged());
+        receiveHeartbeat(10, 1, heartbeat(1, 1, FIRST_TOKEN));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
-        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(40_000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(0, new Input.Tick());
-        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), said());
-        hear(10, new Input.WatchEvents(List.of(), revision));
-        hear(10, new Input.WatchEvents(List.of(), revision));
-        hear(1000, new Input.Tick());
-        assertEquals(List.of(Restriction.NONE.description()), said());
-        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 9, true, List.of(), List.of())));
-        hear(1100, new Input.Tick());
-        assertEquals(List.of(Restriction.SUPERSEDED.description()), said());
-        hear(10, new Input.HeartbeatReceived(2, report(1, 2, TOKEN)));
+        receive(10, peerStatus(1, false));
+        receive(40_000, peerStatus(1, false));
+        tick(0);
+        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), takeLimitsLogged());
+        receive(10, new Input.WatchEvents(List.of(), revision));
+        receive(10, new Input.WatchEvents(List.of(), revision));
+        tick(1000);
+        assertEquals(List.of(Restriction.NONE.description()), takeLimitsLogged());
+        receive(10, peerStatus(9, true));
+        tick(1100);
+        assertEquals(List.of(Restriction.SUPERSEDED.description()), takeLimitsLogged());
+        receiveHeartbeat(10, 2, heartbeat(1, 2, FIRST_TOKEN));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
     }
 
-    /** Seen in a recorded incident: users stayed with a controller that the state service refused. */
+    /** Seen in a recorded incident: users stayed with a controller that the store refused. */
     @Test
-    void aControllerThatAloneCannotReachTheStateServiceIsNotHealthy() {
+    void controllerThatAloneCannotReachStoreIsUnhealthy() {
         assertTrue(controller.isHealthy());
-        hear(6000, new Input.Tick());
+        tick(6000);
         assertTrue(controller.isHealthy(), "in an outage for all, no other would serve better");
-        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, true, List.of(), List.of())));
+        receive(10, peerStatus(1, true));
         assertFalse(controller.isHealthy());
     }
 
     @Test
-    void aControllerWithoutWordFromTheStateServiceLetsItsWorkersLeasesRunOut() {
-        hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
+    void controllerWithOldViewLetsItsWorkersLeasesRunOut() {
+        receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         assertEquals(1, take(Effect.AnswerHeartbeat.class).size());
-        hear(28_000, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(0, new Input.HeartbeatReceived(2, report(1, 2, 0)));
+        receive(28_000, peerStatus(1, false));
+        receiveHeartbeat(0, 2, heartbeat(1, 2, 0));
         assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "what it renews still ends in time");
-        hear(1000, new Input.HeartbeatReceived(3, report(1, 3, 0)));
+        receiveHeartbeat(1000, 3, heartbeat(1, 3, 0));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size(), "a cancellation may have been missed");
     }
 
-    /** A trouble the users named: without state service and peers its lease is over, and others have its machines. */
+    /** A fault the users named: without store and peers its lease is over, and others have its machines. */
     @Test
-    void aControllerThatOnlyItsWorkersReachSendsThemAwayButNotInAnOutageForAll() {
-        hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
+    void isolatedControllerRefusesHeartbeatsButNotInStoreOutageForAll() {
+        receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         assertEquals(1, take(Effect.AnswerHeartbeat.class).size());
-        hear(6000, new Input.HeartbeatReceived(2, report(1, 2, 0)));
+        receiveHeartbeat(6000, 2, heartbeat(1, 2, 0));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
-        hear(10, new Input.PeerStatusReceived(new PeerStatus("n1", 1, false, List.of(), List.of())));
-        hear(10, new Input.HeartbeatReceived(3, report(1, 3, 0)));
-        assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "its peers do not reach the state service either");
+        receive(10, peerStatus(1, false));
+        receiveHeartbeat(10, 3, heartbeat(1, 3, 0));
+        assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "its peers do not reach the store either");
     }
 
     @Test
-    void settingsThatLeaveNoTimeForACancellationAreWarnedOf() {
+    void settingsThatLeaveNoTimeForCancellationAreWarnedOf() {
         for (double cancelS : new double[] {31, 44}) {
             Controller tight =
                     new Controller(TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.LIMITS), 1, value -> 0);
--- /dev/null
+++ b/src/test/java/dewlane/sim/JobDependenciesTest.java
@@ -0,0 +1,206 @@
+package dewlane.sim;
+
+import static dewlane.sim.DependencyFixtures.abortedInStore;
+import static dewlane.sim.DependencyFixtures.controller;
+import static dewlane.sim.DependencyFixtures.dependent;
+import static dewlane.sim.DependencyFixtures.doneInStore;
+import static dewlane.sim.DependencyFixtures.pollCondition;
+import static dewlane.sim.DependencyFixtures.smallJob;
+import static dewlane.sim.DependencyFixtures.submitThrough;
+import static dewlane.sim.SimFixtures.assertRecovers;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.jobs;
+import static dewlane.sim.SimFixtures.partitionMap;
+import static dewlane.sim.SimFixtures.runningTasks;
+import static dewlane.sim.SimFixtures.submitInTurn;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.config.Settings;
+import dewlane.core.message.Effect;
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.model.Job;
+import dewlane.core.model.Priority;
+import dewlane.core.schema.Partitioner;
+import dewlane.core.schema.StoreKeys;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Jobs that depend on others: which submissions are accepted, and when they start. */
+class JobDependenciesTest {
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void chainsDiamondsAndWideFansRunInDependencyOrder(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        int[] fan = IntStream.range(100, 140).toArray();
+        List<Job> jobs = new ArrayList<>(List.of(
+                smallJob(1),
+                smallJob(2, 1),
+                smallJob(3, 2),
+                smallJob(4),
+                smallJob(5, 4),
+                smallJob(6, 4),
+                smallJob(7, 5, 6)));
+        for (int number : fan) {
+            jobs.add(smallJob(number, 7));
+        }
+        jobs.add(smallJob(200, fan));
+        submitInTurn(cluster, 0, 150, jobs);
+
+        assertRecovers(cluster, 150_000);
+        assertEquals(jobs.size(), cluster.users.accepted().size());
+        assertEquals(2 * jobs.size(), cluster.checker.taskStarts, "each task ran once");
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void dependencyMayBeDoneLongAgoOrCancelled(long seed) {
+        SimSettings settings =
+                new SimSettings().teams(SimSettings.WITHOUT_QUOTA, new Settings.TeamQuota("red", 0, 0, 0, 0));
+        SimCluster cluster = cluster(seed, 9, settings);
+        assertEquals(201, submitThrough(controller(cluster, 0), smallJob(1)).status());
+        assertEquals(201, submitThrough(controller(cluster, 0), smallJob(2)).status());
+        cluster.users.cancelThrough(controller(cluster, 1), jobId(2));
+        cluster.runUntil(40_000);
+        assertTrue(doneInStore(cluster, 1) && abortedInStore(cluster, 2));
+
+        // No controller that starts anew knows of what is over.
+        cluster.crashAllControllers(1000);
+        cluster.runUntil(60_000);
+
+        assertEquals(201, submitThrough(controller(cluster, 2), smallJob(3, 1)).status());
+        assertEquals(
+                201, submitThrough(controller(cluster, 2), smallJob(4, 1, 2)).status());
+        assertEquals(JobCondition.CANCELLED, pollCondition(controller(cluster, 0), jobId(4)));
+        assertRecovers(cluster, 60_000);
+        assertTrue(doneInStore(cluster, 3));
+    }
+
+    @Test
+    void dependencyOnJobThatWasNeverAcceptedIsRejected() {
+        SimCluster cluster = cluster(4, 9);
+        assertEquals(422, submitThrough(controller(cluster, 0), smallJob(2, 1)).status());
+        assertEquals(422, submitThrough(controller(cluster, 0), smallJob(3, 3)).status());
+        cluster.store.outage(8000);
+        assertEquals(503, submitThrough(controller(cluster, 0), smallJob(4, 1)).status());
+        cluster.runFor(10_000);
+
+        // One that was accepted stays known whatever a repeat of it names.
+        assertEquals(201, submitThrough(controller(cluster, 1), smallJob(5)).status());
+        cluster.runFor(20_000);
+        cluster.crashAllControllers(500);
+        cluster.runFor(15_000);
+
+        assertEquals(200, submitThrough(controller(cluster, 1), smallJob(5, 1)).status());
+        assertNull(cluster.store.get(StoreKeys.job(jobId(2))));
+    }
+
+    /** Any controller may have accepted the dependency a moment ago, which this one's watch has not shown yet. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void dependencyAcceptedByAnotherControllerMomentAgoIsKnown(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        cluster.store.watchLagMs = 900;
+        Job first = job(1, 2, 1, 20);
+        cluster.users.register(first);
+        cluster.users.register(smallJob(2, 1));
+        List<Integer> statuses = new ArrayList<>();
+        controller(cluster, 0).submit(first, answer -> {
+            statuses.add(answer.status());
+            controller(cluster, 1).submit(smallJob(2, 1), later -> statuses.add(later.status()));
+        });
+        cluster.runFor(6000);
+        assertEquals(List.of(201, 201), statuses);
+
+        cluster.store.watchLagMs = 0;
+
+        assertRecovers(cluster, 60_000);
+    }
+
+    /** The owner, or all controllers, end between the last outcome and the start of what it releases. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    void controllersThatCrashBeforeReleasingDependantLoseNothing(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        submitThrough(controller(cluster, 0), smallJob(1));
+        submitThrough(controller(cluster, 1), smallJob(2, 1));
+        submitThrough(controller(cluster, 2), smallJob(3, 2));
+        FirstOf crash = new FirstOf();
+        cluster.every(10, () -> {
+            if (doneInStore(cluster, 1)) {
+                crash.run(() -> crashAllOrOwner(cluster, seed % 2 == 0, jobId(2)));
+            }
+        });
+
+        assertRecovers(cluster, 120_000);
+        assertTrue(crash.isDecided() && doneInStore(cluster, 2) && doneInStore(cluster, 3));
+    }
+
+    private static void crashAllOrOwner(SimCluster cluster, boolean all, String job) {
+        if (all) {
+            cluster.controllers.values().forEach(controller -> controller.crash(cluster.between(200, 4000)));
+        } else {
+            String owner = Partitioner.ownerOf(partitionMap(cluster), StoreKeys.job(job));
+            cluster.controllers.get(owner).crash(8000);
+        }
+    }
+
+    /**
+     * While it waits, a job takes no part of its team's quota and preempts nobody; its start is counted from its
+     * release.
+     */
+    @Test
+    void waitingJobUsesNoQuotaAndPreemptsNobody() {
+        SimSettings settings = new SimSettings().teams(new Settings.TeamQuota("blue", 12, 0, 12, 0));
+        SimCluster cluster = cluster(9, 3, settings);
+        submitThrough(controller(cluster, 0), job(1, Priority.IDLE, 1, 1, 200));
+        for (int i = 2; i < 6; i++) {
+            submitThrough(controller(cluster, i % 3), dependent(job(i, Priority.CRITICAL, 12, 1, 5), 1));
+        }
+        submitThrough(controller(cluster, 1), job(7, Priority.IDLE, 11, 1, 150));
+        cluster.runFor(10_000);
+        assertEquals(11, runningTasks(cluster, jobId(7)));
+
+        int startsBefore = cluster.checker.taskStarts;
+        cluster.runFor(25_000);
+
+        assertEquals(startsBefore, cluster.checker.taskStarts, "nothing was stopped or started for those that wait");
+        assertRecovers(cluster, 700_000);
+    }
+
+    /** A job of low priority that urgent work needs goes before other work of its own priority that came first. */
+    @Test
+    void dependencyOfUrgentJobIsTreatedAsUrgent() {
+        SimCluster cluster = cluster(10, 9);
+        cluster.cloud.capacity = 9;
+        submitThrough(controller(cluster, 0), job(1, Priority.IDLE, 300, 4, 6));
+        submitThrough(controller(cluster, 0), job(2, Priority.IDLE, 1, 4, 6));
+        submitThrough(controller(cluster, 1), dependent(job(3, Priority.CRITICAL, 1, 4, 2), 2));
+        cluster.runFor(60_000);
+
+        assertTrue(doneInStore(cluster, 2) && doneInStore(cluster, 3), "the pipeline went first");
+        assertFalse(doneInStore(cluster, 1));
+    }
+
+    @Test
+    void jobMayDependOnHundredsOfJobs() {
+        SimCluster cluster = cluster(12, 9);
+        submitInTurn(cluster, 0, 160, jobs(100, 399, i -> job(i, 1, 1, 1)));
+        cluster.runFor(60_000);
+
+        int[] dependencies = IntStream.range(100, 400).toArray();
+        Effect.AnswerUser answer = submitThrough(controller(cluster, 2), smallJob(500, dependencies));
+
+        assertEquals(201, answer.status());
+        assertRecovers(cluster, 120_000);
+        assertTrue(doneInStore(cluster, 500));
+    }
+}
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -3,298 +3,228 @@
 import dewlane.core.message.Effect;
 import dewlane.core.message.Effect.JobCondition;
 import dewlane.core.model.Job;
-import dewlane.core.model.JobBuilder;
-import dewlane.core.model.Priority;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
-/** Users who submit, poll and cancel through whichever node answers. */
+/** Users who submit, poll and cancel jobs, and tell the checker each answer they get. */
 final class SimUsers {
-    private final World world;
+    private static final int MAX_RETRIES = 12;
+    private static final long REPLY_TIMEOUT_MS = 5000;
+    private static final long RETRY_AFTER_REFUSAL_MS = 1000;
+    private static final long POLL_INTERVAL_MS = 5000;
+    private static final long LONGEST_SILENCE_MS = 75_000;
+    static final String UNKNOWN_JOB = "wk-999999";
+    private static final double UNKNOWN_JOB_POLL_RATE = 0.1;
+    /** Stands for a question that was asked at no known time. */
+    private static final long TIME_UNKNOWN = Long.MAX_VALUE;
+
+    private final SimCluster cluster;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    final List<String> accepted = new ArrayList<>();
+    private final List<String> accepted = new ArrayList<>();
     /** When a question about the job was last answered. */
     private final Map<String, Long> answeredAt = new HashMap<>();
-
-    private int next = 1;
     /** The share of jobs that are cancelled at the moment at which their last task ends. */
-    double cancelAtEnd;
-    /** The share of jobs that await others. */
-    double pipelines;
-    /** Answers to odd requests that were as they should be. */
-    int oddAnswers;
+    double cancelOnCompletionRate;
 
-    SimUsers(World world) {
-        this.world = world;
+    SimUsers(SimCluster cluster) {
+        this.cluster = cluster;
     }
 
     Job job(String id) {
         return jobs.get(id);
     }
 
-    void submitOne() {
-        String id = String.format("wk-%06d", next++);
-        String team = List.of("blue", "red", "green").get(world.random.nextInt(3));
-        boolean oneZone = world.chance(0.15);
-        Job job = JobBuilder.job(id)
-                .team(team)
-                .priority(Priority.values()[world.random.nextInt(4)])
-                .tasks(world.between(1, 14))
-                .cpus(world.between(1, 2))
-                .memoryGb(world.between(1, 5))
-                .image("image-" + world.random.nextInt(3))
-                .types(world.chance(0.2) ? List.of("large") : List.of())
-                .zone(world.chance(0.2) ? "east" : null)
-                .oneZone(oneZone)
-                .spread(!oneZone && world.chance(0.15))
-                .spot(world.chance(0.7))
-                .estimateS(world.between(1, 12))
-                .checkpointS(world.chance(0.5) ? 5 : 0)
-                .saveS(world.chance(0.5) ? 2 : 0)
-                .deadlineS(world.chance(pipelines) ? 60 : 0)
-                .build();
-        submit(world.chance(pipelines) ? job.withDependencies(someAccepted()) : job);
-        if (world.chance(0.25)) {
-            world.after(world.between(50, 25_000), () -> abort(id, 0));
-        }
+    /** The accepted jobs, in the order in which their users learned of it. */
+    List<String> accepted() {
+        return accepted;
     }
 
-    /** A few accepted jobs, mostly late ones, in whatever state they are. */
-    private List<String> someAccepted() {
-        Set<String> chosen = new LinkedHashSet<>();
-        for (int n = world.between(1, 4); n > 0 && !accepted.isEmpty(); n--) {
-            int from = world.chance(0.7) ? Math.max(0, accepted.size() - 6) : 0;
-            chosen.add(accepted.get(world.between(from, accepted.size() - 1)));
-        }
-        return List.copyOf(chosen);
+    boolean isFinished(String id) {
+        JobCondition condition = cluster.checker.lastReportedCondition(id);
+        return condition == JobCondition.DONE || condition == JobCondition.CANCELLED;
     }
 
+    /** Makes a job known whose submission a test makes itself. */
+    void register(Job job) {
+        jobs.put(job.id(), job);
+    }
+
+    /** Submits a job through any controller until it is accepted. */
     void submit(Job job) {
-        know(job);
+        register(job);
         submit(job, 0);
     }
 
-    /** A job whose submission a test makes itself. */
-    void know(Job job) {
-        jobs.put(job.id(), job);
+    private void submit(Job job, int retries) {
+        SimController controller = randomLiveController();
+        boolean[] settled = {false};
+        cluster.after(REPLY_TIMEOUT_MS, () -> {
+            if (!settled[0] && retries < MAX_RETRIES) {
+                submit(job, retries + 1);
+            }
+        });
+        exchange(controller, (to, onReply) -> to.submit(job, onReply), answer -> {
+            settled[0] |= answer.status() < 300;
+            onAnswer(job.id(), answer);
+            if (answer.status() >= 300 && !settled[0] && retries < MAX_RETRIES) {
+                settled[0] = true;
+                cluster.after(RETRY_AFTER_REFUSAL_MS, () -> submit(job, retries + 1));
+            }
+        });
     }
 
+    /** Cancels a job through any controller until that is confirmed. */
     void cancel(String id) {
-        abort(id, 0);
+        cancel(id, 0);
+    }
+
+    private void cancel(String id, int retries) {
+        SimController controller = randomLiveController();
+        boolean[] confirmed = {false};
+        cluster.after(REPLY_TIMEOUT_MS, () -> {
+            if (!confirmed[0] && retries < MAX_RETRIES) {
+                cancel(id, retries + 1);
+            }
+        });
+        cluster.checker.cancellationRequested(id);
+        exchange(controller, (to, onReply) -> to.abort(id, onReply), answer -> {
+            confirmed[0] = answer.status() == 200;
+            onAnswer(id, answer);
+        });
+    }
+
+    /** A request and its reply, both of which may be lost; without a controller nothing is sent. */
+    private void exchange(
+            SimController controller,
+            BiConsumer<SimController, Consumer<Effect.AnswerUser>> request,
+            Consumer<Effect.AnswerUser> onReply) {
+        if (controller != null) {
+            cluster.deliver(() -> request.accept(controller, answer -> cluster.deliver(() -> onReply.accept(answer))));
+        }
     }
 
     /** Cancels through the given controller, once. */
-    void cancelAt(SimNode node, String id) {
-        world.checker.asked(id);
-        node.abort(id, a -> told(id, a));
+    void cancelThrough(SimController controller, String id) {
+        cluster.checker.cancellationRequested(id);
+        controller.abort(id, answer -> onAnswer(id, answer));
     }
 
     /** Asks the given controller about a job, once. */
-    void pollAt(SimNode node, String id) {
-        long askedAt = world.now();
+    void pollThrough(SimController controller, String id) {
+        long askedAt = cluster.now();
         boolean known = answeredAt.containsKey(id);
-        node.poll(id, a -> {
-            if (a.status() == 404 && known) {
-                world.checker.broken("forgotten", id + " accepted before " + askedAt);
-            }
-            told(id, a, askedAt);
-        });
+        controller.poll(id, answer -> onPollAnswer(id, answer, askedAt, known));
     }
 
     /** Sends a job's submission once more, to the given controller. */
-    void repeatAt(SimNode node, String id) {
-        node.submit(job(id), a -> told(id, a));
+    void resubmitThrough(SimController controller, String id) {
+        controller.submit(job(id), answer -> onAnswer(id, answer));
     }
 
-    /** A task has completed; with its job's last one, its user may call the job off. */
-    void ended(String job) {
-        if (cancelAtEnd > 0 && world.checker.allTasksDone(job) && world.chance(cancelAtEnd)) {
-            abort(job, 0);
+    /** A task has completed; with its job's last one, its user may cancel the job. */
+    void onTaskDone(String job) {
+        if (cancelOnCompletionRate > 0 && cluster.checker.allTasksDone(job) && cluster.chance(cancelOnCompletionRate)) {
+            cancel(job);
         }
     }
 
-    /** Calls off so many jobs that have tasks on machines, each through whichever node. */
-    List<String> cancelSome(int count) {
+    /** Cancels so many jobs that have tasks on machines, each through any controller, and returns them. */
+    List<String> cancelRunning(int count) {
         List<String> chosen = accepted.stream()
-                .filter(id ->
-                        !isOver(id) && world.cloud.machines.values().stream().anyMatch(m -> m.running(id) > 0))
+                .filter(id -> !isFinished(id) && isOnMachines(id))
                 .limit(count)
                 .toList();
-        chosen.forEach(id -> world.after(world.between(0, 200), () -> abort(id, 0)));
+        chosen.forEach(id -> cluster.after(cluster.between(0, 200), () -> cancel(id)));
         return chosen;
     }
 
-    /**
-     * What users should not send: a job that fits no machine, one that lacks a field, a submission once more, the
-     * cancellation of a job that is done.
-     */
-    void oddRequest() {
-        SimNode node = anyNode();
-        if (node == null) {
-            return;
-        }
-        String id = String.format("wk-%06d", 900_000 + next);
-        switch (world.random.nextInt(pipelines > 0 ? 5 : 4)) {
-            case 0 -> {
-                Job huge = JobBuilder.job(id)
-                        .team("red")
-                        .tasks(2)
-                        .cpus(999)
-                        .estimateS(5)
-                        .build();
-                node.submit(huge, a -> expect(a, 422, "a job that fits no machine"));
-            }
-            case 4 -> {
-                Job stranger =
-                        Scenarios.job(900_000 + next, Priority.HIGH, 1, 1, 1).withDependencies(List.of("wk-999999"));
-                node.submit(stranger, a -> expect(a, 422, "a job that awaits one that was never accepted"));
-            }
-            case 1 -> node.submitMalformed(id, a -> expect(a, 400, "a job that lacks a field"));
-            case 2 ->
-                accepted.stream()
-                        .filter(known -> !isOver(known))
-                        .findAny()
-                        .ifPresent(known -> node.submit(job(known), a -> told(known, a)));
-            default ->
-                accepted.stream()
-                        .filter(known -> world.checker.lastTold(known) == JobCondition.DONE)
-                        .findAny()
-                        .ifPresent(known -> node.abort(known, a -> {
-                            expect(a, 200, "cancelling what is done");
-                            told(known, a);
-                        }));
-        }
+    private boolean isOnMachines(String id) {
+        return cluster.workers().stream().anyMatch(worker -> worker.runningTasks(id) > 0);
     }
 
-    private void expect(Effect.AnswerUser a, int status, String what) {
-        if (a.status() != status && a.status() != 503) {
-            world.checker.broken("accepted_odd", what + " was answered " + a);
+    /** Polls any job through any controller, and now and then one that was never submitted. */
+    void pollRandomJob() {
+        List<String> all = List.copyOf(jobs.keySet());
+        SimController controller = randomLiveController();
+        if (!all.isEmpty() && controller != null) {
+            String id = all.get(cluster.random.nextInt(all.size()));
+            boolean known = answeredAt.containsKey(id);
+            long askedAt = cluster.now();
+            exchange(
+                    controller,
+                    (to, onReply) -> to.poll(id, onReply),
+                    answer -> onPollAnswer(id, answer, askedAt, known));
+        }
+        if (controller != null && cluster.chance(UNKNOWN_JOB_POLL_RATE)) {
+            controller.poll(UNKNOWN_JOB, answer -> {
+                if (answer.status() == 200) {
+                    cluster.checker.violated("invented", UNKNOWN_JOB);
+                }
+            });
         }
-        oddAnswers += a.status() == status ? 1 : 0;
-    }
-
-    private SimNode anyNode() {
-        List<SimNode> up = world.nodes.values().stream().filter(n -> n.alive).toList();
-        return up.isEmpty() ? null : up.get(world.random.nextInt(up.size()));
     }
 
-    private void submit(Job job, int tries) {
-        SimNode node = anyNode();
-        boolean[] answered = {false};
-        world.after(5000, () -> {
-            if (!answered[0] && tries < 12) {
-                submit(job, tries + 1);
+    /**
+     * Polls every accepted job that is not known to be finished, every 5 s from now on, and has the checker see to it
+     * that none waits 75 s for an answer, however the others fare.
+     */
+    void pollUnfinishedJobs() {
+        long from = cluster.now();
+        cluster.every(POLL_INTERVAL_MS, () -> {
+            for (String id : List.copyOf(accepted)) {
+                if (!isFinished(id)) {
+                    pollUnfinishedJob(id, from);
+                }
             }
         });
-        if (node != null) {
-            world.deliver(() -> node.submit(
-                    job,
-                    a -> world.deliver(() -> {
-                        answered[0] |= a.status() < 300;
-                        told(job.id(), a);
-                        if (a.status() >= 300 && !answered[0] && tries < 12) {
-                            answered[0] = true;
-                            world.after(1000, () -> submit(job, tries + 1));
-                        }
-                    })));
-        }
     }
 
-    private void abort(String id, int tries) {
-        SimNode node = anyNode();
-        boolean[] answered = {false};
-        world.after(5000, () -> {
-            if (!answered[0] && tries < 12) {
-                abort(id, tries + 1);
-            }
-        });
-        world.checker.asked(id);
-        if (node != null) {
-            world.deliver(() -> node.abort(
-                    id,
-                    a -> world.deliver(() -> {
-                        answered[0] = a.status() == 200;
-                        told(id, a);
-                    })));
+    private void pollUnfinishedJob(String id, long from) {
+        if (cluster.now() - Math.max(from, answeredAt.get(id)) > LONGEST_SILENCE_MS) {
+            cluster.checker.violated("forgotten", id + " got no answer for 75 s");
+        }
+        SimController controller = randomLiveController();
+        if (controller != null) {
+            controller.poll(id, answer -> onAnswer(id, answer));
         }
     }
 
-    void pollSome() {
-        List<String> all = List.copyOf(jobs.keySet());
-        SimNode node = anyNode();
-        if (!all.isEmpty() && node != null) {
-            String id = all.get(world.random.nextInt(all.size()));
-            boolean known = answeredAt.containsKey(id);
-            long askedAt = world.now();
-            world.deliver(() -> node.poll(
-                    id,
-                    a -> world.deliver(() -> {
-                        if (a.status() == 404 && known) {
-                            world.checker.broken("forgotten", id + " accepted before " + askedAt);
-                        }
-                        told(id, a, askedAt);
-                    })));
-        }
-        if (node != null && world.chance(0.1)) {
-            node.poll("wk-999999", a -> {
-                if (a.status() == 200) {
-                    world.checker.broken("invented", "wk-999999");
-                }
-            });
+    /** Any controller that is alive, or null if there is none. */
+    SimController randomLiveController() {
+        List<SimController> alive = cluster.controllers.values().stream()
+                .filter(controller -> controller.alive)
+                .toList();
+        return alive.isEmpty() ? null : alive.get(cluster.random.nextInt(alive.size()));
+    }
+
+    private void onPollAnswer(String id, Effect.AnswerUser answer, long askedAt, boolean known) {
+        if (answer.status() == 404 && known) {
+            cluster.checker.violated("forgotten", id + " accepted before " + askedAt);
         }
+        onAnswer(id, answer, askedAt);
     }
 
-    private void told(String id, Effect.AnswerUser a) {
-        told(id, a, Long.MAX_VALUE);
+    /** An answer to a question that was asked at no known time. */
+    void onAnswer(String id, Effect.AnswerUser answer) {
+        onAnswer(id, answer, TIME_UNKNOWN);
     }
 
-    private void told(String id, Effect.AnswerUser a, long askedAt) {
-        if (a.status() != 200 && a.status() != 201) {
-            if (a.status() == 422 || a.status() == 400) {
-                throw new AssertionError("a good job was rejected: " + a);
-            }
+    private void onAnswer(String id, Effect.AnswerUser answer, long askedAt) {
+        if (answer.status() == 422 || answer.status() == 400) {
+            throw new AssertionError("a good job was rejected: " + answer);
+        }
+        if (answer.status() != 200 && answer.status() != 201) {
             return;
         }
         if (!answeredAt.containsKey(id)) {
             accepted.add(id);
         }
-        answeredAt.put(id, world.now());
-        world.checker.told(id, a.job().condition(), askedAt);
-    }
-
-    /**
-     * Asks about every accepted job that is not known to be over, every 5 s from now on, whichever node it may be, and
-     * has the checker see to it that none waits 75 s for an answer, however the others fare.
-     */
-    void askAboutAll() {
-        long from = world.now();
-        world.every(5000, () -> {
-            for (String id : List.copyOf(accepted)) {
-                if (isOver(id)) {
-                    continue;
-                }
-                if (world.now() - Math.max(from, answeredAt.get(id)) > 75_000) {
-                    world.checker.broken("forgotten", id + " got no answer for 75 s");
-                }
-                SimNode node = anyNode();
-                if (node != null) {
-                    node.poll(id, a -> told(id, a));
-                }
-            }
-        });
-    }
-
-    List<String> accepted() {
-        return accepted;
-    }
-
-    boolean isOver(String id) {
-        JobCondition c = world.checker.lastTold(id);
-        return c == JobCondition.DONE || c == JobCondition.CANCELLED;
+        answeredAt.put(id, cluster.now());
+        cluster.checker.conditionReported(id, answer.job().condition(), askedAt);
     }
 }
--- /dev/null
+++ b/src/test/java/dewlane/sim/StoreOutageTest.java
@@ -0,0 +1,162 @@
+package dewlane.sim;
+
+import static dewlane.sim.SimFixtures.anotherController;
+import static dewlane.sim.SimFixtures.assertRecovers;
+import static dewlane.sim.SimFixtures.cluster;
+import static dewlane.sim.SimFixtures.clusterRunning;
+import static dewlane.sim.SimFixtures.job;
+import static dewlane.sim.SimFixtures.jobId;
+import static dewlane.sim.SimFixtures.leader;
+import static dewlane.sim.SimFixtures.runningTasks;
+import static dewlane.sim.SimFixtures.workersRunning;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.message.Effect.JobCondition;
+import dewlane.core.schema.StoreKeys;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * The store refuses the leader alone while another controller confirms a cancellation, and is then out for all for
+ * longer than a cancellation may take.
+ */
+class StoreOutageTest {
+    private static final String JOB = jobId(1);
+
+    /** Whether the leader, which the store refuses, learns of the cancellation from its peers. */
+    private enum Leader {
+        INFORMED,
+        /**
+         * The controller that confirms ends at once, so that the leader, which still hears a peer, has no word of it.
+         */
+        UNINFORMED
+    }
+
+    /** Returns when the cancellation was confirmed. */
+    private static long cancelWhileLeaderIsRefusedThenOutage(SimCluster cluster, long cancelAfterMs, Leader informed) {
+        SimController leader = leader(cluster);
+        cluster.store.refusedControllers.add(leader.name);
+        cluster.runFor(cancelAfterMs);
+        SimController confirming = anotherController(cluster, leader);
+        cluster.users.cancelThrough(confirming, JOB);
+        for (int step = 0; step < 200 && cluster.checker.lastReportedCondition(JOB) != JobCondition.CANCELLED; step++) {
+            cluster.runFor(5);
+        }
+        if (informed == Leader.UNINFORMED) {
+            confirming.crash(50_000);
+        }
+        cluster.runFor(700);
+        assertEquals(
+                JobCondition.CANCELLED, cluster.checker.lastReportedCondition(JOB), "another controller confirmed it");
+        long confirmedAt = cluster.now();
+        cluster.store.outage(cancelMs(cluster) + 12_000);
+        return confirmedAt;
+    }
+
+    private static long cancelMs(SimCluster cluster) {
+        return (long) (cluster.settings.cancellationDeadlineS() * 1000);
+    }
+
+    /** The leader never sees the cancellation, and the workers keep reporting to it. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5})
+    void outageAfterCancellationThatLeaderMissedEndsTasksInTime(long seed) {
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 400));
+        assertEquals(18, runningTasks(cluster, JOB));
+        SimController leader = leader(cluster);
+
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 300 * seed, Leader.UNINFORMED);
+
+        assertTrue(
+                cluster.workers().stream()
+                        .anyMatch(worker -> worker.runningTasks() > 0
+                                && worker.heartbeats.target().equals(leader.name)),
+                "tasks run on machines that report to the one that was refused");
+        cluster.runUntil(confirmedAt + 10_000);
+        assertTrue(runningTasks(cluster, JOB) > 0, "it cannot know yet");
+        cluster.runUntil(confirmedAt + cancelMs(cluster));
+        assertEquals(0, runningTasks(cluster, JOB));
+        cluster.store.refusedControllers.clear();
+        assertRecovers(cluster, 200_000);
+    }
+
+    /** While peers still hear one another, the owner stops the tasks at once, and those of other jobs go on. */
+    @Test
+    void outageAfterCancellationThatPeersToldEndsOnlyCancelledTasksAtOnce() {
+        SimCluster cluster = clusterRunning(6, 9, 25_000, job(1, 10, 2, 400), job(2, 8, 2, 50));
+
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, Leader.INFORMED);
+
+        cluster.runUntil(confirmedAt + 4000);
+        assertEquals(0, runningTasks(cluster, JOB));
+        assertEquals(8, runningTasks(cluster, jobId(2)));
+        cluster.store.refusedControllers.clear();
+        assertRecovers(cluster, 300_000);
+    }
+
+    /** Machines that stand still with a cancelled task are deleted though no record of it can be written. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void frozenWorkersWithCancelledTasksAreDeletedDuringOutage(long seed) {
+        SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 400));
+        List<SimWorker> frozen = workersRunning(cluster, JOB).subList(0, 4);
+        frozen.forEach(worker -> worker.frozenUntil = 500_000);
+
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, Leader.INFORMED);
+
+        cluster.runUntil(confirmedAt + 50_000);
+        assertTrue(cluster.store.unavailable, "still out");
+        assertTrue(frozen.stream().allMatch(worker -> worker.terminated), "deleted");
+        cluster.runUntil(confirmedAt + 75_000);
+        cluster.store.refusedControllers.clear();
+        assertRecovers(cluster, 200_000);
+    }
+
+    /** What was recorded before the outage and did not arrive is not sent again on what its controller knew then. */
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4})
+    void launchIsNotSentAgainOnViewThatLacksItsCancellation(long seed) {
+        SimCluster cluster = cluster(seed, 9);
+        cluster.users.submit(job(1, 18, 2, 60));
+        cluster.workers().forEach(worker -> worker.inboundBlocked = true);
+        cluster.runUntil(10_300 + 20 * seed);
+        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were written");
+        assertEquals(0, cluster.checker.taskStarts, "and none arrived");
+
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 0, Leader.UNINFORMED);
+
+        cluster.runUntil(confirmedAt + 5000);
+        cluster.workers().forEach(worker -> worker.inboundBlocked = false);
+        cluster.runUntil(confirmedAt + 75_000);
+        assertEquals(0, cluster.checker.taskStarts, "nor did any later");
+        cluster.store.refusedControllers.clear();
+        assertRecovers(cluster, 200_000);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2})
+    void cancellationsAreConfirmedWhileStoreIsSlowThenRefusesLeaderThenIsOut(long seed) {
+        SimCluster cluster = clusterRunning(seed, 8, 22_000, job(1, 12, 2, 300), job(2, 2, 2, 300));
+
+        cluster.every(300, cluster.users::pollRandomJob);
+        cluster.store.extraLatencyMs = 1300;
+        cluster.runUntil(28_000);
+        cluster.users.cancel(jobId(2));
+        cluster.runUntil(31_000);
+        SimController leader = leader(cluster);
+        cluster.store.refusedControllers.add(leader.name);
+        cluster.users.cancelThrough(anotherController(cluster, leader), JOB);
+        cluster.runUntil(35_500);
+        assertEquals(JobCondition.CANCELLED, cluster.checker.lastReportedCondition(JOB));
+        cluster.store.outage(70_000);
+        cluster.runUntil(106_500);
+        cluster.store.refusedControllers.clear();
+        cluster.store.extraLatencyMs = 0;
+
+        assertRecovers(cluster, 200_000);
+    }
+}
