--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -6,24 +6,34 @@
 import dewlane.core.config.TestSettings;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
+import dewlane.core.model.Attempt;
 import dewlane.core.model.Heartbeat;
+import dewlane.core.model.Heartbeat.TaskStatus;
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.MachineType;
+import dewlane.core.model.TestReports;
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.JobRecord;
 import dewlane.core.schema.StoredValue.Member;
 import dewlane.core.schema.StoredValue.PartitionMap;
 import dewlane.core.schema.StoredValue.Presence;
+import dewlane.core.schema.StoredValue.Slice;
 import dewlane.core.schema.Transaction;
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
-/** One controller core that has joined alone, and the messages that tests give it. */
+/** One controller core, n0, that has joined alone with one machine, m1, and the inputs that tests give it. */
 public abstract class ControllerFixture {
     static final MachineType BOX = new MachineType("box", 4, 0, 16, 20, 1, 0.2, 0.1, 30, List.of("east"));
+    static final String JOB = "wk-1";
+    static final String MACHINE = "m1";
+    /** The fencing token that the machine gets first. */
+    public static final long FIRST_TOKEN = 1L << 20;
 
     public final Controller controller = new Controller(
             TestSettings.of(
@@ -41,18 +51,71 @@
     long now;
     public long revision = 10;
 
-    /** Gives the controller a message that many milliseconds after the last one. */
-    public void hear(long afterMs, Input input) {
+    @BeforeEach
+    void join() {
+        receive(0, new Input.Tick());
+        receive(10, new Input.LeaseGranted(7));
+        receive(10, new Input.StoreListed(List.of(), revision, revision));
+        receive(10, new Input.MachineTypesListed(List.of(BOX)));
+        tick(100);
+        Effect.CommitTransaction joining = takeFirst(Effect.CommitTransaction.class);
+        revision++;
+        receive(5, new Input.TransactionCompleted(joining.id(), Transaction.Status.COMMITTED, revision));
+        receive(
+                5,
+                new Input.WatchEvents(
+                        List.of(
+                                new Input.KeyChange(StoreKeys.PARTITION_MAP, mapOfOne(), revision),
+                                new Input.KeyChange(StoreKeys.presence("n0"), new Presence(1), revision)),
+                        revision));
+        assertTrue(controller.isReady());
+        effects.clear();
+    }
+
+    /** The partition map with n0 alone. */
+    static PartitionMap mapOfOne() {
+        return new PartitionMap(1, List.of(new Member("n0", 1)), Map.of());
+    }
+
+    /** The controller receives an input so long after the one before. */
+    public void receive(long afterMs, Input input) {
         now += afterMs;
         effects.addAll(controller.handle(now, now, input));
     }
 
-    void change(String key, StoredValue value) {
+    public void tick(long afterMs) {
+        receive(afterMs, new Input.Tick());
+    }
+
+    public void receiveHeartbeat(long afterMs, long request, Heartbeat heartbeat) {
+        receive(afterMs, new Input.HeartbeatReceived(request, heartbeat));
+    }
+
+    /** The controller's watch shows that a key has changed. */
+    void applyChange(String key, StoredValue value) {
         revision++;
-        hear(60, new Input.WatchEvents(List.of(new Input.KeyChange(key, value, revision)), revision));
+        receive(60, new Input.WatchEvents(List.of(new Input.KeyChange(key, value, revision)), revision));
+    }
+
+    void applyJob(Job job) {
+        applyChange(StoreKeys.job(job.id()), new JobRecord(job, List.of(), 0));
+    }
+
+    /** The only slice of the first job, all of whose tasks n0 has. */
+    void applySlice(int tasks, int launches, Attempt... attempts) {
+        applyChange(StoreKeys.slice(JOB, 0), slice(tasks, launches, attempts));
+    }
+
+    static Slice slice(int tasks, int launches, Attempt... attempts) {
+        return new Slice("n0", 0, tasks, launches, new BitSet(), List.of(attempts));
     }
 
-    /** Returns the effects of one kind since the last call, and drops the others. */
+    /** An attempt that was launched on the machine under its first token. */
+    static Attempt attempt(int task, int number) {
+        return new Attempt(task, number, MACHINE, 1, FIRST_TOKEN, 1);
+    }
+
+    /** All effects of the kind since effects were last taken. */
     public <T extends Effect> List<T> take(Class<T> kind) {
         List<T> found =
                 effects.stream().filter(kind::isInstance).map(kind::cast).toList();
@@ -60,46 +123,34 @@
         return found;
     }
 
-    /** A heartbeat of the one machine, without tasks. */
-    public Heartbeat report(long session, long sequence, long token) {
-        return new Heartbeat("m1", "h:1", "box", "east", true, session, sequence, token, Double.NaN, List.of());
+    <T extends Effect> T takeFirst(Class<T> kind) {
+        return take(kind).get(0);
     }
 
-    /** A machine that reports, and shows by its next report that it got the answer. */
-    void meet() {
-        hear(60, new Input.HeartbeatReceived(1, report(1, 1, 0)));
-        hear(500, new Input.HeartbeatReceived(2, report(1, 2, 1L << 20)));
+    /** The slice that a transaction writes. */
+    static Slice writtenSlice(Transaction transaction) {
+        return (Slice) transaction.writes().stream()
+                .filter(write -> write.key().startsWith(StoreKeys.SLICES))
+                .findFirst()
+                .orElseThrow()
+                .value();
+    }
+
+    public static Heartbeat heartbeat(long incarnation, long sequence, long token, TaskStatus... tasks) {
+        return TestReports.of(incarnation, sequence, token, List.of(tasks));
+    }
+
+    /** The machine reports, and shows by its next heartbeat that it got the reply. */
+    void connectWorker() {
+        receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
+        receiveHeartbeat(500, 2, heartbeat(1, 2, FIRST_TOKEN));
     }
 
     static Job job(int tasks, double cpus) {
-        return job("wk-1", tasks, cpus);
+        return job(JOB, tasks, cpus);
     }
 
     static Job job(String id, int tasks, double cpus) {
         return JobBuilder.job(id).tasks(tasks).cpus(cpus).acceptedMs(1).build();
     }
-
-    @BeforeEach
-    void join() {
-        hear(0, new Input.Tick());
-        hear(10, new Input.LeaseGranted(7));
-        hear(10, new Input.StoreListed(List.of(), revision, revision));
-        hear(10, new Input.MachineTypesListed(List.of(BOX)));
-        hear(100, new Input.Tick());
-        Effect.CommitTransaction txn = take(Effect.CommitTransaction.class).get(0);
-        revision++;
-        hear(5, new Input.TransactionCompleted(txn.id(), Transaction.Status.COMMITTED, revision));
-        hear(
-                5,
-                new Input.WatchEvents(
-                        List.of(
-                                new Input.KeyChange(
-                                        StoreKeys.PARTITION_MAP,
-                                        new PartitionMap(1, List.of(new Member("n0", 1)), Map.of()),
-                                        revision),
-                                new Input.KeyChange(StoreKeys.presence("n0"), new Presence(1), revision)),
-                        revision));
-        assertTrue(controller.isReady());
-        effects.clear();
-    }
 }
--- /dev/null
+++ b/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
@@ -0,0 +1,146 @@
+package dewlane.core.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
+import dewlane.core.model.Attempt;
+import dewlane.core.model.Heartbeat.ExitReason;
+import dewlane.core.model.Heartbeat.Phase;
+import dewlane.core.model.Heartbeat.TaskStatus;
+import dewlane.core.model.Job;
+import dewlane.core.model.JobBuilder;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.StoredValue.JobRecord;
+import dewlane.core.schema.StoredValue.Presence;
+import dewlane.core.schema.Transaction;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** What one controller writes to launch tasks and to record their outcomes. */
+class ControllerLaunchTest extends ControllerFixture {
+    @Test
+    void launchIsWrittenUnderItsGuardsBeforeItIsCommanded() {
+        connectWorker();
+        applyJob(job(2, 1));
+        applySlice(2, 0);
+
+        tick(100);
+
+        assertTrue(effects.stream()
+                .filter(Effect.SendCommands.class::isInstance)
+                .map(Effect.SendCommands.class::cast)
+                .allMatch(command -> command.commands().isEmpty()));
+        Transaction transaction = takeFirst(Effect.CommitTransaction.class).transaction();
+        List<String> guards = transaction.preconditions().stream()
+                .map(Transaction.Precondition::key)
+                .toList();
+        assertTrue(
+                guards.containsAll(List.of(
+                        StoreKeys.job(JOB),
+                        StoreKeys.slice(JOB, 0),
+                        StoreKeys.PARTITION_MAP,
+                        StoreKeys.decommission(MACHINE),
+                        StoreKeys.teamUsage("blue"))),
+                guards.toString());
+    }
+
+    @Test
+    void launchesStayWithinTeamQuota() {
+        connectWorker();
+        applyJob(job(9, 3));
+        applySlice(9, 0);
+
+        tick(100);
+
+        Transaction transaction = takeFirst(Effect.CommitTransaction.class).transaction();
+        assertEquals(1, writtenSlice(transaction).attempts().size(), "3 of 4 CPUs are taken by the first task");
+    }
+
+    /** When the state is read anew all records vanish for a moment: no dependant starts for that. */
+    @Test
+    void reloadOfStateReleasesNoDependant() {
+        connectWorker();
+        List<StoredValue.SliceAssignment> deals = List.of(new StoredValue.SliceAssignment("n0", 0, 2));
+        JobRecord dependency = new JobRecord(job(2, 5), deals, 0);
+        JobRecord dependant = new JobRecord(job("wk-2", 2, 1).withDependencies(List.of(JOB)), deals, 0);
+        applyChange(StoreKeys.job(JOB), dependency);
+        applyChange(StoreKeys.job("wk-2"), dependant);
+
+        receive(10, new Input.WatchFailed(true));
+        tick(600);
+        List<Input.StoreRow> rows = List.of(
+                new Input.StoreRow(StoreKeys.job("wk-2"), dependant, revision),
+                new Input.StoreRow(StoreKeys.job(JOB), dependency, revision - 1),
+                new Input.StoreRow(StoreKeys.PARTITION_MAP, mapOfOne(), 11),
+                new Input.StoreRow(StoreKeys.presence("n0"), new Presence(1), 11));
+        receive(10, new Input.StoreListed(rows, revision, revision));
+        effects.clear();
+        receiveHeartbeat(60, 3, heartbeat(1, 3, 0));
+        long token = takeFirst(Effect.AnswerHeartbeat.class).fencingToken();
+        receiveHeartbeat(500, 4, heartbeat(1, 4, token));
+        applyChange(StoreKeys.job("wk-3"), new JobRecord(job("wk-3", 2, 1), deals, 0));
+        for (int i = 0; i < 20; i++) {
+            tick(100);
+        }
+
+        List<String> written = take(Effect.CommitTransaction.class).stream()
+                .flatMap(sent -> sent.transaction().writes().stream())
+                .map(Transaction.Write::key)
+                .toList();
+        assertTrue(written.contains(StoreKeys.slice("wk-3", 0)), "a job without dependencies is launched");
+        assertFalse(written.contains(StoreKeys.slice("wk-2", 0)), "a dependant of another job was launched");
+    }
+
+    /**
+     * Found in a day's writes: once the first outcomes of a job were written, each further one was a change of its own.
+     */
+    @Test
+    void outcomesAfterFirstWriteAreBatchedAgain() {
+        connectWorker();
+        int tasks = 8;
+        Job job = JobBuilder.job(JOB)
+                .team("red")
+                .tasks(tasks)
+                .cpus(0.25)
+                .acceptedMs(1)
+                .build();
+        applyJob(job);
+        applySlice(
+                tasks,
+                1,
+                IntStream.range(0, tasks).mapToObj(task -> attempt(task, 1)).toArray(Attempt[]::new));
+        effects.clear();
+
+        int writes = 0;
+        List<Transaction.Write> notYetShown = new ArrayList<>();
+        for (int ended = 1; ended < tasks; ended++) {
+            receiveHeartbeat(400, 10 + ended, heartbeat(1, 10 + ended, FIRST_TOKEN, states(tasks, ended)));
+            // The write of the last round shows here only now, when the next outcome is in already.
+            notYetShown.forEach(write -> applyChange(write.key(), write.value()));
+            notYetShown.clear();
+            tick(100);
+            for (Effect.CommitTransaction sent : take(Effect.CommitTransaction.class)) {
+                writes++;
+                receive(5, new Input.TransactionCompleted(sent.id(), Transaction.Status.COMMITTED, revision + 1));
+                notYetShown.addAll(sent.transaction().writes());
+            }
+        }
+
+        assertTrue(writes >= 1 && writes <= tasks / 2, writes + " writes for " + (tasks - 1) + " outcomes over 3.5 s");
+    }
+
+    /** The first tasks have ended, and the others run. */
+    private static TaskStatus[] states(int tasks, int ended) {
+        return IntStream.range(0, tasks)
+                .mapToObj(task -> task < ended
+                        ? new TaskStatus(JOB, task, 1, Phase.EXITED, ExitReason.DONE, false)
+                        : new TaskStatus(JOB, task, 1, Phase.RUNNING, null, false))
+                .toArray(TaskStatus[]::new);
+    }
+}
--- a/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
+++ b/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The share of the rate of changes, against a state service whose limit becomes smaller. */
+/** The share of the rate of changes, against a store whose limit becomes smaller. */
 class WriteRateLimiterTest {
     private static final int CONTROLLERS = 5;
     private static final StoreLimits LIMITS =
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void theLargerRateIsUsedWhileItLastsAndTheSmallerOneSoonAfter() {
+    void largerRateIsUsedWhileItLastsAndSmallerOneSoonAfter() {
         spend(30, 20);
         double before = spend(30, 30);
         assertTrue(before > 0.8 * 30, before + " a second before");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void refusalsForAnotherReasonSlowNothingDownForGood() {
+    void refusalsForOtherReasonSlowWritesOnlyForWhile() {
         spend(30, 20);
         spend(8, 3);
         spend(30, 90);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void anOutageIsNoReasonToKeepToTheSmallerRate() {
+    void outageDoesNotReduceRate() {
         spend(30, 10);
         for (int i = 0; i < 100; i++) {
             now += 20;
--- /dev/null
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -0,0 +1,297 @@
+package dewlane.sim;
+
+import dewlane.core.message.Input;
+import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
+import dewlane.core.schema.Transaction;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Supplier;
+
+/**
+ * The store: conditional writes, reads, leases and watches, with outages, refusals of single controllers, delayed
+ * writes and lost replies.
+ */
+final class SimStore {
+    private record VersionedValue(StoredValue value, long version, long lease) {}
+
+    private static final long LIST_TIMEOUT_MS = 3000;
+    private static final long REQUEST_TIMEOUT_MS = 1500;
+    private static final long RENEWAL_TIMEOUT_MS = 1000;
+    private static final long LEASE_CHECK_MS = 50;
+    private static final int SHORTEST_WRITE_DELAY_MS = 2000;
+    private static final int LONGEST_WRITE_DELAY_MS = 12_000;
+
+    private final SimCluster cluster;
+    private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
+    private final List<Input.KeyChange> log = new ArrayList<>();
+    private final SimLeases leases;
+    private final SimWatches watches;
+    private final SimTokenBucket writeBucket = new SimTokenBucket();
+    private final SimTokenBucket requestBucket = new SimTokenBucket();
+    final SimStoreLimits limits;
+    final SimStoreUsage usage = new SimStoreUsage();
+    private long revision;
+
+    final Set<String> refusedControllers = new HashSet<>();
+    boolean unavailable;
+    /** How long the replies of watches take beyond the usual. */
+    int watchLagMs;
+    /** How long a reply takes at most beyond the usual. */
+    int extraLatencyMs;
+    /** The share of transactions that get no reply and are carried out seconds later, after newer ones. */
+    double delayedWriteRate;
+    /** The share of transactions that are carried out at once while only the reply is lost. */
+    double lostReplyRate;
+
+    /** Lost replies to transactions that were committed. */
+    int lostReplies;
+    /** Transactions carried out late, and how many of them were still committed. */
+    int delayedWrites;
+
+    int delayedWritesCommitted;
+
+    SimStore(SimCluster cluster) {
+        this.cluster = cluster;
+        this.limits = new SimStoreLimits(cluster);
+        this.leases = new SimLeases(cluster);
+        this.watches = new SimWatches(cluster, this);
+        cluster.every(LEASE_CHECK_MS, this::expireLeases);
+    }
+
+    StoredValue get(String key) {
+        VersionedValue stored = keys.get(key);
+        return stored == null ? null : stored.value;
+    }
+
+    /** Sets a key as a test wants it to be. */
+    void put(String key, StoredValue value) {
+        revision++;
+        keys.put(key, new VersionedValue(value, revision, 0));
+        log.add(new Input.KeyChange(key, value, revision));
+        watches.notifyAllDue();
+    }
+
+    Map<String, StoredValue> scan(String prefix) {
+        Map<String, StoredValue> found = new TreeMap<>();
+        keys.subMap(prefix, prefix + "\uffff").forEach((key, stored) -> found.put(key, stored.value));
+        return found;
+    }
+
+    long revision() {
+        return revision;
+    }
+
+    List<Input.KeyChange> changesAfter(long since) {
+        return log.stream().filter(change -> change.revision() > since).toList();
+    }
+
+    private boolean accepts(SimController controller) {
+        return !unavailable && !refusedControllers.contains(controller.name);
+    }
+
+    /** True if a request is within the rate. */
+    private boolean withinRequestRate() {
+        boolean within = requestBucket.take(1, cluster.settings.storeRequestsPerS(), cluster.now());
+        usage.countRequest(within);
+        return within;
+    }
+
+    /** A request that fails with the same input whether it is refused or lost. */
+    private void request(SimController controller, Supplier<Input> service, Input failure, long timeoutMs) {
+        controller.requestStore(
+                () -> accepts(controller) && withinRequestRate() ? service.get() : failure, failure, timeoutMs);
+    }
+
+    void list(SimController controller) {
+        request(controller, this::listing, new Input.StoreListFailed(), LIST_TIMEOUT_MS);
+    }
+
+    private Input listing() {
+        List<Input.StoreRow> rows = new ArrayList<>();
+        keys.forEach((key, stored) -> {
+            if (!key.startsWith(StoreKeys.JOB_RESULTS)) {
+                rows.add(new Input.StoreRow(key, stored.value, stored.version));
+            }
+        });
+        return new Input.StoreListed(rows, revision, revision);
+    }
+
+    void read(SimController controller, long id, String key) {
+        request(
+                controller,
+                () -> {
+                    VersionedValue stored = keys.get(key);
+                    return stored == null
+                            ? new Input.ValueRead(id, true, null, 0)
+                            : new Input.ValueRead(id, true, stored.value, stored.version);
+                },
+                new Input.ValueRead(id, false, null, 0),
+                REQUEST_TIMEOUT_MS);
+    }
+
+    void readRevision(SimController controller) {
+        request(
+                controller,
+                () -> new Input.RevisionRead(true, revision),
+                new Input.RevisionRead(false, 0),
+                REQUEST_TIMEOUT_MS);
+    }
+
+    void watch(SimController controller, long since) {
+        watches.open(controller, since);
+    }
+
+    void grantLease(SimController controller, long ttlMs) {
+        request(
+                controller,
+                () -> new Input.LeaseGranted(leases.grant(ttlMs)),
+                new Input.LeaseGranted(0),
+                REQUEST_TIMEOUT_MS);
+    }
+
+    void renewLease(SimController controller, long lease, long ttlMs) {
+        request(
+                controller,
+                () -> {
+                    boolean renewed = leases.renew(lease, ttlMs);
+                    return new Input.LeaseRenewalCompleted(lease, renewed, !renewed);
+                },
+                new Input.LeaseRenewalCompleted(lease, false, false),
+                RENEWAL_TIMEOUT_MS);
+    }
+
+    void commit(SimController controller, long id, Transaction transaction) {
+        limits.check(controller, transaction);
+        if (delayedWriteRate > 0 && cluster.chance(delayedWriteRate) && controller.storeReachable()) {
+            commitLate(id, transaction);
+            receiveUnknownResult(controller, id);
+        } else if (lostReplyRate > 0 && cluster.chance(lostReplyRate) && controller.storeReachable()) {
+            commitWithoutReply(controller, id, transaction);
+            receiveUnknownResult(controller, id);
+        } else {
+            controller.requestStore(
+                    () -> accepts(controller) && withinRequestRate()
+                            ? apply(id, transaction)
+                            : new Input.TransactionCompleted(id, Transaction.Status.UNAVAILABLE, 0),
+                    new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0),
+                    REQUEST_TIMEOUT_MS);
+        }
+    }
+
+    private void commitLate(long id, Transaction transaction) {
+        cluster.after(cluster.between(SHORTEST_WRITE_DELAY_MS, LONGEST_WRITE_DELAY_MS), () -> {
+            if (!unavailable) {
+                delayedWrites++;
+                delayedWritesCommitted += isCommitted(apply(id, transaction)) ? 1 : 0;
+            }
+        });
+    }
+
+    private void commitWithoutReply(SimController controller, long id, Transaction transaction) {
+        cluster.deliver(() -> {
+            if (accepts(controller)) {
+                lostReplies += isCommitted(apply(id, transaction)) ? 1 : 0;
+            }
+        });
+    }
+
+    private void receiveUnknownResult(SimController controller, long id) {
+        int sender = controller.incarnation;
+        cluster.after(
+                REQUEST_TIMEOUT_MS,
+                () -> controller.receive(sender, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
+    }
+
+    private static boolean isCommitted(Input.TransactionCompleted result) {
+        return result.status() == Transaction.Status.COMMITTED;
+    }
+
+    private Input.TransactionCompleted apply(long id, Transaction transaction) {
+        if (!writeBucket.take(transaction.writes().size(), limits.now().writesPerS(), cluster.now())) {
+            return new Input.TransactionCompleted(id, Transaction.Status.RATE_LIMITED, 0);
+        }
+        if (limits.exceededBy(transaction) || namesEndedLease(transaction)) {
+            return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
+        }
+        if (!guardsHold(transaction)) {
+            return new Input.TransactionCompleted(id, Transaction.Status.CONFLICT, revision);
+        }
+        usage.count(transaction);
+        if (!transaction.writes().isEmpty()) {
+            revision++;
+        }
+        transaction.writes().forEach(this::write);
+        watches.notifyAllDue();
+        return new Input.TransactionCompleted(id, Transaction.Status.COMMITTED, revision);
+    }
+
+    private boolean namesEndedLease(Transaction transaction) {
+        return transaction.writes().stream().anyMatch(write -> write.lease() != 0 && !leases.holds(write.lease()));
+    }
+
+    private boolean guardsHold(Transaction transaction) {
+        return transaction.preconditions().stream().allMatch(guard -> {
+            VersionedValue stored = keys.get(guard.key());
+            long version = stored == null ? 0 : stored.version;
+            return version == guard.version() || isGuardDisabled(guard.key());
+        });
+    }
+
+    /** The conditions that a test has removed. */
+    private boolean isGuardDisabled(String key) {
+        return switch (cluster.disabledGuard) {
+            case TEAM_GUARD -> key.startsWith(StoreKeys.TEAM_USAGES);
+            case SLICE_GUARD -> key.startsWith(StoreKeys.SLICES);
+            case JOB_GUARD -> key.startsWith(StoreKeys.JOBS);
+            default -> false;
+        };
+    }
+
+    private void write(Transaction.Write write) {
+        if (write.value() != null) {
+            keys.put(write.key(), new VersionedValue(write.value(), revision, write.lease()));
+            log.add(new Input.KeyChange(write.key(), write.value(), revision));
+        } else if (keys.remove(write.key()) != null) {
+            log.add(new Input.KeyChange(write.key(), null, revision));
+        }
+    }
+
+    /** Serves nobody for some time, in which no lease ends. */
+    void outage(long ms) {
+        unavailable = true;
+        long began = cluster.now();
+        cluster.after(ms, () -> {
+            unavailable = false;
+            leases.extendAll(cluster.now() - began);
+            watches.notifyAllDue();
+        });
+    }
+
+    private void expireLeases() {
+        if (unavailable) {
+            return;
+        }
+        leases.removeExpired().forEach(this::deleteKeysOf);
+        watches.notifyAllDue();
+    }
+
+    private void deleteKeysOf(long lease) {
+        List<String> ended = keys.entrySet().stream()
+                .filter(entry -> entry.getValue().lease == lease)
+                .map(Map.Entry::getKey)
+                .toList();
+        if (ended.isEmpty()) {
+            return;
+        }
+        revision++;
+        for (String key : ended) {
+            keys.remove(key);
+            log.add(new Input.KeyChange(key, null, revision));
+        }
+    }
+}
