--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -23,6 +23,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /** Loads what a controller needs at start and on its ordinary path, so that the build can archive the classes. */
 final class WarmUp {
@@ -106,8 +107,8 @@
                         2, new Heartbeat("m", "h:1", TYPE, "zone", true, 1, 1, 0, Double.NaN, List.of())),
                 new Input.Tick(),
                 new Input.GetJobStatus(3, job.id()),
-                new Input.RevisionRead(true, 3),
-                new Input.ValueRead(1, true, null, 0),
+                new Input.RevisionRead(3),
+                new Input.ValueRead(1, Optional.empty()),
                 new Input.Tick());
         long now = 0;
         for (Input input : inputs) {
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -35,7 +35,6 @@
 import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.scheduling.SliceAssigner;
 import dewlane.core.schema.Partitioner;
-import dewlane.core.schema.Transaction;
 import dewlane.core.schema.ValueSizer;
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.JobResultReader;
@@ -80,7 +79,7 @@
     private final HeartbeatHandler heartbeats;
     private final SchedulingCycle placement;
     private final DependencyTracker dependencies;
-    private final JobResultReader finals;
+    private final StoreInputDispatcher storeInputs;
     private final SubmissionHandler submissions;
     private final FailureDetector failureDetector;
     private final Autoscaler autoscaler;
@@ -107,7 +106,7 @@
         machines = new MachineRegistry(context, replica, peers);
         membership = new Membership(context, replica, connectivity, peers, transactions, size);
         standing = new AuthorityMonitor(context, membership, connectivity, freshness);
-        finals = new JobResultReader(context, replica);
+        JobResultReader finals = new JobResultReader(context, replica);
         dependencies = new DependencyTracker(context, replica, release, finals);
         QuotaEnforcer quota = new QuotaEnforcer(settings, replica, machines);
         PartitionCapacity capacity = new PartitionCapacity(context, replica, machines);
@@ -127,6 +126,7 @@
         autoscaler = autoscaler(quota, schedulability);
         barrier = new ReadBarrier(context, replica);
         state = new StoreWatcher(context, replica, connectivity, freshness, barrier, counters);
+        storeInputs = new StoreInputDispatcher(connectivity, state, transactions, finals, barrier, membership);
         UserResponses responses = new UserResponses(context);
         JobLookup lookup = new JobLookup(replica, dependencies, barrier, finals, responses);
         statuses = new JobStatusHandler(lookup, dependencies, responses);
@@ -207,13 +207,19 @@
         } else if (input instanceof Input.PeerStatusReceived in) {
             heardPeer(in.status());
         } else {
-            boolean taken = takeFromWorkers(input) || takeFromUsers(input) || takeFromState(input);
+            boolean taken = takeFromWorkers(input) || takeFromUsers(input) || takeFromStore(input);
             if (!taken) {
                 takeFromCloud(input);
             }
         }
     }
 
+    private boolean takeFromStore(Input input) {
+        StoreInputDispatcher.Outcome outcome = storeInputs.dispatch(input);
+        dirty |= outcome == StoreInputDispatcher.Outcome.NEWS;
+        return outcome != StoreInputDispatcher.Outcome.NOT_FROM_STORE;
+    }
+
     private boolean takeFromWorkers(Input input) {
         if (input instanceof Input.HeartbeatReceived in) {
             heartbeats.onHeartbeat(in.id(), in.heartbeat());
@@ -239,45 +245,6 @@
         return true;
     }
 
-    /** Takes what the state service answered; whatever shows that it did proves that it can be reached. */
-    private boolean takeFromState(Input input) {
-        if (input instanceof Input.WatchEvents in) {
-            dirty |= state.onEvents(in);
-        } else if (input instanceof Input.TransactionCompleted in) {
-            noteContact(in.status() == Transaction.Status.COMMITTED || in.status() == Transaction.Status.CONFLICT);
-            transactions.onCompleted(in);
-            dirty = true;
-        } else if (input instanceof Input.ValueRead in) {
-            noteContact(in.known());
-            finals.onValueRead(in);
-            dirty = true;
-        } else if (input instanceof Input.RevisionRead in) {
-            noteContact(in.known());
-            barrier.onRevisionRead(in);
-        } else if (input instanceof Input.LeaseGranted in) {
-            noteContact(in.lease() != 0);
-            membership.onLeaseGranted(in.lease());
-        } else if (input instanceof Input.LeaseRenewalCompleted in) {
-            noteContact(in.renewed() || in.expired());
-            membership.onLeaseRenewal(in);
-        } else if (input instanceof Input.StoreListed in) {
-            state.onListed(in);
-        } else if (input instanceof Input.StoreListFailed) {
-            state.onListFailed();
-        } else if (input instanceof Input.WatchFailed in) {
-            state.onWatchFailed(in);
-        } else {
-            return false;
-        }
-        return true;
-    }
-
-    private void noteContact(boolean answered) {
-        if (answered) {
-            connectivity.onContact();
-        }
-    }
-
     private void takeFromCloud(Input input) {
         if (input instanceof Input.MachineTypesListed in) {
             machines.setTypes(in.types());
--- a/src/main/java/dewlane/core/membership/MemberLease.java
+++ b/src/main/java/dewlane/core/membership/MemberLease.java
@@ -2,6 +2,7 @@
 
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
+import dewlane.core.message.Input;
 
 /** This controller's lease in the store: asked for until it is granted, then renewed until it expires. */
 final class MemberLease {
@@ -38,13 +39,16 @@
         return id != NONE;
     }
 
-    /** The store granted a lease, or none. */
+    /** The store granted a lease. */
     void onGranted(long grantedId) {
         grantInFlight = false;
-        if (grantedId != NONE) {
-            id = grantedId;
-            renewedAtMs = context.nowMs();
-        }
+        id = grantedId;
+        renewedAtMs = context.nowMs();
+    }
+
+    /** The store granted no lease, so another request may be sent. */
+    void onGrantFailed() {
+        grantInFlight = false;
     }
 
     /**
@@ -52,9 +56,9 @@
      *
      * @return true if the lease turned out to have expired, and is held no longer
      */
-    boolean onRenewal(long renewedId, boolean expired) {
+    boolean onRenewal(Input.LeaseRenewalCompleted renewal) {
         renewalInFlight = false;
-        if (renewedId != id || !expired) {
+        if (renewal.lease() != id || renewal.status() != Input.RenewalStatus.EXPIRED) {
             return false;
         }
         drop();
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -126,14 +126,19 @@
         return schemaVersions.allAreCurrent();
     }
 
-    /** The store answered a request for a lease; 0 if it granted none. */
-    public void onLeaseGranted(long granted) {
-        lease.onGranted(granted);
+    /** The store granted a lease. */
+    public void onLeaseGranted(Input.LeaseGranted granted) {
+        lease.onGranted(granted.lease());
+    }
+
+    /** The store granted no lease. */
+    public void onLeaseGrantFailed() {
+        lease.onGrantFailed();
     }
 
     /** The store answered a lease renewal, or did not. */
     public void onLeaseRenewal(Input.LeaseRenewalCompleted renewal) {
-        if (lease.onRenewal(renewal.lease(), renewal.expired())) {
+        if (lease.onRenewal(renewal)) {
             context.info("lease expired, joining again");
             incarnation = NOT_JOINED;
         }
--- a/src/main/java/dewlane/core/message/Effect.java
+++ b/src/main/java/dewlane/core/message/Effect.java
@@ -27,7 +27,7 @@
     record CommitTransaction(long id, Transaction transaction) implements Effect {}
 
     /**
-     * Ask for a lease; answered by {@link Input.LeaseGranted}.
+     * Ask for a lease; answered by {@link Input.LeaseGranted} or {@link Input.LeaseGrantFailed}.
      *
      * @param ttlMs milliseconds after which the lease expires unless it is renewed
      */
@@ -36,10 +36,13 @@
     /** Renew a lease; answered by {@link Input.LeaseRenewalCompleted}. */
     record RenewLease(long lease) implements Effect {}
 
-    /** Read one key; answered by {@link Input.ValueRead}. */
+    /** Read one key; answered by {@link Input.ValueRead} or {@link Input.ValueReadFailed}. */
     record ReadValue(long id, String key) implements Effect {}
 
-    /** Ask for the revision of the store's latest change; answered by {@link Input.RevisionRead}. */
+    /**
+     * Ask for the revision of the store's latest change; answered by {@link Input.RevisionRead} or
+     * {@link Input.RevisionReadFailed}.
+     */
     record ReadRevision() implements Effect {}
 
     // Workers
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -8,6 +8,7 @@
 import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * What happened outside the core. The answer to an {@link Effect} bears the id of that; workers' and users' requests
@@ -66,38 +67,40 @@
      */
     record TransactionCompleted(long id, Transaction.Status status, long revision) implements Input {}
 
-    /**
-     * A request for a lease ended.
-     *
-     * @param lease the lease's id, or 0 if none was granted
-     */
+    /** A lease was granted. */
     record LeaseGranted(long lease) implements Input {}
 
-    /**
-     * A lease renewal ended; if it was neither renewed nor has expired, the store did not answer.
-     *
-     * @param lease the lease's id
-     * @param renewed true if the lease has its full time again
-     * @param expired true if the lease exists no longer
-     */
-    record LeaseRenewalCompleted(long lease, boolean renewed, boolean expired) implements Input {}
+    /** No lease was granted, as far as the answer tells. */
+    record LeaseGrantFailed() implements Input {}
 
-    /**
-     * A read of one key ended.
-     *
-     * @param known false if the store did not answer
-     * @param value the value, or null if the key does not exist
-     * @param revision the revision of the key's latest change
-     */
-    record ValueRead(long id, boolean known, StoredValue value, long revision) implements Input {}
+    /** A lease renewal ended. */
+    record LeaseRenewalCompleted(long lease, RenewalStatus status) implements Input {}
+
+    /** How a lease renewal ended. */
+    enum RenewalStatus {
+        /** The lease has its full time again. */
+        RENEWED,
+        /** The lease exists no longer. */
+        EXPIRED,
+        /** The store did not answer, or refused to. */
+        UNKNOWN
+    }
 
     /**
-     * A read of the store's revision ended.
+     * A key was read.
      *
-     * @param known false if the store did not answer
-     * @param revision the revision of the store's latest change
+     * @param value the key's value, or empty if the key does not exist
      */
-    record RevisionRead(boolean known, long revision) implements Input {}
+    record ValueRead(long id, Optional<StoredValue> value) implements Input {}
+
+    /** A key could not be read. */
+    record ValueReadFailed(long id) implements Input {}
+
+    /** The revision of the store's latest change was read. */
+    record RevisionRead(long revision) implements Input {}
+
+    /** The revision of the store's latest change could not be read. */
+    record RevisionReadFailed() implements Input {}
 
     // Workers
 
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -6,6 +6,7 @@
 import dewlane.core.message.Input;
 import dewlane.core.message.TokenBucket;
 import dewlane.core.schema.StoreKeys;
+import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.StoredValue.JobResult;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
@@ -61,19 +62,28 @@
         return true;
     }
 
-    /** The store answered a read, or did not. */
+    /** The store answered a read. */
     public void onValueRead(Input.ValueRead in) {
         PendingRead read = inFlight.remove(in.id());
         if (read == null) {
             return;
         }
-        if (in.known() && in.value() == null) {
+        StoredValue value = in.value().orElse(null);
+        if (value == null) {
             read.listener().absent();
-        } else if (in.known() && in.value() instanceof JobResult result) {
+        } else if (value instanceof JobResult result) {
             replica.recordResult(read.job(), result);
             read.listener().found(result);
         } else {
             read.listener().unavailable();
         }
     }
+
+    /** The store did not answer a read. */
+    public void onValueReadFailed(Input.ValueReadFailed in) {
+        PendingRead read = inFlight.remove(in.id());
+        if (read != null) {
+            read.listener().unavailable();
+        }
+    }
 }
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -62,18 +62,24 @@
         sendRequest();
     }
 
-    /** The store answered the request in flight, or did not. */
+    /** The store answered the request in flight. */
     public void onRevisionRead(Input.RevisionRead in) {
+        batches.add(new Batch(in.revision(), takeRequested()));
+        onReplicaAdvanced();
+        sendRequest();
+    }
+
+    /** The store did not answer the request in flight. */
+    public void onRevisionReadFailed() {
+        takeRequested().forEach(question -> question.onUnavailable().run());
+        sendRequest();
+    }
+
+    private List<Question> takeRequested() {
         requestInFlight = false;
-        List<Question> answered = requested;
+        List<Question> taken = requested;
         requested = List.of();
-        if (in.known()) {
-            batches.add(new Batch(in.revision(), answered));
-            onReplicaAdvanced();
-        } else {
-            answered.forEach(question -> question.onUnavailable().run());
-        }
-        sendRequest();
+        return taken;
     }
 
     /** The replica has reached a later revision. */
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -11,6 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -163,23 +164,24 @@
             try {
                 if (status == StatusCodes.OK) {
                     Input.StoreRow row = StoreProtocol.row(key, body);
-                    core.accept(new Input.ValueRead(id, true, row.value(), row.revision()));
+                    core.accept(new Input.ValueRead(id, Optional.ofNullable(row.value())));
                     return;
                 }
             } catch (IOException e) {
                 LOG.error("unreadable value of the store: {}", e.getMessage());
             }
-            core.accept(new Input.ValueRead(id, status == StatusCodes.NOT_FOUND, null, 0));
+            boolean isAbsent = status == StatusCodes.NOT_FOUND;
+            core.accept(isAbsent ? new Input.ValueRead(id, Optional.empty()) : new Input.ValueReadFailed(id));
         });
     }
 
     /** Reads a key that never exists: the answer names the latest revision. */
     void readRevision() {
         calls.send(Methods.GET, StoreProtocol.valuePath(StoreKeys.NEVER_SET), null, TIMEOUT_MS, (status, body) -> {
-            Input.RevisionRead read = new Input.RevisionRead(false, 0);
+            Input read = new Input.RevisionReadFailed();
             try {
                 if (status == StatusCodes.NOT_FOUND) {
-                    read = new Input.RevisionRead(true, StoreProtocol.revision(body));
+                    read = new Input.RevisionRead(StoreProtocol.revision(body));
                 }
             } catch (IOException e) {
                 LOG.error("unreadable revision of the store: {}", e.getMessage());
@@ -196,13 +198,15 @@
                 StoreProtocol.grantRequest(ttlMs),
                 TIMEOUT_MS,
                 (status, body) -> {
-                    long lease = 0;
+                    Input granted = new Input.LeaseGrantFailed();
                     try {
-                        lease = status == StatusCodes.OK ? StoreProtocol.grantedLease(body) : 0;
+                        if (status == StatusCodes.OK) {
+                            granted = new Input.LeaseGranted(StoreProtocol.grantedLease(body));
+                        }
                     } catch (IOException e) {
                         LOG.error("unreadable lease of the store: {}", e.getMessage());
                     }
-                    core.accept(new Input.LeaseGranted(lease));
+                    core.accept(granted);
                 });
     }
 
@@ -213,7 +217,14 @@
                 StoreProtocol.renewalPath(lease),
                 NO_BODY,
                 RENEWAL_TIMEOUT_MS,
-                (status, body) -> core.accept(new Input.LeaseRenewalCompleted(
-                        lease, status == StatusCodes.OK, status == StatusCodes.NOT_FOUND)));
+                (status, body) -> core.accept(new Input.LeaseRenewalCompleted(lease, renewalStatus(status))));
+    }
+
+    private static Input.RenewalStatus renewalStatus(int status) {
+        return switch (status) {
+            case StatusCodes.OK -> Input.RenewalStatus.RENEWED;
+            case StatusCodes.NOT_FOUND -> Input.RenewalStatus.EXPIRED;
+            default -> Input.RenewalStatus.UNKNOWN;
+        };
     }
 }
--- a/src/test/java/dewlane/core/controller/ControllerTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerTest.java
@@ -22,6 +22,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** One core, message by message. */
@@ -163,12 +164,12 @@
         change(StoreKeys.job("wk-2"), new JobRecord(job("wk-2", 2, 1).withDependencies(List.of("wk-9")), List.of(), 0));
         effects.clear();
         hear(300, new Input.GetJobStatus(7, "wk-2"));
-        hear(5, new Input.RevisionRead(true, revision));
+        hear(5, new Input.RevisionRead(revision));
         assertEquals(503, take(Effect.AnswerUser.class).get(0).status());
         hear(100, new Input.Tick());
-        hear(5, new Input.ValueRead(1, true, new StoredValue.JobResult(true, 5), 3));
+        hear(5, new Input.ValueRead(1, Optional.of(new StoredValue.JobResult(true, 5))));
         hear(300, new Input.GetJobStatus(8, "wk-2"));
-        hear(5, new Input.RevisionRead(true, revision));
+        hear(5, new Input.RevisionRead(revision));
         assertEquals(
                 Effect.JobCondition.CANCELLED,
                 take(Effect.AnswerUser.class).get(0).job().condition());
--- a/src/test/java/dewlane/core/controller/UserRequestsTest.java
+++ b/src/test/java/dewlane/core/controller/UserRequestsTest.java
@@ -18,7 +18,7 @@
         effects.clear();
         hear(10, new Input.SubmitJob(5, "wk-1", null, "bottles must be an integer"));
         assertEquals(1, take(Effect.ReadRevision.class).size());
-        hear(10, new Input.RevisionRead(true, revision));
+        hear(10, new Input.RevisionRead(revision));
         assertEquals(200, take(Effect.AnswerUser.class).get(0).status());
     }
 
@@ -28,12 +28,12 @@
         effects.clear();
         hear(10, new Input.SubmitJob(5, "wk-1", null, "bottles must be an integer"));
         assertEquals(1, take(Effect.ReadRevision.class).size());
-        hear(10, new Input.RevisionRead(false, 0));
+        hear(10, new Input.RevisionReadFailed());
         assertEquals(503, take(Effect.AnswerUser.class).get(0).status());
         hear(10, new Input.SubmitJob(6, "wk-2", null, "bottles must be an integer"));
         hear(200, new Input.Tick());
         assertEquals(1, take(Effect.ReadRevision.class).size());
-        hear(10, new Input.RevisionRead(false, 0));
+        hear(10, new Input.RevisionReadFailed());
         assertEquals(400, take(Effect.AnswerUser.class).get(0).status());
     }
 
@@ -46,7 +46,7 @@
         long asked = revision;
         change(StoreKeys.jobResult("wk-1"), new StoredValue.JobResult(true, now));
         effects.clear();
-        hear(10, new Input.RevisionRead(true, asked));
+        hear(10, new Input.RevisionRead(asked));
         assertEquals(
                 Effect.JobCondition.CANCELLED,
                 take(Effect.AnswerUser.class).get(0).job().condition());
@@ -61,14 +61,14 @@
         for (int i = 6; i < 106; i++) {
             hear(1, new Input.GetJobStatus(i, "wk-1"));
         }
-        hear(1, new Input.RevisionRead(true, revision));
+        hear(1, new Input.RevisionRead(revision));
         hear(200, new Input.Tick());
         long requests =
                 effects.stream().filter(Effect.ReadRevision.class::isInstance).count();
         assertEquals(1, requests, "one request for a hundred questions");
         assertEquals(List.of(5L), answered(), "only what came before the request was sent is answered by it");
         effects.clear();
-        hear(1, new Input.RevisionRead(true, revision + 1));
+        hear(1, new Input.RevisionRead(revision + 1));
         assertEquals(List.of(), answered(), "the replica may lack what others were told");
         change(StoreKeys.jobResult("wk-1"), new StoredValue.JobResult(true, now));
         List<Effect.AnswerUser> answers = take(Effect.AnswerUser.class);
--- a/src/test/java/dewlane/sim/SimState.java
+++ b/src/test/java/dewlane/sim/SimState.java
@@ -11,6 +11,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 
@@ -256,20 +257,19 @@
                 () -> {
                     Held held = keys.get(key);
                     return serves(node) && withinRequests()
-                            ? new Input.ValueRead(
-                                    id, true, held == null ? null : held.value, held == null ? 0 : held.version)
-                            : new Input.ValueRead(id, false, null, 0);
+                            ? new Input.ValueRead(id, Optional.ofNullable(held == null ? null : held.value))
+                            : new Input.ValueReadFailed(id);
                 },
-                new Input.ValueRead(id, false, null, 0),
+                new Input.ValueReadFailed(id),
                 1500);
     }
 
     void readRevision(SimNode node) {
         node.callState(
                 () -> serves(node) && withinRequests()
-                        ? new Input.RevisionRead(true, revision)
-                        : new Input.RevisionRead(false, 0),
-                new Input.RevisionRead(false, 0),
+                        ? new Input.RevisionRead(revision)
+                        : new Input.RevisionReadFailed(),
+                new Input.RevisionReadFailed(),
                 1500);
     }
 
@@ -277,13 +277,13 @@
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
-                        return new Input.LeaseGranted(0);
+                        return new Input.LeaseGrantFailed();
                     }
                     long lease = nextLease++;
                     leases.put(lease, world.now() + ttl);
                     return new Input.LeaseGranted(lease);
                 },
-                new Input.LeaseGranted(0),
+                new Input.LeaseGrantFailed(),
                 1500);
     }
 
@@ -291,15 +291,16 @@
         node.callState(
                 () -> {
                     if (!serves(node) || !withinRequests()) {
-                        return new Input.LeaseRenewalCompleted(lease, false, false);
+                        return new Input.LeaseRenewalCompleted(lease, Input.RenewalStatus.UNKNOWN);
                     }
                     boolean there = leases.containsKey(lease);
                     if (there) {
                         leases.put(lease, world.now() + ttl);
                     }
-                    return new Input.LeaseRenewalCompleted(lease, there, !there);
+                    return new Input.LeaseRenewalCompleted(
+                            lease, there ? Input.RenewalStatus.RENEWED : Input.RenewalStatus.EXPIRED);
                 },
-                new Input.LeaseRenewalCompleted(lease, false, false),
+                new Input.LeaseRenewalCompleted(lease, Input.RenewalStatus.UNKNOWN),
                 1000);
     }
 
