--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -294,9 +294,7 @@
     }
 
     /**
-     * A value that this version cannot read. Whatever depends on it is held until it can be read or is replaced.
-     *
-     * @param reason what is wrong with it, for the log
+     * A value that this version cannot read, and why. What depends on it is held until it can be read or is replaced.
      */
     record Unreadable(String reason) implements StoredValue {}
 }
--- a/src/main/java/dewlane/core/store/DecommissionIndex.java
+++ b/src/main/java/dewlane/core/store/DecommissionIndex.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /** The decommission records, by their keys and by the names of the machines that they are about. */
 public final class DecommissionIndex {
@@ -33,26 +34,26 @@
      * Applies a change of a record.
      *
      * @param name the last part of the key, which names the machine unless the record lists several
-     * @return the new entry, or null if the record is gone or the change is older than what is known
+     * @return the new entry, or empty if the record was deleted or the change is older than what is known
      */
-    Entry apply(String name, Input.KeyChange change) {
+    Optional<Entry> apply(String name, Input.KeyChange change) {
         Entry known = byKey.get(change.key());
         if (known != null && known.revision > change.revision()) {
-            return null;
+            return Optional.empty();
         }
         if (known != null) {
             byKey.remove(change.key());
             known.machines.forEach(machine -> byMachine.remove(machine, known));
         }
         if (change.value() == null) {
-            return null;
+            return Optional.empty();
         }
         DecommissionRecord record = (DecommissionRecord) change.value();
         List<String> machines = record.machines().isEmpty() ? List.of(name) : record.machines();
         Entry entry = new Entry(change.key(), machines, record, change.revision());
         byKey.put(entry.key, entry);
         machines.forEach(machine -> byMachine.put(machine, entry));
-        return entry;
+        return Optional.of(entry);
     }
 
     Collection<Entry> byKey() {
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -128,12 +128,8 @@
     }
 
     private void applyDecommission(String name, KeyChange change) {
-        DecommissionIndex.Entry entry = decommissions.apply(name, change);
-        if (entry != null) {
-            entry.machines()
-                    .forEach(machine ->
-                            listener.accept(new ReplicaChange.MachineDecommissioned(machine, entry.record())));
-        }
+        decommissions.apply(name, change).ifPresent(entry -> entry.machines()
+                .forEach(machine -> listener.accept(new ReplicaChange.MachineDecommissioned(machine, entry.record()))));
     }
 
     private void applyPresence(String controller, Presence presence) {
