--- a/src/main/java/dewlane/core/schema/StoreKey.java
+++ b/src/main/java/dewlane/core/schema/StoreKey.java
@@ -55,10 +55,7 @@
 
     private static StoreKey parseSlice(String name) {
         int slash = name.lastIndexOf('/');
-        if (slash < 0) {
-            return new OfMalformedSlice(name);
-        }
-        String job = name.substring(0, slash);
+        String job = name.substring(0, Math.max(0, slash));
         try {
             return new OfSlice(job, Integer.parseInt(name.substring(slash + 1)));
         } catch (NumberFormatException e) {
--- a/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
@@ -8,6 +8,7 @@
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue.JobResult;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** What one controller tells users, and what it reads before it does. */
@@ -21,7 +22,7 @@
 
         receive(10, new Input.SubmitJob(5, JOB, null, MALFORMED));
         assertEquals(1, take(Effect.ReadRevision.class).size());
-        receive(10, new Input.RevisionRead(true, revision));
+        receive(10, new Input.RevisionRead(revision));
 
         assertEquals(200, takeFirst(Effect.AnswerUser.class).status());
     }
@@ -33,13 +34,13 @@
 
         receive(10, new Input.SubmitJob(5, JOB, null, MALFORMED));
         assertEquals(1, take(Effect.ReadRevision.class).size());
-        receive(10, new Input.RevisionRead(false, 0));
+        receive(10, new Input.RevisionReadFailed());
         assertEquals(503, takeFirst(Effect.AnswerUser.class).status());
 
         receive(10, new Input.SubmitJob(6, "wk-2", null, MALFORMED));
         tick(200);
         assertEquals(1, take(Effect.ReadRevision.class).size());
-        receive(10, new Input.RevisionRead(false, 0));
+        receive(10, new Input.RevisionReadFailed());
         assertEquals(400, takeFirst(Effect.AnswerUser.class).status());
     }
 
@@ -53,7 +54,7 @@
         long revisionAsked = revision;
         applyChange(StoreKeys.jobResult(JOB), new JobResult(true, now));
         effects.clear();
-        receive(10, new Input.RevisionRead(true, revisionAsked));
+        receive(10, new Input.RevisionRead(revisionAsked));
 
         assertEquals(
                 JobCondition.CANCELLED, takeFirst(Effect.AnswerUser.class).job().condition());
@@ -69,7 +70,7 @@
         for (int i = 6; i < 106; i++) {
             receive(1, new Input.GetJobStatus(i, JOB));
         }
-        receive(1, new Input.RevisionRead(true, revision));
+        receive(1, new Input.RevisionRead(revision));
         tick(200);
         long reads =
                 effects.stream().filter(Effect.ReadRevision.class::isInstance).count();
@@ -77,7 +78,7 @@
         assertEquals(List.of(5L), takeAnswered(), "only what came before the read was sent is answered by it");
 
         effects.clear();
-        receive(1, new Input.RevisionRead(true, revision + 1));
+        receive(1, new Input.RevisionRead(revision + 1));
         assertEquals(List.of(), takeAnswered(), "the replica may lack what others were told");
 
         applyChange(StoreKeys.jobResult(JOB), new JobResult(true, now));
@@ -99,13 +100,13 @@
         effects.clear();
 
         receive(300, new Input.GetJobStatus(7, "wk-2"));
-        receive(5, new Input.RevisionRead(true, revision));
+        receive(5, new Input.RevisionRead(revision));
         assertEquals(503, takeFirst(Effect.AnswerUser.class).status());
 
         tick(100);
-        receive(5, new Input.ValueRead(1, true, new JobResult(true, 5), 3));
+        receive(5, new Input.ValueRead(1, Optional.of(new JobResult(true, 5))));
         receive(300, new Input.GetJobStatus(8, "wk-2"));
-        receive(5, new Input.RevisionRead(true, revision));
+        receive(5, new Input.RevisionRead(revision));
         assertEquals(
                 JobCondition.CANCELLED, takeFirst(Effect.AnswerUser.class).job().condition());
     }
--- a/src/test/java/dewlane/sim/SimStore.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -8,6 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
@@ -127,19 +128,15 @@
                 () -> {
                     VersionedValue stored = keys.get(key);
                     return stored == null
-                            ? new Input.ValueRead(id, true, null, 0)
-                            : new Input.ValueRead(id, true, stored.value, stored.version);
+                            ? new Input.ValueRead(id, Optional.empty())
+                            : new Input.ValueRead(id, Optional.of(stored.value));
                 },
-                new Input.ValueRead(id, false, null, 0),
+                new Input.ValueReadFailed(id),
                 REQUEST_TIMEOUT_MS);
     }
 
     void readRevision(SimController controller) {
-        request(
-                controller,
-                () -> new Input.RevisionRead(true, revision),
-                new Input.RevisionRead(false, 0),
-                REQUEST_TIMEOUT_MS);
+        request(controller, () -> new Input.RevisionRead(revision), new Input.RevisionReadFailed(), REQUEST_TIMEOUT_MS);
     }
 
     void watch(SimController controller, long since) {
@@ -150,7 +147,7 @@
         request(
                 controller,
                 () -> new Input.LeaseGranted(leases.grant(ttlMs)),
-                new Input.LeaseGranted(0),
+                new Input.LeaseGrantFailed(),
                 REQUEST_TIMEOUT_MS);
     }
 
@@ -159,9 +156,10 @@
                 controller,
                 () -> {
                     boolean renewed = leases.renew(lease, ttlMs);
-                    return new Input.LeaseRenewalCompleted(lease, renewed, !renewed);
+                    return new Input.LeaseRenewalCompleted(
+                            lease, renewed ? Input.RenewalStatus.RENEWED : Input.RenewalStatus.EXPIRED);
                 },
-                new Input.LeaseRenewalCompleted(lease, false, false),
+                new Input.LeaseRenewalCompleted(lease, Input.RenewalStatus.UNKNOWN),
                 RENEWAL_TIMEOUT_MS);
     }
 
