--- /dev/null
+++ b/src/main/java/dewlane/core/controller/PeerInputs.java
@@ -0,0 +1,55 @@
+package dewlane.core.controller;
+
+import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.job.CancellationTracker;
+import dewlane.core.membership.Membership;
+import dewlane.core.membership.PeerTable;
+import dewlane.core.message.Input;
+import dewlane.core.model.PeerStatus;
+import dewlane.core.store.JobEntry;
+import dewlane.core.store.StoreReplica;
+
+/** Broadcasts of peers. They only add speed. */
+final class PeerInputs {
+    private final PeerTable peers;
+    private final MachineRegistry machines;
+    private final Membership membership;
+    private final CancellationTracker cancellations;
+    private final StoreReplica replica;
+    private final SchedulingTrigger scheduling;
+
+    PeerInputs(
+            PeerTable peers,
+            MachineRegistry machines,
+            Membership membership,
+            CancellationTracker cancellations,
+            StoreReplica replica,
+            SchedulingTrigger scheduling) {
+        this.peers = peers;
+        this.machines = machines;
+        this.membership = membership;
+        this.cancellations = cancellations;
+        this.replica = replica;
+        this.scheduling = scheduling;
+    }
+
+    void register(InputDispatcher dispatcher) {
+        dispatcher.on(Input.PeerStatusReceived.class, in -> onStatus(in.status()));
+    }
+
+    private void onStatus(PeerStatus status) {
+        peers.update(status);
+        machines.discoverFrom(status);
+        membership.onPeerEpoch(status.epoch());
+        status.cancelledJobs().forEach(this::onCancelled);
+    }
+
+    private void onCancelled(String job) {
+        JobEntry entry = cancellations.onPeerConfirmed(job) ? replica.job(job) : null;
+        if (entry != null) {
+            // Its tasks are stopped with the next commands to their machines.
+            machines.markChangedFor(entry);
+            scheduling.request();
+        }
+    }
+}
--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -12,81 +12,87 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tells the other controllers about this one and the machines of its part. It only adds speed. */
+/** Broadcasts to the peers the status of this controller and the machines of its partition. It only adds speed. */
 final class PeerStatusBroadcaster {
-    /** Machines that one message tells of: a controller that is alone for a while may have all of them. */
-    private static final int MACHINES_A_PAGE = 300;
-    /** What peers are told costs each of them something, so the more there are, the seldomer; at most so seldom. */
-    private static final long LONGEST_PAUSE_MS = 2000;
+    /** Keeps messages within the size limit; a controller that is alone for a while may own all machines. */
+    private static final int MAX_MACHINES_PER_MESSAGE = 300;
+    /** Each broadcast costs every peer something, so the interval grows with the number of peers. */
+    private static final long INTERVAL_PER_PEER_MS = 1000 / 3;
 
-    private static final long PAUSE_PER_PEER_MS = 1000 / 3;
+    private static final long MAX_INTERVAL_MS = 2000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final Membership membership;
     private final CancellationTracker cancellations;
-    private final SchedulingCycle placement;
-    private long toldAt = Long.MIN_VALUE / 2;
+    private final SchedulingCycle schedulingCycle;
+    private long broadcastAtMs = Long.MIN_VALUE / 2;
 
     PeerStatusBroadcaster(
             ControllerContext context,
             StoreReplica replica,
             Membership membership,
             CancellationTracker cancellations,
-            SchedulingCycle placement) {
+            SchedulingCycle schedulingCycle) {
         this.context = context;
         this.replica = replica;
         this.membership = membership;
         this.cancellations = cancellations;
-        this.placement = placement;
+        this.schedulingCycle = schedulingCycle;
     }
 
-    /** Passes on at once what this controller has confirmed: others' watches may be refused just now. */
-    void tick() {
+    /** Announces at once the cancellations that were confirmed here: a peer may not be able to watch the store now. */
+    void announceCancellations() {
         if (cancellations.takeAnnouncementDue() && membership.isMember()) {
+            cancellations.removeExpired();
             context.emit(new Effect.BroadcastStatus(List.of(status(List.of()))));
         }
     }
 
-    /** Tells of all machines, if it is time again. */
-    void slowTick() {
-        long pause = Math.min(
-                LONGEST_PAUSE_MS, PAUSE_PER_PEER_MS * context.settings().peers().size());
-        if (context.nowMs() - toldAt >= pause) {
-            toldAt = context.nowMs();
-            tell();
+    /** Broadcasts the status with all machines, if the interval has passed. */
+    void broadcastIfDue() {
+        long intervalMs = Math.min(
+                MAX_INTERVAL_MS,
+                INTERVAL_PER_PEER_MS * context.settings().peers().size());
+        if (context.nowMs() - broadcastAtMs >= intervalMs) {
+            broadcastAtMs = context.nowMs();
+            broadcast();
         }
     }
 
-    private void tell() {
+    private void broadcast() {
         if (!membership.isMember()) {
             return;
         }
-        List<MachineStatus> usable = new ArrayList<>();
-        for (Machine machine : placement.schedulableMachines()) {
-            usable.add(new MachineStatus(
-                    machine.name(),
-                    machine.address(),
-                    machine.typeName(),
-                    machine.zone(),
-                    machine.isSpot(),
-                    machine.worker().incarnation(),
-                    machine.worker().sequence()));
-        }
+        cancellations.removeExpired();
+        List<MachineStatus> machines = schedulingCycle.schedulableMachines().stream()
+                .map(PeerStatusBroadcaster::statusOf)
+                .toList();
         List<PeerStatus> pages = new ArrayList<>();
-        for (int from = 0; from == 0 || from < usable.size(); from += MACHINES_A_PAGE) {
-            pages.add(status(usable.subList(from, Math.min(from + MACHINES_A_PAGE, usable.size()))));
+        for (int from = 0; from == 0 || from < machines.size(); from += MAX_MACHINES_PER_MESSAGE) {
+            int to = Math.min(from + MAX_MACHINES_PER_MESSAGE, machines.size());
+            pages.add(status(machines.subList(from, to)));
         }
         context.emit(new Effect.BroadcastStatus(pages));
     }
 
-    private PeerStatus status(List<MachineStatus> page) {
-        cancellations.removeExpired();
+    private static MachineStatus statusOf(Machine machine) {
+        return new MachineStatus(
+                machine.name(),
+                machine.address(),
+                machine.typeName(),
+                machine.zone(),
+                machine.isSpot(),
+                machine.worker().incarnation(),
+                machine.worker().sequence());
+    }
+
+    private PeerStatus status(List<MachineStatus> machines) {
         return new PeerStatus(
                 context.settings().controllerName(),
                 replica.partitionMap().epoch(),
                 membership.reachesStore(),
                 cancellations.jobsToAnnounce(),
-                page);
+                machines);
     }
 }
--- /dev/null
+++ b/src/main/java/dewlane/core/controller/PeriodicTasks.java
@@ -0,0 +1,35 @@
+package dewlane.core.controller;
+
+import dewlane.core.message.ControllerContext;
+import dewlane.core.message.Input;
+import java.util.List;
+
+/**
+ * What is done as time passes: some of it with every tick, the rest about once a second. Tasks run in a fixed order.
+ */
+final class PeriodicTasks {
+    private static final long SLOW_INTERVAL_MS = 1000;
+
+    private final ControllerContext context;
+    private final List<Runnable> everyTick;
+    private final List<Runnable> everySecond;
+    private long slowTickAtMs = Long.MIN_VALUE / 2;
+
+    PeriodicTasks(ControllerContext context, List<Runnable> everyTick, List<Runnable> everySecond) {
+        this.context = context;
+        this.everyTick = List.copyOf(everyTick);
+        this.everySecond = List.copyOf(everySecond);
+    }
+
+    void register(InputDispatcher dispatcher) {
+        dispatcher.on(Input.Tick.class, tick -> run());
+    }
+
+    private void run() {
+        everyTick.forEach(Runnable::run);
+        if (context.nowMs() - slowTickAtMs >= SLOW_INTERVAL_MS) {
+            slowTickAtMs = context.nowMs();
+            everySecond.forEach(Runnable::run);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/dewlane/core/controller/ReplicaListeners.java
@@ -0,0 +1,22 @@
+package dewlane.core.controller;
+
+import dewlane.core.store.ReplicaChange;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** Passes each change of the replica to all that keep state derived from it, in the order in which they were added. */
+final class ReplicaListeners implements Consumer<ReplicaChange> {
+    private final List<Consumer<ReplicaChange>> listeners = new ArrayList<>();
+
+    void add(Consumer<ReplicaChange> listener) {
+        listeners.add(listener);
+    }
+
+    @Override
+    public void accept(ReplicaChange change) {
+        for (Consumer<ReplicaChange> listener : listeners) {
+            listener.accept(change);
+        }
+    }
+}
