--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -12,7 +12,7 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.JobBuilder;
 import dewlane.core.model.MachineType;
-import dewlane.core.model.TestReports;
+import dewlane.core.model.TestHeartbeats;
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.StoredValue.JobRecord;
@@ -83,10 +83,12 @@
         effects.addAll(controller.handle(now, now, input));
     }
 
+    /** Time passes. */
     public void tick(long afterMs) {
         receive(afterMs, new Input.Tick());
     }
 
+    /** A worker sends a heartbeat and waits for the response to the request. */
     public void receiveHeartbeat(long afterMs, long request, Heartbeat heartbeat) {
         receive(afterMs, new Input.HeartbeatReceived(request, heartbeat));
     }
@@ -136,8 +138,9 @@
                 .value();
     }
 
+    /** A heartbeat of the one machine, with the given tasks. */
     public static Heartbeat heartbeat(long incarnation, long sequence, long token, TaskStatus... tasks) {
-        return TestReports.of(incarnation, sequence, token, List.of(tasks));
+        return TestHeartbeats.of(incarnation, sequence, token, List.of(tasks));
     }
 
     /** The machine reports, and shows by its next heartbeat that it got the reply. */
--- a/src/test/java/dewlane/core/fleet/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dewlane.core.model.Heartbeat;
-import dewlane.core.model.TestReports;
+import dewlane.core.model.TestHeartbeats;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -55,6 +55,6 @@
     }
 
     private static Heartbeat heartbeat(long incarnation, long sequence) {
-        return TestReports.of(incarnation, sequence, 0, List.of());
+        return TestHeartbeats.of(incarnation, sequence, 0, List.of());
     }
 }
--- a/src/test/java/dewlane/core/model/TestReports.java
+++ b/src/test/java/dewlane/core/model/TestHeartbeats.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /** Heartbeats of one machine, m1, for tests of single parts of a controller. */
-public final class TestReports {
-    private TestReports() {}
+public final class TestHeartbeats {
+    private TestHeartbeats() {}
 
+    /** A heartbeat with the given tasks. */
     public static Heartbeat of(long incarnation, long sequence, long token, List<TaskStatus> tasks) {
         return new Heartbeat("m1", "h:1", "box", "east", true, incarnation, sequence, token, Double.NaN, tasks);
     }
