--- a/src/main/java/dewlane/core/admission/CancellationHandler.java
+++ b/src/main/java/dewlane/core/admission/CancellationHandler.java
@@ -16,7 +16,7 @@
         this.responses = responses;
     }
 
-    /** Cancels a job, unless it is over already, and answers with its final state. */
+    /** Cancels a job, unless it has ended already, and answers with its final state. */
     public void onCancel(Input.CancelJob request) {
         if (lookup.knownResult(request.job()) != null || lookup.hasRecord(request.job())) {
             // A result is final, and the write is conditional on the record's revision: the replica may be behind.
--- a/src/main/java/dewlane/core/admission/CancellationWriter.java
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -14,12 +14,12 @@
 
 /** Makes cancellations durable: one transaction marks the job's record as cancelled and stores its result. */
 public final class CancellationWriter {
-    /** Told how a write ended, in one call. */
+    /** Learns by exactly one call how a write ended. */
     interface Listener {
         /** The job is durably cancelled. */
         void committed();
 
-        /** The job's record has changed or is gone, so nothing was written. */
+        /** The job's record has changed or was deleted, so nothing was written. */
         void conflict();
 
         /** The store did not execute the write, or did not say so. */
--- a/src/main/java/dewlane/core/admission/DependencyLookup.java
+++ b/src/main/java/dewlane/core/admission/DependencyLookup.java
@@ -12,7 +12,7 @@
 
 /** Finds out for a submission whether its dependencies were accepted, and which of them have ended. */
 public final class DependencyLookup {
-    /** Told what a lookup found, in one call. */
+    /** Learns by exactly one call what a lookup found. */
     interface Listener {
         /**
          * All dependencies were accepted.
@@ -49,7 +49,7 @@
         this.resultReader = resultReader;
     }
 
-    /** Looks the dependencies up, and tells the listener now or once the store has answered. */
+    /** Looks the dependencies up, and calls the listener now, or once the store has answered. */
     void lookUp(List<String> dependencies, Listener listener) {
         Lookup lookup = new Lookup(dependencies, listener);
         if (lookup.unknown().isEmpty()) {
--- a/src/main/java/dewlane/core/admission/JobLookup.java
+++ b/src/main/java/dewlane/core/admission/JobLookup.java
@@ -12,7 +12,7 @@
  * Finds the job that a user asks about: in the replica, or among the stored results of jobs that have ended. Answers
  * the user for every job that is not active.
  *
- * <p>A result is final and is told as soon as it is known. Everything else is told only behind a {@link ReadBarrier},
+ * <p>A result is final and is shown as soon as it is known. Everything else is shown only behind a {@link ReadBarrier},
  * so that no controller shows a state older than one that another has shown.
  */
 public final class JobLookup {
@@ -60,7 +60,7 @@
      * Answers the user from the replica as it is now, and from the job's stored result if the replica has nothing.
      *
      * @param onUnknown run in place of an answer if the job was never accepted
-     * @param onActive given the job in place of an answer if it is neither over nor cancelled
+     * @param onActive given the job in place of an answer if it is neither ended nor cancelled
      */
     void answerUnlessActive(long requestId, String job, Runnable onUnknown, Consumer<JobEntry> onActive) {
         JobResult result = replica.result(job);
--- a/src/main/java/dewlane/core/admission/JobStatusHandler.java
+++ b/src/main/java/dewlane/core/admission/JobStatusHandler.java
@@ -30,7 +30,7 @@
         return lookup.isKnown(job);
     }
 
-    /** As below; if the store does not answer, the user is told to repeat the request. */
+    /** As below; if the store does not answer, the user is asked to repeat the request. */
     void answer(long requestId, String job, Runnable onUnknown) {
         answer(requestId, job, onUnknown, () -> responses.unavailable(requestId));
     }
--- a/src/main/java/dewlane/core/admission/NewJobWriter.java
+++ b/src/main/java/dewlane/core/admission/NewJobWriter.java
@@ -15,7 +15,7 @@
 
 /** Makes accepted jobs durable, on condition that no job with the same id was accepted before. */
 public final class NewJobWriter {
-    /** Told how a write ended, in one call. */
+    /** Learns by exactly one call how a write ended. */
     interface Listener {
         /** The job is durably accepted, in the given condition. */
         void accepted(JobCondition condition);
@@ -71,7 +71,10 @@
         }
     }
 
-    /** Writes a job that depends on a cancelled one. It is over as soon as accepted, so only its result is stored. */
+    /**
+     * Writes a job that depends on a cancelled one. It has ended as soon as it is accepted, so only its result is
+     * stored.
+     */
     void writeCancelled(Job job, Listener listener) {
         if (!transactions.tryAdmitSubmission()) {
             listener.overloaded();
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Takes submissions. A job is accepted if it can run at all and all its dependencies were accepted, and the user is
- * told so once that is durable. The submission of a job that was accepted before is answered with the job's state,
- * whatever its body says now: requests are idempotent.
+ * Takes submissions. A job is accepted if it can run at all and all its dependencies were accepted; the user is
+ * answered once that is durable. Requests are idempotent: the submission of a job that was accepted before is answered
+ * with the job's state, whatever its body says now.
  */
 public final class SubmissionHandler {
     private final Membership membership;
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -27,7 +27,7 @@
      * A controller that has not joined yet.
      *
      * @param seed of all random choices
-     * @param sizer tells how many bytes a value takes in the store
+     * @param sizer computes how many bytes a value takes in the store
      */
     public Controller(Settings settings, long seed, ValueSizer sizer) {
         ControllerAssembly assembly = new ControllerAssembly(settings, seed, sizer);
--- a/src/main/java/dewlane/core/job/DependencyEventLog.java
+++ b/src/main/java/dewlane/core/job/DependencyEventLog.java
@@ -36,7 +36,7 @@
 
     /** Jobs are cancelled through a job that they depend on. */
     void cancelled(Collection<String> jobs, String dependency) {
-        jobs.forEach(job -> logAsOwner(job, "job " + job + " is cancelled through dependency " + dependency));
+        jobs.forEach(job -> logAsOwner(job, "job " + job + " is cancelled through " + dependency));
     }
 
     private void logAsOwner(String job, String text) {
