--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -73,7 +73,7 @@
                 .build();
     }
 
-    /** A controller that joins, takes a job and launches it, with every answer of the state service made up. */
+    /** A controller that joins, takes a job and launches it, with every answer of the store made up. */
     private static void core() throws IOException {
         Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.encode(value).length);
         Job job = job();
--- a/src/main/java/dewlane/wire/StoredValueCodec.java
+++ b/src/main/java/dewlane/wire/StoredValueCodec.java
@@ -84,7 +84,7 @@
         if (key.startsWith(StoreKeys.SLICES)) {
             return SliceCodec.read(fields);
         } else if (key.startsWith(StoreKeys.JOBS)) {
-            return JobRecordCodec.readRecord(fields);
+            return JobRecordCodec.read(fields);
         } else if (key.startsWith(StoreKeys.JOB_RESULTS)) {
             return jobResult(fields);
         } else if (key.startsWith(StoreKeys.DECOMMISSIONS)) {
