--- a/src/main/java/dewlane/cli/SettingsException.java
+++ b/src/main/java/dewlane/cli/SettingsException.java
@@ -4,6 +4,7 @@
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** The message names the file, the key and what was expected. */
     public SettingsException(String message) {
         super(message);
     }
--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -23,6 +23,7 @@
 import dewlane.wire.StoredValueCodec;
 import java.io.IOException;
 import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
 import java.security.SecureRandom;
 import java.util.BitSet;
 import java.util.List;
@@ -32,6 +33,10 @@
 /** Loads what a controller needs at start and on its ordinary path, so that the build can archive the classes. */
 final class WarmUp {
     private static final String TYPE = "any";
+    private static final int MAX_SOCKETS = 500;
+    private static final long INPUT_INTERVAL_MS = 200;
+    /** How long the controller serves itself: long enough for each of its clients to be used. */
+    private static final long SERVING_MS = 700;
 
     private WarmUp() {}
 
@@ -76,11 +81,23 @@
     /** A controller that joins, takes a job and launches it, with every answer of the store made up. */
     private static void core() throws IOException {
         Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.encode(value).length);
-        Job job = job();
+        long nowMs = 0;
+        for (Input input : inputs(job())) {
+            nowMs += INPUT_INTERVAL_MS;
+            for (Effect effect : controller.handle(nowMs, nowMs, input)) {
+                if (effect instanceof Effect.CommitTransaction commit) {
+                    StoreProtocol.transactionRequest(commit.transaction());
+                }
+            }
+        }
+        StoreProtocol.events("{\"ledger\":1,\"log\":[]}".getBytes(StandardCharsets.US_ASCII));
+    }
+
+    private static List<Input> inputs(Job job) {
         StoredValue map = new StoredValue.PartitionMap(1, List.of(new StoredValue.Member("self", 1)), Map.of());
         StoredValue slice =
                 new StoredValue.Slice("self", 0, 2, 0, new BitSet(), List.of(new Attempt(1, 1, "m", 1, 1, 1)));
-        List<Input> inputs = List.of(
+        return List.of(
                 new Input.Tick(),
                 new Input.LeaseGranted(1),
                 new Input.StoreListed(List.of(), 1, 1),
@@ -104,28 +121,18 @@
                 new Input.RevisionRead(3),
                 new Input.ValueRead(1, Optional.empty()),
                 new Input.Tick());
-        long now = 0;
-        for (Input input : inputs) {
-            now += 200;
-            for (Effect effect : controller.handle(now, now, input)) {
-                if (effect instanceof Effect.CommitTransaction e) {
-                    StoreProtocol.transactionRequest(e.transaction());
-                }
-            }
-        }
-        StoreProtocol.events("{\"ledger\":1,\"log\":[]}".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
     }
 
     /** A controller on free loopback ports that takes itself for all the other services. */
     private static void sockets() throws IOException, InterruptedException, SettingsException {
         String own = "127.0.0.1:" + freePort();
         String peer = "127.0.0.1:" + freePort();
-        ControllerServer node =
-                new ControllerServer(settings(), new Endpoints(own, peer, Map.of("other", peer), own, own, 500), 1);
-        node.start();
-        Thread.sleep(700);
+        Endpoints endpoints = new Endpoints(own, peer, Map.of("other", peer), own, own, MAX_SOCKETS);
+        ControllerServer server = new ControllerServer(settings(), endpoints, 1);
+        server.start();
+        Thread.sleep(SERVING_MS);
         TomlTable.read("deploy/service.toml");
-        node.stop();
+        server.stop();
     }
 
     private static int freePort() throws IOException {
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -49,7 +49,7 @@
             value -> 0);
     final List<Effect> effects = new ArrayList<>();
     long now;
-    public long revision = 10;
+    long revision = 10;
 
     @BeforeEach
     void join() {
@@ -72,6 +72,11 @@
         effects.clear();
     }
 
+    /** The revision of the latest change that the controller was shown. */
+    public long revision() {
+        return revision;
+    }
+
     /** The partition map with n0 alone. */
     static PartitionMap mapOfOne() {
         return new PartitionMap(1, List.of(new Member("n0", 1)), Map.of());
--- a/src/test/java/dewlane/core/membership/AuthorityTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -74,8 +74,8 @@
         receive(40_000, peerStatus(1, false));
         tick(0);
         assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), takeLimitsLogged());
-        receive(10, new Input.WatchEvents(List.of(), revision));
-        receive(10, new Input.WatchEvents(List.of(), revision));
+        receive(10, new Input.WatchEvents(List.of(), revision()));
+        receive(10, new Input.WatchEvents(List.of(), revision()));
         tick(1000);
         assertEquals(List.of(Restriction.NONE.description()), takeLimitsLogged());
         receive(10, peerStatus(9, true));
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -145,11 +145,23 @@
                 () -> WorkerProtocol.heartbeat("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static Map<String, StoredValue> valuesByKey() {
+    private static StoredValue slice() {
         BitSet done = new BitSet();
         done.set(0, 5);
         done.set(7);
         done.set(9, 12);
+        return new StoredValue.Slice(
+                "n0",
+                40,
+                20,
+                3,
+                done,
+                List.of(
+                        new Attempt(45, 3, "vm-1", 2, 77L << 20, 5_000_000_000L),
+                        new Attempt(46, 3, "vm-2", 1, (76L << 20) + 5, 5_000_000_000L)));
+    }
+
+    private static Map<String, StoredValue> valuesByKey() {
         Job job = submission(GOOD).job().withAcceptedAt(1234);
         return Map.of(
                 StoreKeys.job("wk-1"),
@@ -162,15 +174,7 @@
                 StoreKeys.jobResult("wk-1"),
                 new StoredValue.JobResult(true, 7),
                 StoreKeys.slice("wk-1", 2),
-                new StoredValue.Slice(
-                        "n0",
-                        40,
-                        20,
-                        3,
-                        done,
-                        List.of(
-                                new Attempt(45, 3, "vm-1", 2, 77L << 20, 5_000_000_000L),
-                                new Attempt(46, 3, "vm-2", 1, (76L << 20) + 5, 5_000_000_000L))),
+                slice(),
                 StoreKeys.PARTITION_MAP,
                 new StoredValue.PartitionMap(
                         5,
@@ -191,7 +195,7 @@
     }
 
     @Test
-    void valuesComeBackFromTheStateServiceAsTheyWentIn() throws IOException {
+    void valuesComeBackFromTheStoreAsTheyWentIn() throws IOException {
         for (Map.Entry<String, StoredValue> e : valuesByKey().entrySet()) {
             byte[] json = StoredValueCodec.encode(e.getValue());
             assertEquals(e.getValue(), StoredValueCodec.decode(e.getKey(), Json.object(json)));
