--- a/src/main/java/dewlane/cli/Main.java
+++ b/src/main/java/dewlane/cli/Main.java
@@ -3,6 +3,7 @@
 import dewlane.io.ControllerServer;
 import java.io.IOException;
 import java.io.PrintWriter;
+import java.nio.charset.StandardCharsets;
 import java.security.SecureRandom;
 import java.util.Locale;
 import org.apache.commons.cli.CommandLine;
@@ -38,7 +39,7 @@
             return;
         }
         if (line.hasOption("help")) {
-            usage(new PrintWriter(System.out, true));
+            usage(new PrintWriter(System.out, true, StandardCharsets.UTF_8));
         } else if (line.hasOption("version")) {
             System.out.println("dewlane " + version());
         } else if (line.hasOption(WARM_UP)) {
@@ -94,7 +95,7 @@
 
     private static void wrongUsage(String reason) {
         System.err.println(reason);
-        usage(new PrintWriter(System.err, true));
+        usage(new PrintWriter(System.err, true, StandardCharsets.UTF_8));
         System.exit(WRONG_SETTINGS);
     }
 
--- a/src/main/java/dewlane/core/autoscaling/CloudPoller.java
+++ b/src/main/java/dewlane/core/autoscaling/CloudPoller.java
@@ -69,7 +69,7 @@
      * first leader of a deployment has no predecessor: the partition map then has no more epochs than members.
      */
     boolean knowsFleet(long ledForMs) {
-        return ledForMs > 1000 * context.settings().cloudListLagS() && inventory.hasList()
+        return (ledForMs > 1000 * context.settings().cloudListLagS() && inventory.hasList())
                 || ledForMs > MAX_FIRST_LIST_WAIT_MS
                 || replica.partitionMap().epoch()
                         <= replica.partitionMap().members().size();
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -128,8 +128,8 @@
 
     /** True if a launch of the attempt is in flight with the present token, and its fate will be known. */
     public boolean isLaunchInFlight(AttemptId attempt) {
-        return commandToken == fencingToken() && commandLaunches.contains(attempt)
-                || responseToken == fencingToken() && responseLaunches.contains(attempt);
+        return (commandToken == fencingToken() && commandLaunches.contains(attempt))
+                || (responseToken == fencingToken() && responseLaunches.contains(attempt));
     }
 
     /** True if a launch of the attempt may arrive with the present token at any time. */
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
@@ -91,7 +91,7 @@
         long nowMs = context.nowMs();
         long delayMs = delayMs(update.job().job());
         return value.isComplete()
-                || update.job().isCancelled() && value.attempts().isEmpty()
+                || (update.job().isCancelled() && value.attempts().isEmpty())
                 || nowMs - progress.gatheringSince(slice.number(), nowMs) >= delayMs
                 || hasTaskToRetry(update, slice);
     }
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -4,6 +4,7 @@
 import dewlane.core.model.Priority;
 import dewlane.core.schema.StoredValue.JobRecord;
 import java.util.Collection;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 
 /**
@@ -116,7 +117,7 @@
     }
 
     /** The slices by their numbers. */
-    TreeMap<Integer, SliceEntry> slicesByNumber() {
+    NavigableMap<Integer, SliceEntry> slicesByNumber() {
         return slices;
     }
 
--- a/src/main/java/dewlane/core/worker/DecommissionPolicy.java
+++ b/src/main/java/dewlane/core/worker/DecommissionPolicy.java
@@ -67,7 +67,7 @@
      * machine that is long gone.
      */
     private static boolean isExpectedToBeReachable(Machine machine) {
-        return machine.reachability().everConfirmed() && !machine.lifecycle().isScaleInExpected()
+        return (machine.reachability().everConfirmed() && !machine.lifecycle().isScaleInExpected())
                 || !machine.attempts().isEmpty();
     }
 
--- a/src/main/java/dewlane/io/HttpBodies.java
+++ b/src/main/java/dewlane/io/HttpBodies.java
@@ -45,7 +45,7 @@
     /** Reads a body up to its end; one of the two callbacks is run, once. */
     static void read(StreamSourceChannel channel, Consumer<byte[]> completed, Runnable failed) {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+        byte[] buffer = new byte[BUFFER_BYTES];
         channel.getReadSetter().set(readable -> drain(readable, body, buffer, completed, failed));
         drain(channel, body, buffer, completed, failed);
     }
@@ -53,13 +53,12 @@
     private static void drain(
             StreamSourceChannel channel,
             ByteArrayOutputStream body,
-            ByteBuffer buffer,
+            byte[] buffer,
             Consumer<byte[]> completed,
             Runnable failed) {
         try {
             while (true) {
-                buffer.clear();
-                int count = channel.read(buffer);
+                int count = channel.read(ByteBuffer.wrap(buffer));
                 if (count == 0) {
                     channel.resumeReads();
                     return;
@@ -69,7 +68,7 @@
                     completed.accept(body.toByteArray());
                     return;
                 }
-                body.write(buffer.array(), 0, count);
+                body.write(buffer, 0, count);
             }
         } catch (IOException e) {
             failed.run();
--- a/src/test/java/dewlane/sim/AnswerChecker.java
+++ b/src/test/java/dewlane/sim/AnswerChecker.java
@@ -92,7 +92,7 @@
 
     /** Cancellations pass down to all jobs that need the cancelled one, within the time they have. */
     private void checkCancellationsPassedDown(String job, JobCondition condition, long askedAt) {
-        if (condition != JobCondition.PENDING && condition != JobCondition.RUNNING || askedAt == Long.MAX_VALUE) {
+        if ((condition != JobCondition.PENDING && condition != JobCondition.RUNNING) || askedAt == Long.MAX_VALUE) {
             return;
         }
         for (String dependency : transitiveDependencies(job)) {
--- a/src/test/java/dewlane/sim/RandomFaultsTest.java
+++ b/src/test/java/dewlane/sim/RandomFaultsTest.java
@@ -119,7 +119,7 @@
     @CsvSource({"0, 3", "1, 3", "2, 5", "3, 5", "4, 7"})
     void randomFaultsBreakNoInvariantAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
-            long seed = FIRST_SEED + group * RUNS_PER_GROUP + i;
+            long seed = FIRST_SEED + (long) group * RUNS_PER_GROUP + i;
             SimCluster cluster = run(seed, controllers, SimCluster.DisabledGuard.NONE);
             int accepted = cluster.users.accepted().size();
             assertTrue(
@@ -134,7 +134,7 @@
     @CsvSource({"0, 3", "1, 5", "2, 7"})
     void randomFaultsDuringRollingUpgradeBreakNoInvariantAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
-            long seed = FIRST_UPGRADE_SEED + group * RUNS_PER_GROUP + i;
+            long seed = FIRST_UPGRADE_SEED + (long) group * RUNS_PER_GROUP + i;
             SimCluster cluster = run(seed, controllers, SimCluster.DisabledGuard.NONE, true);
             assertTrue(
                     cluster.checker.taskStarts > 50,
