--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -9,7 +9,7 @@
 public final class ResourceUsage {
     private static final double UNITS_PER_AMOUNT = 1e6;
     /** Stands for no limit, far above what fits on any machine, and keeps sums within an int. */
-    private static final int UNLIMITED_TASKS = 1_000_000;
+    public static final int UNLIMITED_TASKS = 1_000_000;
 
     private long cpuUnits;
     private long gpuUnits;
@@ -84,12 +84,14 @@
         return (int) Math.min(byCpus, byGpus);
     }
 
-    /** How many tasks of the job fit beside this use into a share of a limit of CPUs or else GPUs; limit 0 is none. */
-    public int capacityFor(double limit, double share, boolean ofCpus, Job job) {
-        if (limit <= 0) {
-            return UNLIMITED_TASKS;
-        }
-        return (int) (ofCpus ? countFitting(share, cpuUnits, job.cpus()) : countFitting(share, gpuUnits, job.gpus()));
+    /** How many tasks of the job fit beside this use into a share of so many CPUs. */
+    public int capacityByCpus(double cpus, Job job) {
+        return (int) countFitting(cpus, cpuUnits, job.cpus());
+    }
+
+    /** How many tasks of the job fit beside this use into a share of so many GPUs. */
+    public int capacityByGpus(double gpus, Job job) {
+        return (int) countFitting(gpus, gpuUnits, job.gpus());
     }
 
     private static long countFitting(double total, long usedUnits, double perTask) {
--- a/src/main/java/dewlane/core/quota/PartitionedLimit.java
+++ b/src/main/java/dewlane/core/quota/PartitionedLimit.java
@@ -60,9 +60,9 @@
 
     private int capacityWithin(QuotaAmount share, TeamQuota team, Job job, String controller) {
         ResourceUsage usage = usageOf(job, controller);
-        return Math.min(
-                usage.capacityFor(team.maxCpus(), share.cpus(), true, job),
-                usage.capacityFor(team.maxGpus(), share.gpus(), false, job));
+        int byCpus = team.maxCpus() <= 0 ? ResourceUsage.UNLIMITED_TASKS : usage.capacityByCpus(share.cpus(), job);
+        int byGpus = team.maxGpus() <= 0 ? ResourceUsage.UNLIMITED_TASKS : usage.capacityByGpus(share.gpus(), job);
+        return Math.min(byCpus, byGpus);
     }
 
     /** What a controller does not use of its share; negative if it came to own more than that. */
