--- a/src/test/java/dewlane/sim/LargeClusterTest.java
+++ b/src/test/java/dewlane/sim/LargeClusterTest.java
@@ -79,7 +79,7 @@
 
     private static void assertFewWritesPerJob(SimCluster cluster, long writesBefore) {
         double perJob = (double) (cluster.store.usage.writes - writesBefore) / JOBS;
-        assertTrue(perJob <= MAX_WRITES_PER_JOB, perJob + " changes a job");
+        assertTrue(perJob <= MAX_WRITES_PER_JOB, perJob + " writes a job");
     }
 
     private static void assertValuesTakeHalfOfLimit(SimCluster cluster) {
@@ -109,8 +109,8 @@
         int transactionBytes = cluster.store.usage.largestTransactionBytes;
         assertTrue(transactionBytes <= MAX_TRANSACTION_BYTES / 2, "a transaction of " + transactionBytes + " bytes");
         for (SimController controller : cluster.controllers.values()) {
-            double jobsPerPass = controller.jobsPerPass();
-            assertTrue(jobsPerPass < 40, controller.name + " looks at " + jobsPerPass + " jobs a pass");
+            double jobsPerCycle = controller.jobsPerCycle();
+            assertTrue(jobsPerCycle < 40, controller.name + " considers " + jobsPerCycle + " jobs a cycle");
         }
     }
 
@@ -156,8 +156,8 @@
         cluster.runUntil(110_000);
         assertEquals(0, cluster.workers().size());
 
-        long writes = cluster.store.usage.machineRecordWrites;
+        long writes = cluster.store.usage.decommissionWrites;
 
-        assertTrue(writes < 200, writes + " changes for " + MACHINES + " machines");
+        assertTrue(writes < 200, writes + " writes for " + MACHINES + " machines");
     }
 }
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -131,7 +131,7 @@
     }
 
     /** How many jobs a pass looked at on average. */
-    double jobsPerPass() {
+    double jobsPerCycle() {
         return core.jobsPerCycle();
     }
 
--- a/src/test/java/dewlane/sim/SimStoreUsage.java
+++ b/src/test/java/dewlane/sim/SimStoreUsage.java
@@ -14,7 +14,7 @@
     /** Puts and deletes that were committed, but of machines' records, and those of machines' records. */
     long writes;
 
-    long machineRecordWrites;
+    long decommissionWrites;
     int largestValueBytes;
     int largestTransactionBytes;
 
@@ -29,7 +29,7 @@
                 Math.max(largestTransactionBytes, StoreProtocol.transactionRequest(transaction).length);
         for (Transaction.Write write : transaction.writes()) {
             boolean ofMachineRecord = write.key().startsWith(StoreKeys.DECOMMISSIONS);
-            machineRecordWrites += ofMachineRecord ? 1 : 0;
+            decommissionWrites += ofMachineRecord ? 1 : 0;
             writes += ofMachineRecord ? 0 : 1;
             if (write.value() != null) {
                 largestValueBytes = Math.max(largestValueBytes, StoredValueCodec.encode(write.value()).length);
