--- a/src/main/java/dewlane/cli/TomlTable.java
+++ b/src/main/java/dewlane/cli/TomlTable.java
@@ -13,6 +13,8 @@
 
 /** A table of a TOML file whose values are checked as they are read. Unknown keys are ignored. */
 final class TomlTable {
+    private static final int MAX_PORT = 65_535;
+
     private final String file;
     private final String path;
     private final UnmodifiableConfig table;
@@ -23,6 +25,7 @@
         this.table = table;
     }
 
+    /** Reads a file. */
     static TomlTable read(String file) throws SettingsException {
         try (Reader reader = Files.newBufferedReader(Path.of(file))) {
             return new TomlTable(file, "", new TomlParser().parse(reader));
@@ -42,13 +45,15 @@
         return table.get(List.of(key));
     }
 
+    /** True if the key is there. */
     boolean has(String key) {
         return value(key) != null;
     }
 
+    /** The table of that key. */
     TomlTable table(String key) throws SettingsException {
-        if (value(key) instanceof UnmodifiableConfig c) {
-            return new TomlTable(file, path + key + ".", c);
+        if (value(key) instanceof UnmodifiableConfig nested) {
+            return new TomlTable(file, path + key + ".", nested);
         }
         throw wrong(key, "a table");
     }
@@ -62,44 +67,46 @@
         if (!(value(key) instanceof List<?> list)) {
             throw wrong(key, "an array of tables");
         }
-        for (Object o : list) {
-            if (!(o instanceof UnmodifiableConfig c)) {
+        for (Object element : list) {
+            if (!(element instanceof UnmodifiableConfig nested)) {
                 throw wrong(key, "an array of tables");
             }
-            tables.add(new TomlTable(file, path + key + ".", c));
+            tables.add(new TomlTable(file, path + key + ".", nested));
         }
         return tables;
     }
 
+    /** The string of that key, which is not empty. */
     String text(String key) throws SettingsException {
-        if (value(key) instanceof String s && !s.isBlank()) {
-            return s;
+        if (value(key) instanceof String text && !text.isBlank()) {
+            return text;
         }
         throw wrong(key, "a string that is not empty");
     }
 
+    /** The strings of an array. */
     List<String> texts(String key) throws SettingsException {
         List<String> texts = new ArrayList<>();
         if (!(value(key) instanceof List<?> list)) {
             throw wrong(key, "an array of strings");
         }
-        for (Object o : list) {
-            if (!(o instanceof String s)) {
+        for (Object element : list) {
+            if (!(element instanceof String text)) {
                 throw wrong(key, "an array of strings");
             }
-            texts.add(s);
+            texts.add(text);
         }
         return texts;
     }
 
     /** An address of the form 10.0.0.1:8080. */
     String address(String key) throws SettingsException {
-        String s = value(key) instanceof String given ? given : "";
-        int colon = s.lastIndexOf(':');
+        String address = value(key) instanceof String text ? text : "";
+        int colon = address.lastIndexOf(':');
         try {
-            int port = Integer.parseInt(s.substring(colon + 1));
-            if (colon > 0 && port > 0 && port < 65_536) {
-                return s;
+            int port = Integer.parseInt(address.substring(colon + 1));
+            if (colon > 0 && port > 0 && port <= MAX_PORT) {
+                return address;
             }
         } catch (NumberFormatException e) {
             // falls through to the message below
@@ -107,9 +114,10 @@
         throw wrong(key, "an address such as 10.0.0.1:8080");
     }
 
+    /** The number of that key, which is at least as given. */
     double number(String key, double least) throws SettingsException {
-        if (value(key) instanceof Number n && Double.isFinite(n.doubleValue()) && n.doubleValue() >= least) {
-            return n.doubleValue();
+        if (value(key) instanceof Number number && isAtLeast(number.doubleValue(), least)) {
+            return number.doubleValue();
         }
         throw wrong(key, "a number of at least " + plain(least));
     }
@@ -119,21 +127,31 @@
         return has(key) ? number(key, least) : missing;
     }
 
+    /** The number of that key, which is above 0. */
     double positive(String key) throws SettingsException {
-        if (value(key) instanceof Number n && Double.isFinite(n.doubleValue()) && n.doubleValue() > 0) {
-            return n.doubleValue();
+        if (value(key) instanceof Number number && isPositive(number.doubleValue())) {
+            return number.doubleValue();
         }
         throw wrong(key, "a number above 0");
     }
 
+    /** The integer of that key, which is at least as given. */
     int count(String key, int least) throws SettingsException {
-        if (value(key) instanceof Integer n && n >= least) {
-            return n;
+        if (value(key) instanceof Integer count && count >= least) {
+            return count;
         }
         throw wrong(key, "an integer of at least " + least);
     }
 
-    private static String plain(double d) {
-        return d == Math.rint(d) ? String.valueOf((long) d) : String.valueOf(d);
+    private static boolean isAtLeast(double number, double least) {
+        return Double.isFinite(number) && number >= least;
+    }
+
+    private static boolean isPositive(double number) {
+        return Double.isFinite(number) && number > 0;
+    }
+
+    private static String plain(double number) {
+        return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 }
--- a/src/main/java/dewlane/wire/JobIdListCodec.java
+++ b/src/main/java/dewlane/wire/JobIdListCodec.java
@@ -23,11 +23,12 @@
 
     private JobIdListCodec() {}
 
+    /** The text of a list; the order of the ids is lost. */
     static String write(Collection<String> ids) {
         Map<Integer, TreeSet<BigInteger>> byLength = new TreeMap<>();
         for (String id : ids) {
             String digits = id.substring(PREFIX.length());
-            byLength.computeIfAbsent(digits.length(), n -> new TreeSet<>()).add(new BigInteger(digits));
+            byLength.computeIfAbsent(digits.length(), length -> new TreeSet<>()).add(new BigInteger(digits));
         }
         StringBuilder text = new StringBuilder();
         byLength.forEach((length, numbers) -> {
@@ -58,30 +59,35 @@
             return List.of();
         }
         for (String group : text.split(";")) {
-            int colon = group.indexOf(':');
-            if (colon < 1) {
-                throw new IllegalArgumentException("not a list of job ids: " + group);
+            readGroup(group, ids);
+        }
+        return List.copyOf(ids);
+    }
+
+    /** Reads the ids of one length. */
+    private static void readGroup(String group, List<String> ids) {
+        int colon = group.indexOf(':');
+        if (colon < 1) {
+            throw new IllegalArgumentException("not a list of job ids: " + group);
+        }
+        int length = Integer.parseInt(group.substring(0, colon));
+        BigInteger number = BigInteger.ZERO;
+        BigInteger difference = BigInteger.ZERO;
+        int shift = 0;
+        for (char character : group.substring(colon + 1).toCharArray()) {
+            int digit = DIGITS.indexOf(character);
+            if (digit < 0) {
+                throw new IllegalArgumentException("not a list of job ids: " + character);
             }
-            int length = Integer.parseInt(group.substring(0, colon));
-            BigInteger last = BigInteger.ZERO;
-            BigInteger difference = BigInteger.ZERO;
-            int shift = 0;
-            for (char c : group.substring(colon + 1).toCharArray()) {
-                int digit = DIGITS.indexOf(c);
-                if (digit < 0) {
-                    throw new IllegalArgumentException("not a list of job ids: " + c);
-                }
-                difference = difference.add(BigInteger.valueOf(digit % MORE).shiftLeft(shift));
-                shift += BITS;
-                if (digit < MORE) {
-                    last = last.add(difference);
-                    ids.add(id(last, length));
-                    difference = BigInteger.ZERO;
-                    shift = 0;
-                }
+            difference = difference.add(BigInteger.valueOf(digit % MORE).shiftLeft(shift));
+            shift += BITS;
+            if (digit < MORE) {
+                number = number.add(difference);
+                ids.add(id(number, length));
+                difference = BigInteger.ZERO;
+                shift = 0;
             }
         }
-        return List.copyOf(ids);
     }
 
     private static String id(BigInteger number, int length) {
--- a/src/main/java/dewlane/wire/PeerProtocol.java
+++ b/src/main/java/dewlane/wire/PeerProtocol.java
@@ -9,8 +9,9 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** What controllers tell one another, as MessagePack. */
+/** What controllers tell one another: fields by their position, as MessagePack. */
 public final class PeerProtocol {
+    /** The path to which a controller sends its status. */
     public static final String STATUS_PATH = "/peer/status";
 
     private PeerProtocol() {}
@@ -37,30 +38,38 @@
         }
     }
 
-    /** Decodes what a peer tells. */
+    /**
+     * Decodes what a peer tells.
+     *
+     * @throws IOException if the body ends too early; malformed contents give a runtime exception of the library
+     */
     public static PeerStatus status(byte[] body) throws IOException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
-            String node = in.unpackString();
+            String controller = in.unpackString();
             long epoch = in.unpackLong();
-            boolean reachable = in.unpackBoolean();
+            boolean storeReachable = in.unpackBoolean();
+            List<String> cancelledJobs = new ArrayList<>();
             int jobs = in.unpackArrayHeader();
-            List<String> cancelled = new ArrayList<>();
             for (int i = 0; i < jobs; i++) {
-                cancelled.add(in.unpackString());
+                cancelledJobs.add(in.unpackString());
             }
-            int n = in.unpackArrayHeader();
             List<MachineStatus> machines = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
-                machines.add(new MachineStatus(
-                        in.unpackString(),
-                        in.unpackString(),
-                        in.unpackString(),
-                        in.unpackString(),
-                        in.unpackBoolean(),
-                        in.unpackLong(),
-                        in.unpackLong()));
+            int machineCount = in.unpackArrayHeader();
+            for (int i = 0; i < machineCount; i++) {
+                machines.add(readMachine(in));
             }
-            return new PeerStatus(node, epoch, reachable, cancelled, machines);
+            return new PeerStatus(controller, epoch, storeReachable, cancelledJobs, machines);
         }
     }
+
+    private static MachineStatus readMachine(MessageUnpacker in) throws IOException {
+        return new MachineStatus(
+                in.unpackString(),
+                in.unpackString(),
+                in.unpackString(),
+                in.unpackString(),
+                in.unpackBoolean(),
+                in.unpackLong(),
+                in.unpackLong());
+    }
 }
--- a/src/main/java/dewlane/wire/TaskRangeCodec.java
+++ b/src/main/java/dewlane/wire/TaskRangeCodec.java
@@ -6,6 +6,7 @@
 final class TaskRangeCodec {
     private TaskRangeCodec() {}
 
+    /** The text of a set. */
     static String write(BitSet set) {
         StringBuilder text = new StringBuilder();
         for (int from = set.nextSetBit(0); from >= 0; ) {
@@ -19,15 +20,25 @@
         return text.toString();
     }
 
+    /** The set of a text; throws a runtime exception if the text is none. */
     static BitSet read(String text) {
         BitSet set = new BitSet();
         if (!text.isEmpty()) {
             for (String range : text.split(",")) {
-                int dash = range.indexOf('-');
-                int from = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
-                set.set(from, 1 + (dash < 0 ? from : Integer.parseInt(range.substring(dash + 1))));
+                readRange(range, set);
             }
         }
         return set;
     }
+
+    private static void readRange(String range, BitSet into) {
+        int dash = range.indexOf('-');
+        if (dash < 0) {
+            into.set(Integer.parseInt(range));
+            return;
+        }
+        int first = Integer.parseInt(range.substring(0, dash));
+        int last = Integer.parseInt(range.substring(dash + 1));
+        into.set(first, last + 1);
+    }
 }
