--- a/src/main/java/dewlane/core/admission/CancellationWriter.java
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -14,16 +14,10 @@
 
 /** Makes cancellations durable: one transaction marks the job's record as cancelled and stores its result. */
 public final class CancellationWriter {
-    /** Learns by exactly one call how a write ended. */
-    interface Listener {
+    /** Learns by exactly one call how a write ended; after a conflict the job's record has changed or is gone. */
+    interface Listener extends WriteListener {
         /** The job is durably cancelled. */
         void committed();
-
-        /** The job's record has changed or was deleted, so nothing was written. */
-        void conflict();
-
-        /** The store did not execute the write, or did not say so. */
-        void unavailable();
     }
 
     private final ControllerContext context;
@@ -57,17 +51,12 @@
                 .put(StoreKeys.job(job), cancelled)
                 .put(StoreKeys.jobResult(job), result)
                 .build();
-        transactions.submit(TransactionPriority.SAFETY, transaction, (status, revision) -> {
-            if (status == Transaction.Status.COMMITTED) {
-                context.info("job " + job + " cancelled");
-                cancellations.onConfirmed(job);
-                replica.recordResult(job, result);
-                listener.committed();
-            } else if (status == Transaction.Status.CONFLICT) {
-                listener.conflict();
-            } else {
-                listener.unavailable();
-            }
-        });
+        Runnable onCommitted = () -> {
+            context.info("job " + job + " cancelled");
+            cancellations.onConfirmed(job);
+            replica.recordResult(job, result);
+            listener.committed();
+        };
+        transactions.submit(TransactionPriority.SAFETY, transaction, WriteListener.reportingTo(listener, onCommitted));
     }
 }
--- a/src/main/java/dewlane/core/admission/NewJobWriter.java
+++ b/src/main/java/dewlane/core/admission/NewJobWriter.java
@@ -15,8 +15,8 @@
 
 /** Makes accepted jobs durable, on condition that no job with the same id was accepted before. */
 public final class NewJobWriter {
-    /** Learns by exactly one call how a write ended. */
-    interface Listener {
+    /** Learns by exactly one call how a write ended; after a conflict a job with its id was accepted before. */
+    interface Listener extends WriteListener {
         /** The job is durably accepted, in the given condition. */
         void accepted(JobCondition condition);
 
@@ -25,12 +25,6 @@
 
         /** More submissions than the write rate allows; nothing was written. */
         void overloaded();
-
-        /** A job with this id was accepted before; nothing was written. */
-        void conflict();
-
-        /** The store did not execute the write, or did not say so. */
-        void unavailable();
     }
 
     private final ControllerContext context;
@@ -94,14 +88,7 @@
     }
 
     private void submit(Transaction.Builder transaction, Listener listener, Runnable onCommitted) {
-        transactions.submit(TransactionPriority.USER, transaction.build(), (status, revision) -> {
-            if (status == Transaction.Status.COMMITTED) {
-                onCommitted.run();
-            } else if (status == Transaction.Status.CONFLICT) {
-                listener.conflict();
-            } else {
-                listener.unavailable();
-            }
-        });
+        transactions.submit(
+                TransactionPriority.USER, transaction.build(), WriteListener.reportingTo(listener, onCommitted));
     }
 }
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -113,7 +113,7 @@
     }
 
     private boolean isCountedOn(String name, InstanceRequest request, MachineType type) {
-        return !replica.decommissionsByMachine().containsKey(name)
+        return !replica.isDecommissioned(name)
                 && context.nowMs() - request.requestedAtMs() < COUNTED_BOOT_TIMES * 1000 * type.bootS();
     }
 
@@ -152,7 +152,7 @@
             MachineType type = machines.type(machine);
             if (type != null
                     && type.fits(requirements)
-                    && spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
+                    && machine.isAllowedFor(spec)
                     && schedulability.isSchedulable(machine)) {
                 return true;
             }
--- a/src/main/java/dewlane/core/autoscaling/CloudPoller.java
+++ b/src/main/java/dewlane/core/autoscaling/CloudPoller.java
@@ -12,19 +12,15 @@
     private static final long MIN_LIST_INTERVAL_MS = 2000;
     /** The part of the cloud's request rate that reading the list may take. */
     private static final double LIST_RATE_SHARE = 0.5;
-    /** How many instances the cloud lists by one request. */
-    private static final int INSTANCES_PER_PAGE = 500;
     /** A new leader waits for a list for at most so long. */
     private static final long MAX_FIRST_LIST_WAIT_MS = 10_000;
 
-    private static final long NEVER = Long.MIN_VALUE / 2;
-
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
     private final InstanceInventory inventory;
-    private long catalogReadAtMs = NEVER;
-    private long listReadAtMs = NEVER;
+    private long catalogReadAtMs = ControllerContext.NEVER_MS;
+    private long listReadAtMs = ControllerContext.NEVER_MS;
 
     /** Polls as often as the inventory's size and the cloud's request rate allow. */
     public CloudPoller(
@@ -59,7 +55,7 @@
 
     /** A longer list is read less often, so that requests are left for creating and deleting instances. */
     private long listIntervalMs() {
-        double pages = Math.ceil(inventory.listedCount() / (double) INSTANCES_PER_PAGE);
+        double pages = Math.ceil(inventory.listedCount() / (double) Effect.ListInstances.PAGE_SIZE);
         double listRequestsPerS = LIST_RATE_SHARE * context.settings().cloudRequestsPerS();
         return (long) Math.max(MIN_LIST_INTERVAL_MS, 1000 * pages / listRequestsPerS);
     }
--- a/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
@@ -15,15 +15,11 @@
 /** Carries out decommission records: deletes their instances, records the proof, and drops records that are done. */
 public final class DecommissionProcessor {
     private static final long DELETE_RETRY_INTERVAL_MS = 6000;
-    /** As many as the cloud deletes by one request. */
-    private static final int MAX_DELETIONS_PER_REQUEST = 100;
     /** For how long a record of terminated machines is kept. */
     private static final long TERMINATED_TTL_MS = 60_000;
     /** For how long the cloud's list may still show a machine that was scaled in. */
     private static final long SCALED_IN_TTL_MS = 30_000;
 
-    private static final long NEVER_MS = -1_000_000L;
-
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
@@ -60,12 +56,13 @@
         }
         names.removeIf(this::wasDeletedRecently);
         if (!names.isEmpty()) {
-            deleteInstances(List.copyOf(names.subList(0, Math.min(MAX_DELETIONS_PER_REQUEST, names.size()))));
+            deleteInstances(
+                    List.copyOf(names.subList(0, Math.min(Effect.DeleteInstances.MAX_INSTANCES, names.size()))));
         }
     }
 
     private boolean wasDeletedRecently(String name) {
-        return context.nowMs() - deletedAtMs.getOrDefault(name, NEVER_MS) < DELETE_RETRY_INTERVAL_MS;
+        return context.nowMs() - deletedAtMs.getOrDefault(name, ControllerContext.NEVER_MS) < DELETE_RETRY_INTERVAL_MS;
     }
 
     private void deleteInstances(List<String> names) {
--- a/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
@@ -32,12 +32,12 @@
 
     /** True if a record about the machine is stored. */
     boolean isDecommissioned(String machine) {
-        return replica.decommissionsByMachine().containsKey(machine);
+        return replica.isDecommissioned(machine);
     }
 
     /** Records a state of one machine; not while a record of several machines holds it. */
     void decommission(String machine, DecommissionState state, String reason) {
-        DecommissionIndex.Entry known = replica.decommissionsByMachine().get(machine);
+        DecommissionIndex.Entry known = replica.decommission(machine);
         if (known == null) {
             write(StoreKeys.decommission(machine), 0, new DecommissionRecord(state, reason, List.of()));
         } else if (known.record().state() != state && known.record().machines().isEmpty()) {
@@ -61,9 +61,6 @@
     /** A record that was stored under larger limits becomes several, as many as one transaction holds. */
     private void updateOversized(
             DecommissionIndex.Entry entry, DecommissionState state, String reason, List<List<String>> batches) {
-        if (!inFlight.add(entry.key())) {
-            return;
-        }
         Transaction.Builder transaction = new Transaction.Builder().require(entry.key(), entry.revision());
         int count = Math.min(batches.size(), context.settings().maxTransactionWrites());
         for (int i = 0; i < count; i++) {
@@ -74,29 +71,27 @@
             // Machines beyond what the transaction holds are decommissioned one by one, by their partitions' owners.
             transaction.put(key, new DecommissionRecord(state, reason, batches.get(i)));
         }
-        transactions.submit(
-                TransactionPriority.OUTCOME, transaction.build(), (status, revision) -> inFlight.remove(entry.key()));
+        submit(entry.key(), TransactionPriority.OUTCOME, transaction, () -> {});
     }
 
     private void write(String key, long revision, DecommissionRecord record) {
-        if (inFlight.add(key)) {
-            Transaction transaction = new Transaction.Builder()
-                    .require(key, revision)
-                    .put(key, record)
-                    .build();
-            transactions.submit(TransactionPriority.OUTCOME, transaction, (status, at) -> inFlight.remove(key));
-        }
+        Transaction.Builder transaction =
+                new Transaction.Builder().require(key, revision).put(key, record);
+        submit(key, TransactionPriority.OUTCOME, transaction, () -> {});
     }
 
     /** Deletes a record; the callback runs once the store has answered. */
     void delete(DecommissionIndex.Entry entry, Runnable onCompleted) {
-        String key = entry.key();
+        Transaction.Builder transaction =
+                new Transaction.Builder().require(entry.key(), entry.revision()).delete(entry.key());
+        submit(entry.key(), TransactionPriority.LATER, transaction, onCompleted);
+    }
+
+    /** Submits a write of the key's record, unless one is in flight. */
+    private void submit(
+            String key, TransactionPriority priority, Transaction.Builder transaction, Runnable onCompleted) {
         if (inFlight.add(key)) {
-            Transaction transaction = new Transaction.Builder()
-                    .require(key, entry.revision())
-                    .delete(key)
-                    .build();
-            transactions.submit(TransactionPriority.LATER, transaction, (status, revision) -> {
+            transactions.submit(priority, transaction.build(), (status, revision) -> {
                 inFlight.remove(key);
                 onCompleted.run();
             });
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -6,7 +6,6 @@
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.schema.StoreKeys;
-import dewlane.core.schema.StoredValue.DecommissionRecord;
 import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.TransactionPriority;
@@ -31,7 +30,7 @@
     private final TransactionQueue transactions;
     private final IdleMachineFinder idleMachines;
     private long recordCount;
-    private long decommissionedAtMs = Long.MIN_VALUE / 2;
+    private long decommissionedAtMs = ControllerContext.NEVER_MS;
 
     /** Decommissions the machines that the finder finds, through the queue. */
     public ScaleIn(
@@ -76,11 +75,8 @@
         leaving.forEach(machine -> machine.lifecycle().beginScaleIn());
         String key = StoreKeys.decommissionBatch(
                 context.settings().controllerName() + "-idle", membership.incarnation(), ++recordCount);
-        Transaction transaction = new Transaction.Builder()
-                .require(key, 0)
-                .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
-                .put(key, new DecommissionRecord(DecommissionState.SCALE_IN, "idle", names))
-                .build();
+        Transaction transaction = DecommissionBatches.transaction(
+                key, replica.partitionMapRevision(), DecommissionState.SCALE_IN, "idle", names);
         transactions.submit(TransactionPriority.LATER, transaction, (status, revision) -> {
             if (status != Transaction.Status.COMMITTED) {
                 leaving.forEach(machine -> machine.lifecycle().abortScaleIn());
--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -77,11 +77,21 @@
         return (long) (heartbeatIntervalS * (HEARTBEAT_TIMEOUT_INTERVALS * MS_PER_S));
     }
 
+    /** How many controllers the deployment has, this one included. */
+    public int controllerCount() {
+        return peers.size() + 1;
+    }
+
     /** Requests a second that the store takes of all controllers. */
     public double storeRequestsPerS() {
         return store.requestsPerS();
     }
 
+    /** Milliseconds between requests of this controller, if all together take the given fraction of the rate. */
+    public long storeRequestIntervalMs(double fraction) {
+        return Math.round(MS_PER_S * controllerCount() / (storeRequestsPerS() * fraction));
+    }
+
     /** The most bytes that a stored value may have. */
     public int maxValueBytes() {
         return store.maxValueBytes();
--- a/src/main/java/dewlane/core/controller/AutoscalingAssembly.java
+++ b/src/main/java/dewlane/core/controller/AutoscalingAssembly.java
@@ -25,6 +25,7 @@
         ControllerContext context,
         StoreReplica replica,
         MachineRegistry machines,
+        MachineSchedulability schedulability,
         Membership membership,
         TransactionQueue transactions,
         DependencyGraph dependencies) {
@@ -33,7 +34,7 @@
     Autoscaler autoscaler(QuotaEnforcer quota) {
         DecommissionWriter writer = new DecommissionWriter(context, replica, transactions);
         InstanceInventory inventory = new InstanceInventory(context, machines, writer);
-        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability(), quota, dependencies);
+        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, dependencies);
         InstancePoolSelector pools = new InstancePoolSelector(context, machines);
         return new Autoscaler(
                 context,
@@ -47,11 +48,7 @@
     /** The scale-in of idle machines of this controller's partition. */
     ScaleIn scaleIn(AuthorityMonitor authority) {
         IdleMachineFinder idleMachines =
-                new IdleMachineFinder(context, replica, machines, schedulability(), dependencies);
+                new IdleMachineFinder(context, replica, machines, schedulability, dependencies);
         return new ScaleIn(context, replica, membership, authority, transactions, idleMachines);
     }
-
-    private MachineSchedulability schedulability() {
-        return new MachineSchedulability(context, replica, machines);
-    }
 }
--- a/src/main/java/dewlane/core/controller/CloudInputs.java
+++ b/src/main/java/dewlane/core/controller/CloudInputs.java
@@ -2,6 +2,7 @@
 
 import dewlane.core.autoscaling.Autoscaler;
 import dewlane.core.fleet.MachineRegistry;
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 
 /** Answers of the cloud. */
@@ -16,11 +17,11 @@
         this.scheduling = scheduling;
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.MachineTypesListed.class, this::onMachineTypesListed);
-        dispatcher.on(Input.InstancesListed.class, autoscaler::onInstancesListed);
-        dispatcher.on(Input.InstancesCreated.class, autoscaler::onInstancesCreated);
-        dispatcher.on(Input.InstancesDeleted.class, autoscaler::onInstancesDeleted);
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.MachineTypesListed.class, this::onMachineTypesListed);
+        handlers.on(Input.InstancesListed.class, autoscaler::onInstancesListed);
+        handlers.on(Input.InstancesCreated.class, autoscaler::onInstancesCreated);
+        handlers.on(Input.InstancesDeleted.class, autoscaler::onInstancesDeleted);
     }
 
     private void onMachineTypesListed(Input.MachineTypesListed in) {
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -6,6 +6,7 @@
 import dewlane.core.message.ControllerCounters;
 import dewlane.core.message.Counter;
 import dewlane.core.message.Effect;
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 import dewlane.core.schema.ValueSizer;
 import java.util.List;
@@ -19,7 +20,7 @@
     private final ControllerContext context;
     private final ControllerCounters counters;
     private final MachineRegistry machines;
-    private final InputDispatcher dispatcher;
+    private final HandlerTable<Input> handlers;
     private final SchedulingTrigger scheduling;
     private final Readiness readiness;
 
@@ -34,7 +35,7 @@
         this.context = assembly.context();
         this.counters = assembly.counters();
         this.machines = assembly.machines();
-        this.dispatcher = assembly.inputDispatcher();
+        this.handlers = assembly.inputHandlers();
         this.scheduling = assembly.scheduling();
         this.readiness = assembly.readiness();
     }
@@ -48,7 +49,7 @@
      */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
         context.startMessage(nowMs, wallMs);
-        dispatcher.dispatch(input);
+        handlers.dispatch(input);
         scheduling.runIfDue();
         return context.takeEffects();
     }
--- a/src/main/java/dewlane/core/controller/ControllerAssembly.java
+++ b/src/main/java/dewlane/core/controller/ControllerAssembly.java
@@ -22,9 +22,12 @@
 import dewlane.core.membership.PeerTable;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.ControllerCounters;
+import dewlane.core.message.HandlerTable;
+import dewlane.core.message.Input;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.quota.QuotaRebalancer;
 import dewlane.core.quota.QuotaTransferPlanner;
+import dewlane.core.scheduling.MachineSchedulability;
 import dewlane.core.scheduling.PartitionSelector;
 import dewlane.core.scheduling.SchedulingCycle;
 import dewlane.core.scheduling.SliceAssigner;
@@ -87,11 +90,13 @@
         quota = new QuotaEnforcer(settings, replica, machines);
         partitionCapacity = new PartitionCapacity(context, replica, machines);
         partitions = new PartitionSelector(context, replica, partitionCapacity, quota, dependencyGraph);
-        schedulingCycle = new SchedulingAssembly(context, replica, machines, membership, transactions, counters)
+        MachineSchedulability schedulability = new MachineSchedulability(context, replica, machines);
+        schedulingCycle = new SchedulingAssembly(
+                        context, replica, machines, schedulability, membership, transactions, counters)
                 .cycle(quota, partitions, dependencyGraph, dependencies, cancellations, sizer);
         commands = commandDispatcher();
-        AutoscalingAssembly autoscaling =
-                new AutoscalingAssembly(context, replica, machines, membership, transactions, dependencyGraph);
+        AutoscalingAssembly autoscaling = new AutoscalingAssembly(
+                context, replica, machines, schedulability, membership, transactions, dependencyGraph);
         autoscaler = autoscaling.autoscaler(quota);
         scaleIn = autoscaling.scaleIn(authority);
         barrier = new ReadBarrier(context, replica);
@@ -139,19 +144,19 @@
         return new Readiness(storeWatcher, membership, machines, storeConnectivity, peers);
     }
 
-    /** A dispatcher with the handlers of all inputs. */
-    InputDispatcher inputDispatcher() {
-        InputDispatcher dispatcher = new InputDispatcher();
-        periodicTasks().register(dispatcher);
-        new WorkerInputs(heartbeatHandler(), scheduling).register(dispatcher);
-        userInputs().register(dispatcher);
-        new WatchInputs(storeWatcher, scheduling).register(dispatcher);
+    /** The handlers of all inputs. */
+    HandlerTable<Input> inputHandlers() {
+        HandlerTable<Input> handlers = new HandlerTable<>(Input.class);
+        periodicTasks().register(handlers);
+        new WorkerInputs(heartbeatHandler(), scheduling).register(handlers);
+        userInputs().register(handlers);
+        new WatchInputs(storeWatcher, scheduling).register(handlers);
         new StoreInputs(storeConnectivity, transactions, resultReader, barrier, membership, scheduling)
-                .register(dispatcher);
-        new CloudInputs(machines, autoscaler, scheduling).register(dispatcher);
-        new PeerInputs(peers, machines, membership, cancellations, replica, scheduling).register(dispatcher);
-        dispatcher.requireComplete();
-        return dispatcher;
+                .register(handlers);
+        new CloudInputs(machines, autoscaler, scheduling).register(handlers);
+        new PeerInputs(peers, machines, membership, cancellations, replica, scheduling).register(handlers);
+        handlers.requireComplete();
+        return handlers;
     }
 
     private HeartbeatHandler heartbeatHandler() {
--- a/src/main/java/dewlane/core/controller/PeerInputs.java
+++ b/src/main/java/dewlane/core/controller/PeerInputs.java
@@ -4,6 +4,7 @@
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.membership.Membership;
 import dewlane.core.membership.PeerTable;
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 import dewlane.core.model.PeerStatus;
 import dewlane.core.store.JobEntry;
@@ -33,8 +34,8 @@
         this.scheduling = scheduling;
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.PeerStatusReceived.class, in -> onStatus(in.status()));
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.PeerStatusReceived.class, in -> onStatus(in.status()));
     }
 
     private void onStatus(PeerStatus status) {
--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -26,7 +26,7 @@
     private final Membership membership;
     private final CancellationTracker cancellations;
     private final SchedulingCycle schedulingCycle;
-    private long broadcastAtMs = Long.MIN_VALUE / 2;
+    private long broadcastAtMs = ControllerContext.NEVER_MS;
 
     PeerStatusBroadcaster(
             ControllerContext context,
--- a/src/main/java/dewlane/core/controller/PeriodicTasks.java
+++ b/src/main/java/dewlane/core/controller/PeriodicTasks.java
@@ -1,6 +1,7 @@
 package dewlane.core.controller;
 
 import dewlane.core.message.ControllerContext;
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 import java.util.List;
 
@@ -13,7 +14,7 @@
     private final ControllerContext context;
     private final List<Runnable> everyTick;
     private final List<Runnable> everySecond;
-    private long slowTickAtMs = Long.MIN_VALUE / 2;
+    private long slowTickAtMs = ControllerContext.NEVER_MS;
 
     PeriodicTasks(ControllerContext context, List<Runnable> everyTick, List<Runnable> everySecond) {
         this.context = context;
@@ -21,8 +22,8 @@
         this.everySecond = List.copyOf(everySecond);
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.Tick.class, tick -> run());
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.Tick.class, tick -> run());
     }
 
     private void run() {
--- a/src/main/java/dewlane/core/controller/SchedulingAssembly.java
+++ b/src/main/java/dewlane/core/controller/SchedulingAssembly.java
@@ -31,6 +31,7 @@
         ControllerContext context,
         StoreReplica replica,
         MachineRegistry machines,
+        MachineSchedulability schedulability,
         Membership membership,
         TransactionQueue transactions,
         ControllerCounters counters) {
@@ -56,7 +57,7 @@
                 planner);
         return new SchedulingCycle(
                 membership,
-                new MachineSurvey(context, machines, new MachineSchedulability(context, replica, machines)),
+                new MachineSurvey(context, machines, schedulability),
                 new JobQueue(replica, machines, dependencyGraph, quota, ownership, counters),
                 writer,
                 planner,
--- a/src/main/java/dewlane/core/controller/SchedulingTrigger.java
+++ b/src/main/java/dewlane/core/controller/SchedulingTrigger.java
@@ -17,7 +17,7 @@
     private final SchedulingCycle cycle;
     private final CommandDispatcher commands;
     private boolean requested;
-    private long cycleAtMs = Long.MIN_VALUE / 2;
+    private long cycleAtMs = ControllerContext.NEVER_MS;
 
     SchedulingTrigger(ControllerContext context, SchedulingCycle cycle, CommandDispatcher commands) {
         this.context = context;
--- a/src/main/java/dewlane/core/controller/StoreInputs.java
+++ b/src/main/java/dewlane/core/controller/StoreInputs.java
@@ -1,6 +1,7 @@
 package dewlane.core.controller;
 
 import dewlane.core.membership.Membership;
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 import dewlane.core.schema.Transaction;
 import dewlane.core.store.JobResultReader;
@@ -35,15 +36,15 @@
         this.scheduling = scheduling;
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.TransactionCompleted.class, this::onTransactionCompleted);
-        dispatcher.on(Input.ValueRead.class, this::onValueRead);
-        dispatcher.on(Input.ValueReadFailed.class, this::onValueReadFailed);
-        dispatcher.on(Input.RevisionRead.class, this::onRevisionRead);
-        dispatcher.on(Input.RevisionReadFailed.class, failed -> barrier.onRevisionReadFailed());
-        dispatcher.on(Input.LeaseGranted.class, this::onLeaseGranted);
-        dispatcher.on(Input.LeaseGrantFailed.class, failed -> membership.onLeaseGrantFailed());
-        dispatcher.on(Input.LeaseRenewalCompleted.class, this::onLeaseRenewalCompleted);
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.TransactionCompleted.class, this::onTransactionCompleted);
+        handlers.on(Input.ValueRead.class, this::onValueRead);
+        handlers.on(Input.ValueReadFailed.class, this::onValueReadFailed);
+        handlers.on(Input.RevisionRead.class, this::onRevisionRead);
+        handlers.on(Input.RevisionReadFailed.class, failed -> barrier.onRevisionReadFailed());
+        handlers.on(Input.LeaseGranted.class, this::onLeaseGranted);
+        handlers.on(Input.LeaseGrantFailed.class, failed -> membership.onLeaseGrantFailed());
+        handlers.on(Input.LeaseRenewalCompleted.class, this::onLeaseRenewalCompleted);
     }
 
     private void onTransactionCompleted(Input.TransactionCompleted in) {
--- a/src/main/java/dewlane/core/controller/UserInputs.java
+++ b/src/main/java/dewlane/core/controller/UserInputs.java
@@ -3,6 +3,7 @@
 import dewlane.core.admission.CancellationHandler;
 import dewlane.core.admission.JobStatusHandler;
 import dewlane.core.admission.SubmissionHandler;
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 
 /** Requests of users. What they change comes back from the store, so none of them asks for a scheduling cycle. */
@@ -17,9 +18,9 @@
         this.cancellations = cancellations;
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.SubmitJob.class, submissions::onSubmit);
-        dispatcher.on(Input.GetJobStatus.class, statuses::onGetStatus);
-        dispatcher.on(Input.CancelJob.class, cancellations::onCancel);
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.SubmitJob.class, submissions::onSubmit);
+        handlers.on(Input.GetJobStatus.class, statuses::onGetStatus);
+        handlers.on(Input.CancelJob.class, cancellations::onCancel);
     }
 }
--- a/src/main/java/dewlane/core/controller/WatchInputs.java
+++ b/src/main/java/dewlane/core/controller/WatchInputs.java
@@ -1,5 +1,6 @@
 package dewlane.core.controller;
 
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 import dewlane.core.store.StoreWatcher;
 
@@ -13,11 +14,11 @@
         this.scheduling = scheduling;
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.StoreListed.class, storeWatcher::onListed);
-        dispatcher.on(Input.StoreListFailed.class, failed -> storeWatcher.onListFailed());
-        dispatcher.on(Input.WatchEvents.class, this::onWatchEvents);
-        dispatcher.on(Input.WatchFailed.class, storeWatcher::onWatchFailed);
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.StoreListed.class, storeWatcher::onListed);
+        handlers.on(Input.StoreListFailed.class, failed -> storeWatcher.onListFailed());
+        handlers.on(Input.WatchEvents.class, this::onWatchEvents);
+        handlers.on(Input.WatchFailed.class, storeWatcher::onWatchFailed);
     }
 
     private void onWatchEvents(Input.WatchEvents in) {
--- a/src/main/java/dewlane/core/controller/WorkerInputs.java
+++ b/src/main/java/dewlane/core/controller/WorkerInputs.java
@@ -1,5 +1,6 @@
 package dewlane.core.controller;
 
+import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 import dewlane.core.worker.HeartbeatHandler;
 
@@ -13,9 +14,9 @@
         this.scheduling = scheduling;
     }
 
-    void register(InputDispatcher dispatcher) {
-        dispatcher.on(Input.HeartbeatReceived.class, this::onHeartbeat);
-        dispatcher.on(Input.CommandCompleted.class, this::onCommandCompleted);
+    void register(HandlerTable<Input> handlers) {
+        handlers.on(Input.HeartbeatReceived.class, this::onHeartbeat);
+        handlers.on(Input.CommandCompleted.class, this::onCommandCompleted);
     }
 
     private void onHeartbeat(Input.HeartbeatReceived in) {
--- a/src/main/java/dewlane/core/fleet/AssignedAttempt.java
+++ b/src/main/java/dewlane/core/fleet/AssignedAttempt.java
@@ -18,7 +18,7 @@
         this.job = job;
         this.slice = slice;
         this.attempt = attempt;
-        this.id = new AttemptId(job.id(), attempt.task(), attempt.number());
+        this.id = attempt.idIn(job.id());
     }
 
     /** The job of the attempt's task. */
--- a/src/main/java/dewlane/core/fleet/AttemptTracker.java
+++ b/src/main/java/dewlane/core/fleet/AttemptTracker.java
@@ -104,7 +104,7 @@
 
     private void remove(JobEntry job, Job spec, Attempt attempt) {
         Machine machine = machines.getOrCreate(attempt.machine());
-        AttemptId id = new AttemptId(job.id(), attempt.task(), attempt.number());
+        AttemptId id = attempt.idIn(job.id());
         AssignedAttempt assigned = machine.load().remove(id);
         if (assigned == null) {
             return;
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -4,6 +4,7 @@
 import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import dewlane.core.schema.StoredValue.Slice;
+import dewlane.core.store.UnresolvedWrite;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Iterator;
@@ -26,12 +27,13 @@
     /** A launch that the replica does not show yet. */
     public record Launch(Machine machine, Attempt attempt, int slice, Job spec) {}
 
-    private final WriteState write = new WriteState();
+    private final UnresolvedWrite write = new UnresolvedWrite();
     private final PendingOutcomes outcomes = new PendingOutcomes();
     private final FailureBackoff failures = new FailureBackoff();
     /** Launches in the write in flight, or in one that the replica does not show yet. */
     private final List<Launch> launchesInFlight = new ArrayList<>();
 
+    private long pausedUntilMs;
     private long handedOverAtMs;
     private long handoverCheckedAtMs;
 
@@ -47,12 +49,12 @@
 
     /** Nothing is written before the given steady time, as a write was called invalid. */
     public void pauseUntil(long atMs) {
-        write.pauseUntil(atMs);
+        pausedUntilMs = atMs;
     }
 
     /** True while a write is in flight, its revision is not yet in the replica, or the job is paused. */
     public boolean isBusy(long revision, long now) {
-        return write.isBusy(revision, now);
+        return write.isUnresolved(revision) || now < pausedUntilMs;
     }
 
     /** True while a write is in flight or its revision is not yet in the replica. */
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -3,7 +3,6 @@
 import dewlane.core.message.ControllerContext;
 import dewlane.core.model.AttemptId;
 import dewlane.core.schema.StoredValue.Slice;
-import dewlane.core.store.JobEntry;
 import dewlane.core.store.StoreReplica;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -105,8 +104,7 @@
     }
 
     private void removeIfOver(String id) {
-        JobEntry job = replica.job(id);
-        if (job == null || job.job() == null) {
+        if (replica.activeJob(id) == null) {
             byJob.remove(id);
         }
     }
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -207,6 +207,11 @@
         return load.usage();
     }
 
+    /** True if tasks of the job may run on the machine, as far as its other tasks do not matter. */
+    public boolean isAllowedFor(Job job) {
+        return job.allows(typeName, zone, spot);
+    }
+
     /** The number of tasks of the job that fit beside what is used and reserved. */
     public int capacityFor(MachineType type, Job job) {
         return load.capacityFor(type, job);
--- a/src/main/java/dewlane/core/fleet/PartitionCapacity.java
+++ b/src/main/java/dewlane/core/fleet/PartitionCapacity.java
@@ -22,7 +22,7 @@
     /** By requirements, the number of tasks that fit into each partition, in the order of the map's members. */
     private final Map<Job.Requirements, int[]> cached = new HashMap<>();
 
-    private long countedAtMs = Long.MIN_VALUE / 2;
+    private long countedAtMs = ControllerContext.NEVER_MS;
     private long countedForRevision;
     private long generation;
 
@@ -55,10 +55,7 @@
         int[] capacity = new int[members.size()];
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
-            if (type != null
-                    && type.fits(requirements)
-                    && acceptsTasks(machine)
-                    && job.allows(machine.typeName(), machine.zone(), machine.isSpot())) {
+            if (type != null && type.fits(requirements) && acceptsTasks(machine) && machine.isAllowedFor(job)) {
                 capacity[indexOf(members, machine.owner())] += machine.usage().capacityFor(type, job);
             }
         }
@@ -80,7 +77,7 @@
     }
 
     private boolean acceptsTasks(Machine machine) {
-        if (machine.owner() == null || replica.decommissionsByMachine().containsKey(machine.name())) {
+        if (machine.owner() == null || replica.isDecommissioned(machine.name())) {
             return false;
         }
         if (machines.owns(machine)) {
--- a/src/main/java/dewlane/core/fleet/WorkerState.java
+++ b/src/main/java/dewlane/core/fleet/WorkerState.java
@@ -55,7 +55,7 @@
         fencingToken = heartbeat.fencingToken();
         tasks = new HashMap<>();
         for (TaskStatus status : heartbeat.tasks()) {
-            tasks.put(new AttemptId(status.job(), status.task(), status.attempt()), status);
+            tasks.put(status.attemptId(), status);
         }
     }
 
--- a/src/main/java/dewlane/core/job/DependencyResolver.java
+++ b/src/main/java/dewlane/core/job/DependencyResolver.java
@@ -31,7 +31,7 @@
     private final Set<String> urgent = new LinkedHashSet<>();
 
     private final Set<String> inFlight = new HashSet<>();
-    private long backoffUntilMs = Long.MIN_VALUE / 2;
+    private long backoffUntilMs = ControllerContext.NEVER_MS;
 
     DependencyResolver(
             ControllerContext context, StoreReplica replica, DependencyGraph graph, JobResultReader resultReader) {
--- a/src/main/java/dewlane/core/membership/MachineClaims.java
+++ b/src/main/java/dewlane/core/membership/MachineClaims.java
@@ -20,7 +20,7 @@
     private final StoreReplica replica;
     private final String self;
     private final Set<String> machines = new HashSet<>();
-    private long takenAtMs = Long.MIN_VALUE / 2;
+    private long takenAtMs = ControllerContext.NEVER_MS;
 
     MachineClaims(ControllerContext context, StoreReplica replica) {
         this.context = context;
@@ -50,7 +50,6 @@
 
     /** True if the machine is this controller's by now, or on its way out. */
     private boolean isSettled(String machine) {
-        return self.equals(Partitioner.ownerOf(replica.partitionMap(), machine))
-                || replica.decommissionsByMachine().containsKey(machine);
+        return self.equals(Partitioner.ownerOf(replica.partitionMap(), machine)) || replica.isDecommissioned(machine);
     }
 }
--- a/src/main/java/dewlane/core/membership/PartitionMapBuilder.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapBuilder.java
@@ -81,9 +81,7 @@
             replica.partitionMap().reassignedMachines().forEach((machine, owner) -> {
                 boolean remains =
                         members.stream().anyMatch(member -> member.name().equals(owner));
-                if (remains
-                        && !replica.decommissionsByMachine().containsKey(machine)
-                        && reassigned.size() < MAX_REASSIGNED_MACHINES) {
+                if (remains && !replica.isDecommissioned(machine) && reassigned.size() < MAX_REASSIGNED_MACHINES) {
                     reassigned.putIfAbsent(machine, owner);
                 }
             });
--- a/src/main/java/dewlane/core/membership/PartitionMapWriter.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapWriter.java
@@ -8,6 +8,7 @@
 import dewlane.core.schema.TransactionPriority;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
+import dewlane.core.store.UnresolvedWrite;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -18,8 +19,7 @@
 final class PartitionMapWriter {
     private final StoreReplica replica;
     private final TransactionQueue transactions;
-    private boolean inFlight;
-    private long completedAtRevision;
+    private final UnresolvedWrite lastWrite = new UnresolvedWrite();
 
     PartitionMapWriter(StoreReplica replica, TransactionQueue transactions) {
         this.replica = replica;
@@ -28,7 +28,7 @@
 
     /** True if a map may be written. */
     boolean isReady() {
-        return !inFlight && replica.revision() >= completedAtRevision;
+        return !lastWrite.isUnresolved(replica.revision());
     }
 
     /** Writes a map to which a controller has been added, and attaches its presence to the lease. */
@@ -56,10 +56,9 @@
     }
 
     private void submit(Transaction.Builder transaction, Consumer<Transaction.Status> done) {
-        inFlight = true;
+        lastWrite.begin();
         transactions.submit(TransactionPriority.MEMBERSHIP, transaction.build(), (status, revision) -> {
-            inFlight = false;
-            completedAtRevision = revision;
+            lastWrite.complete(revision);
             done.accept(status);
         });
     }
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -10,6 +10,9 @@
  * random choices, and the effects so far. Used by one thread only.
  */
 public final class ControllerContext {
+    /** A steady time long before any other, for what has not happened yet: the time since then does not overflow. */
+    public static final long NEVER_MS = Long.MIN_VALUE / 2;
+
     private final Settings settings;
     private final SplittableRandom random;
     private List<Effect> effects = new ArrayList<>();
--- a/src/main/java/dewlane/core/message/Effect.java
+++ b/src/main/java/dewlane/core/message/Effect.java
@@ -133,7 +133,10 @@
     record ListMachineTypes() implements Effect {}
 
     /** Read the list of instances; answered by {@link Input.InstancesListed}. */
-    record ListInstances() implements Effect {}
+    record ListInstances() implements Effect {
+        /** How many instances the cloud lists by one request. */
+        public static final int PAGE_SIZE = 500;
+    }
 
     /**
      * Create instances; answered by {@link Input.InstancesCreated}.
@@ -148,6 +151,9 @@
 
     /** Delete instances by name; answered by {@link Input.InstancesDeleted}. */
     record DeleteInstances(List<String> machines) implements Effect {
+        /** The most instances that the cloud deletes by one request. */
+        public static final int MAX_INSTANCES = 100;
+
         public DeleteInstances {
             machines = List.copyOf(machines);
         }
--- a/src/main/java/dewlane/core/model/Attempt.java
+++ b/src/main/java/dewlane/core/model/Attempt.java
@@ -11,4 +11,9 @@
  * @param fencingToken the only token under which this launch is ever commanded
  * @param launchedAtMs time of day of the launch in milliseconds
  */
-public record Attempt(int task, int number, String machine, long incarnation, long fencingToken, long launchedAtMs) {}
+public record Attempt(int task, int number, String machine, long incarnation, long fencingToken, long launchedAtMs) {
+    /** Identifies the attempt, as one of the given job. */
+    public AttemptId idIn(String job) {
+        return new AttemptId(job, task, number);
+    }
+}
--- a/src/main/java/dewlane/core/model/AttemptId.java
+++ b/src/main/java/dewlane/core/model/AttemptId.java
@@ -8,6 +8,17 @@
  * @param number the launch number, see {@link Attempt}
  */
 public record AttemptId(String job, int task, int number) {
+    /** Names the task in the log. */
+    public String taskName() {
+        return job + "/" + task;
+    }
+
+    /** Names the attempt in the log. */
+    @Override
+    public String toString() {
+        return taskName() + " #" + number;
+    }
+
     // Written out for speed: this is the key of the busiest maps, and generated methods are linked at run time.
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/dewlane/core/model/Heartbeat.java
+++ b/src/main/java/dewlane/core/model/Heartbeat.java
@@ -40,7 +40,12 @@
      * @param checkpointSaved true if its progress was saved when it was stopped
      */
     public record TaskStatus(
-            String job, int task, int attempt, Phase phase, ExitReason exitReason, boolean checkpointSaved) {}
+            String job, int task, int attempt, Phase phase, ExitReason exitReason, boolean checkpointSaved) {
+        /** The attempt that the status is of. */
+        public AttemptId attemptId() {
+            return new AttemptId(job, task, attempt);
+        }
+    }
 
     /** Where an attempt is. */
     public enum Phase {
--- a/src/main/java/dewlane/core/model/WorkerCommand.java
+++ b/src/main/java/dewlane/core/model/WorkerCommand.java
@@ -11,6 +11,11 @@
  */
 public record WorkerCommand(Action action, String job, int task, int attempt, double graceS) {
 
+    /** The attempt that the command is about. */
+    public AttemptId attemptId() {
+        return new AttemptId(job, task, attempt);
+    }
+
     /** What to do with the attempt. */
     public enum Action {
         /** Start it; without effect if the worker already holds the attempt in any state. */
--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -28,7 +28,7 @@
     private final AuthorityMonitor authority;
     private final DependencyGraph dependencies;
     private final QuotaTransferPlanner planner;
-    private long transferredAtMs = Long.MIN_VALUE / 2;
+    private long transferredAtMs = ControllerContext.NEVER_MS;
 
     /** Writes the planner's transfers by way of the membership, which owns the partition map. */
     public QuotaRebalancer(
--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -67,7 +67,7 @@
     private boolean isCandidate(Machine machine, MachineType type, JobEntry job) {
         Job spec = job.job();
         return machine.capacityFor(type, spec) >= 1
-                && spec.allows(machine.typeName(), machine.zone(), machine.isSpot())
+                && machine.isAllowedFor(spec)
                 && (!machine.failedJobs().contains(job.id())
                         || machines.progress().getOrCreate(job.id()).isFaulty());
     }
--- a/src/main/java/dewlane/core/scheduling/JobQueue.java
+++ b/src/main/java/dewlane/core/scheduling/JobQueue.java
@@ -71,8 +71,8 @@
     private List<JobEntry> withRecord(Collection<String> ids) {
         List<JobEntry> jobs = new ArrayList<>();
         for (String id : ids) {
-            JobEntry job = replica.job(id);
-            if (job != null && job.job() != null) {
+            JobEntry job = replica.activeJob(id);
+            if (job != null) {
                 jobs.add(job);
             }
         }
--- a/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
+++ b/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
@@ -10,14 +10,12 @@
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
-    private final String self;
 
     /** Judges by the replica's decommission records and what the registry knows. */
     public MachineSchedulability(ControllerContext context, StoreReplica replica, MachineRegistry machines) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
-        this.self = context.settings().controllerName();
     }
 
     /**
@@ -25,10 +23,10 @@
      * what its owner said within the last few seconds.
      */
     public boolean isSchedulable(Machine machine) {
-        if (machine.owner() == null || replica.decommissionsByMachine().containsKey(machine.name())) {
+        if (machine.owner() == null || replica.isDecommissioned(machine.name())) {
             return false;
         }
-        return machine.owner().equals(self) ? isOwnedSchedulable(machine) : machines.isListedByOwner(machine);
+        return machines.owns(machine) ? isOwnedSchedulable(machine) : machines.isListedByOwner(machine);
     }
 
     private boolean isOwnedSchedulable(Machine machine) {
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
@@ -4,7 +4,6 @@
 import dewlane.core.fleet.JobProgress.Outcome;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.model.Attempt;
-import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import dewlane.core.quota.QuotaEnforcer;
 import dewlane.core.schema.StoredValue.Slice;
@@ -69,7 +68,7 @@
     }
 
     private static Outcome outcomeOf(JobUpdate update, Attempt attempt) {
-        return update.progress().outcome(new AttemptId(update.job().id(), attempt.task(), attempt.number()));
+        return update.progress().outcome(attempt.idIn(update.job().id()));
     }
 
     /** Writes the outcomes that have gathered for long enough, for as many slices as the transaction holds. */
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -97,7 +97,7 @@
     /** Adds what it costs to make capacity for one more task on the machine, if that can be done. */
     private void addOption(PriorityQueue<Option> options, Machine machine, JobEntry job) {
         MachineType type = machines.type(machine);
-        if (job.job().allows(machine.typeName(), machine.zone(), machine.isSpot()) && type.fits(job.requirements())) {
+        if (machine.isAllowedFor(job.job()) && type.fits(job.requirements())) {
             victimSelector
                     .select(machine, type, job, expectedUsage.usageOf(machine))
                     .ifPresent(victims -> options.add(new Option(machine, victims)));
@@ -106,8 +106,7 @@
 
     private void preempt(Machine machine, AssignedAttempt victim, JobEntry job) {
         Job spec = victim.job().job();
-        context.debug("preempting " + victim.job().id() + "/" + victim.attempt().task() + " on " + machine.name()
-                + " for " + job.id());
+        context.debug("preempting " + victim.id().taskName() + " on " + machine.name() + " for " + job.id());
         double graceS = spec.checkpointIntervalS() > 0 ? spec.checkpointDurationS() + 1 : 0;
         machine.commands().preempt(victim.id(), graceS);
         expectedUsage.release(machine, spec);
--- a/src/main/java/dewlane/core/store/DecommissionIndex.java
+++ b/src/main/java/dewlane/core/store/DecommissionIndex.java
@@ -60,7 +60,8 @@
         return byKey.values();
     }
 
-    Map<String, Entry> byMachine() {
-        return byMachine;
+    /** The record about the machine, or null. */
+    Entry get(String machine) {
+        return byMachine.get(machine);
     }
 }
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -42,8 +42,7 @@
         this.context = context;
         this.replica = replica;
         Settings settings = context.settings();
-        double controllers = settings.peers().size() + 1;
-        double readsPerS = settings.storeRequestsPerS() * REQUEST_FRACTION / controllers;
+        double readsPerS = settings.storeRequestsPerS() * REQUEST_FRACTION / settings.controllerCount();
         this.rate = new TokenBucket(readsPerS, Math.max(MIN_BURST, readsPerS));
     }
 
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -1,6 +1,5 @@
 package dewlane.core.store;
 
-import dewlane.core.config.Settings;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
@@ -40,15 +39,13 @@
     private final Deque<Batch> batches = new ArrayDeque<>();
 
     private boolean requestInFlight;
-    private long requestedAtMs = Long.MIN_VALUE / 2;
+    private long requestedAtMs = ControllerContext.NEVER_MS;
 
     /** A barrier in front of the replica, without questions. */
     public ReadBarrier(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
-        Settings settings = context.settings();
-        int controllers = settings.peers().size() + 1;
-        this.requestIntervalMs = Math.round(1000 * controllers / (settings.storeRequestsPerS() * REQUEST_FRACTION));
+        this.requestIntervalMs = context.settings().storeRequestIntervalMs(REQUEST_FRACTION);
     }
 
     /**
--- a/src/main/java/dewlane/core/store/ReducedRateDetector.java
+++ b/src/main/java/dewlane/core/store/ReducedRateDetector.java
@@ -23,8 +23,8 @@
     private final ControllerContext context;
     private final StoreLimits limits;
     private int refusals;
-    private long windowStartMs = Long.MIN_VALUE / 2;
-    private long reducedUntilMs = Long.MIN_VALUE / 2;
+    private long windowStartMs = ControllerContext.NEVER_MS;
+    private long reducedUntilMs = ControllerContext.NEVER_MS;
     private int doublings;
 
     ReducedRateDetector(ControllerContext context) {
--- a/src/main/java/dewlane/core/store/ReplicaFreshness.java
+++ b/src/main/java/dewlane/core/store/ReplicaFreshness.java
@@ -25,7 +25,7 @@
 
     private final ControllerContext context;
     private final long maxRenewalAgeMs;
-    private long viewAtMs = Long.MIN_VALUE / 2;
+    private long viewAtMs = ControllerContext.NEVER_MS;
 
     /** Derives the bounds from the deployment's settings, and logs where these leave too little time. */
     public ReplicaFreshness(ControllerContext context) {
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -216,9 +216,14 @@
         return decommissions.byKey();
     }
 
-    /** The decommission records by the names of the machines that they are about. */
-    public Map<String, DecommissionIndex.Entry> decommissionsByMachine() {
-        return decommissions.byMachine();
+    /** The decommission record about the machine, or null if there is none. */
+    public DecommissionIndex.Entry decommission(String machine) {
+        return decommissions.get(machine);
+    }
+
+    /** True if there is a decommission record about the machine. */
+    public boolean isDecommissioned(String machine) {
+        return decommission(machine) != null;
     }
 
     /** The controllers whose leases have not expired, by name. */
--- a/src/main/java/dewlane/core/store/WriteRateLimiter.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -29,7 +29,7 @@
     private long refilledAtMs = Long.MIN_VALUE;
     private int controllers = 1;
     private double shares = 1;
-    private long emptiedAtMs = Long.MIN_VALUE / 2;
+    private long emptiedAtMs = ControllerContext.NEVER_MS;
 
     WriteRateLimiter(ControllerContext context) {
         this.context = context;
--- a/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
@@ -30,7 +30,7 @@
     private final MachineRegistry machines;
     private final Membership membership;
     private final CancelledTaskAge cancelledTasks;
-    private long requestedAtMs = Long.MIN_VALUE / 2;
+    private long requestedAtMs = ControllerContext.NEVER_MS;
 
     CancelledTaskEviction(
             ControllerContext context,
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -61,16 +61,12 @@
         Set<AttemptId> launches = new HashSet<>();
         for (WorkerCommand command : commands) {
             if (command.action() == Action.LAUNCH) {
-                launches.add(attemptOf(command));
+                launches.add(command.attemptId());
             }
         }
         return launches;
     }
 
-    private static AttemptId attemptOf(WorkerCommand command) {
-        return new AttemptId(command.job(), command.task(), command.attempt());
-    }
-
     /** Sends what is new directly; the responses to heartbeats repeat it. One command at a time goes to a machine. */
     public void sendDirectCommands() {
         if (!membership.isMember() || machines.changed().isEmpty()) {
@@ -117,7 +113,7 @@
         counters.increment(Counter.COMMANDS);
         machine.reachability().markTokenSent();
         for (WorkerCommand command : commands) {
-            machine.commands().commanded(attemptOf(command), context.nowMs());
+            machine.commands().commanded(command.attemptId(), context.nowMs());
         }
         machine.commandChannel().commandSent(launches(commands), context.nowMs());
         commandLog.sentDirectly(machine, commands);
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -38,7 +38,7 @@
         }
         StringJoiner text = new StringJoiner(", ");
         for (WorkerCommand command : commands) {
-            text.add(command.action() + " " + name(command.job(), command.task(), command.attempt()));
+            text.add(command.action() + " " + command.attemptId());
         }
         context.debug("commands to " + machine.name() + " " + way + ", " + tokenAndIncarnation(machine)
                 + ", replica at revision " + replica.revision() + ": " + text);
@@ -64,8 +64,8 @@
     /** An attempt has ended, and the command to forget it has to wait. */
     void forgetDeferred(Machine machine, AttemptId id) {
         if (context.logsCommands()) {
-            context.debug("forget of " + name(id.job(), id.task(), id.number()) + " on " + machine.name()
-                    + " deferred, " + tokenAndIncarnation(machine) + ": a launch of it is in flight");
+            context.debug("forget of " + id + " on " + machine.name() + " deferred, " + tokenAndIncarnation(machine)
+                    + ": a launch of it is in flight");
         }
     }
 
@@ -80,8 +80,4 @@
         return "token " + machine.fencingToken() + " incarnation "
                 + machine.worker().incarnation();
     }
-
-    private static String name(String job, int task, int attempt) {
-        return job + "/" + task + " #" + attempt;
-    }
 }
--- a/src/main/java/dewlane/core/worker/DecommissionPolicy.java
+++ b/src/main/java/dewlane/core/worker/DecommissionPolicy.java
@@ -21,7 +21,7 @@
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final CancelledTaskAge cancelledTasks;
-    private long massSilenceAtMs = Long.MIN_VALUE / 2;
+    private long massSilenceAtMs = ControllerContext.NEVER_MS;
 
     DecommissionPolicy(ControllerContext context, MachineRegistry machines, CancelledTaskAge cancelledTasks) {
         this.context = context;
--- a/src/main/java/dewlane/core/worker/FailureAttribution.java
+++ b/src/main/java/dewlane/core/worker/FailureAttribution.java
@@ -25,8 +25,7 @@
 
     /** An attempt on the machine has ended; called once for each. */
     void attemptEnded(Machine machine, AssignedAttempt assigned, Outcome outcome) {
-        context.debug(
-                taskName(assigned) + " #" + assigned.attempt().number() + " on " + machine.name() + ": " + outcome);
+        context.debug(assigned.id() + " on " + machine.name() + ": " + outcome);
         if (outcome == Outcome.DONE) {
             machine.clearFailedJobs();
         } else if (outcome == Outcome.ERROR) {
@@ -40,11 +39,7 @@
         machine.addFailedJob(assigned.job().id());
         JobProgress job = progress.getOrCreate(assigned.job().id());
         job.recordFailure(machine.name(), context.nowMs());
-        context.info("task " + taskName(assigned) + " failed on " + machine.name() + " (" + job.failureCount()
+        context.info("task " + assigned.id().taskName() + " failed on " + machine.name() + " (" + job.failureCount()
                 + " failures of the job, " + machine.failedJobs().size() + " jobs on the machine)");
     }
-
-    private static String taskName(AssignedAttempt assigned) {
-        return assigned.job().id() + "/" + assigned.attempt().task();
-    }
 }
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -7,7 +7,6 @@
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 import dewlane.core.schema.StoreKeys;
-import dewlane.core.schema.StoredValue.DecommissionRecord;
 import dewlane.core.schema.StoredValue.DecommissionState;
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.TransactionPriority;
@@ -71,7 +70,7 @@
     private Map<String, String> reasonsByMachine() {
         Map<String, String> reasons = new LinkedHashMap<>();
         for (Machine machine : machines.owned()) {
-            boolean recorded = replica.decommissionsByMachine().containsKey(machine.name());
+            boolean recorded = replica.isDecommissioned(machine.name());
             if (!recorded && !inFlight.contains(machine.name())) {
                 policy.reasonToDecommission(machine).ifPresent(reason -> reasons.put(machine.name(), reason));
             }
@@ -89,20 +88,13 @@
         }
     }
 
-    /**
-     * One record names many machines, since many may fail at once. It is conditional on the partition map: under that
-     * nobody else launches on them, and a controller that was cut off must not decommission machines that others have
-     * taken over and hear.
-     */
+    /** One record names many machines, since many may fail at once. */
     private void writeRecord(List<String> names, String reason) {
         inFlight.addAll(names);
         String key = StoreKeys.decommissionBatch(
                 context.settings().controllerName(), membership.incarnation(), ++recordsWritten);
-        Transaction transaction = new Transaction.Builder()
-                .require(key, 0)
-                .require(StoreKeys.PARTITION_MAP, replica.partitionMapRevision())
-                .put(key, new DecommissionRecord(DecommissionState.DELETE, reason, names))
-                .build();
+        Transaction transaction = DecommissionBatches.transaction(
+                key, replica.partitionMapRevision(), DecommissionState.DELETE, reason, names);
         transactions.submit(TransactionPriority.OUTCOME, transaction, (status, revision) -> inFlight.removeAll(names));
     }
 }
--- a/src/main/java/dewlane/core/worker/MachineStateUpdater.java
+++ b/src/main/java/dewlane/core/worker/MachineStateUpdater.java
@@ -49,7 +49,7 @@
     }
 
     private void updateLifecycle(Machine machine, Heartbeat heartbeat) {
-        if (!replica.decommissionsByMachine().containsKey(machine.name())) {
+        if (!replica.isDecommissioned(machine.name())) {
             machine.lifecycle().withdrawScaleIn();
         }
         if (Double.isNaN(heartbeat.terminationNoticeS())) {
--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -66,18 +66,12 @@
         this.workers = new WorkerConnectionPools(thread, buffers, endpoints.commands());
         this.effects = new EffectDispatcher(
                 requests,
-                storeClient(),
+                new StoreClient(thread, buffers, endpoints.store(), settings, loop::accept),
                 new CloudClient(thread, buffers, endpoints.cloud(), loop::accept),
                 new WorkerCommandClient(workers, loop::accept),
                 new PeerClient(thread, buffers, endpoints.peers().values()));
     }
 
-    private StoreClient storeClient() {
-        int controllers = settings.peers().size() + 1;
-        return new StoreClient(
-                thread, buffers, endpoints.store(), settings.storeRequestsPerS(), controllers, loop::accept);
-    }
-
     private void dispatch(Effect effect) {
         effects.dispatch(effect);
     }
--- a/src/main/java/dewlane/io/EffectDispatcher.java
+++ b/src/main/java/dewlane/io/EffectDispatcher.java
@@ -2,12 +2,10 @@
 
 import dewlane.core.controller.Controller;
 import dewlane.core.message.Effect;
+import dewlane.core.message.HandlerTable;
 import dewlane.wire.UserProtocol;
 import dewlane.wire.WorkerProtocol;
 import io.undertow.util.StatusCodes;
-import java.util.HashMap;
-import java.util.Map;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -15,7 +13,7 @@
 final class EffectDispatcher {
     private static final Logger CORE_LOG = LoggerFactory.getLogger(Controller.class);
 
-    private final Map<Class<? extends Effect>, Consumer<Effect>> handlers = new HashMap<>();
+    private final HandlerTable<Effect> handlers = new HandlerTable<>(Effect.class);
 
     EffectDispatcher(
             PendingRequests requests,
@@ -26,59 +24,48 @@
         registerAnswers(requests);
         registerStore(store);
         registerCloud(cloud);
-        on(Effect.SendCommands.class, workers::send);
-        on(Effect.BroadcastStatus.class, peers::broadcast);
-        on(Effect.Log.class, EffectDispatcher::log);
+        handlers.on(Effect.SendCommands.class, workers::send);
+        handlers.on(Effect.BroadcastStatus.class, peers::broadcast);
+        handlers.on(Effect.Log.class, EffectDispatcher::log);
+        handlers.requireComplete();
     }
 
     private void registerAnswers(PendingRequests requests) {
-        on(Effect.AnswerUser.class, requests::answer);
-        on(
+        handlers.on(Effect.AnswerUser.class, requests::answer);
+        handlers.on(
                 Effect.AnswerHeartbeat.class,
                 e -> requests.answer(
                         e.id(), StatusCodes.OK, WorkerProtocol.heartbeatAnswer(e.fencingToken(), e.commands())));
-        on(
+        handlers.on(
                 Effect.RedirectHeartbeat.class,
                 e -> requests.answer(
                         e.id(), HttpExchanges.MISDIRECTED_REQUEST, WorkerProtocol.redirectAnswer(e.controller())));
-        on(
+        handlers.on(
                 Effect.RejectHeartbeat.class,
                 e -> requests.answer(
                         e.id(), StatusCodes.SERVICE_UNAVAILABLE, UserProtocol.error(HeartbeatEndpoint.NOT_ENTITLED)));
     }
 
     private void registerStore(StoreClient store) {
-        on(Effect.CommitTransaction.class, e -> store.commit(e.id(), e.transaction()));
-        on(Effect.Watch.class, e -> store.watch(e.afterRevision()));
-        on(Effect.ReadValue.class, e -> store.read(e.id(), e.key()));
-        on(Effect.ReadRevision.class, e -> store.readRevision());
-        on(Effect.ListStore.class, e -> store.list());
-        on(Effect.GrantLease.class, e -> store.grantLease(e.ttlMs()));
-        on(Effect.RenewLease.class, e -> store.renewLease(e.lease()));
+        handlers.on(Effect.CommitTransaction.class, e -> store.commit(e.id(), e.transaction()));
+        handlers.on(Effect.Watch.class, e -> store.watch(e.afterRevision()));
+        handlers.on(Effect.ReadValue.class, e -> store.read(e.id(), e.key()));
+        handlers.on(Effect.ReadRevision.class, e -> store.readRevision());
+        handlers.on(Effect.ListStore.class, e -> store.list());
+        handlers.on(Effect.GrantLease.class, e -> store.grantLease(e.ttlMs()));
+        handlers.on(Effect.RenewLease.class, e -> store.renewLease(e.lease()));
     }
 
     private void registerCloud(CloudClient cloud) {
-        on(Effect.ListMachineTypes.class, e -> cloud.listMachineTypes());
-        on(Effect.ListInstances.class, e -> cloud.listInstances());
-        on(Effect.CreateInstances.class, cloud::createInstances);
-        on(Effect.DeleteInstances.class, e -> cloud.deleteInstances(e.machines()));
+        handlers.on(Effect.ListMachineTypes.class, e -> cloud.listMachineTypes());
+        handlers.on(Effect.ListInstances.class, e -> cloud.listInstances());
+        handlers.on(Effect.CreateInstances.class, cloud::createInstances);
+        handlers.on(Effect.DeleteInstances.class, e -> cloud.deleteInstances(e.machines()));
     }
 
-    private <E extends Effect> void on(Class<E> type, Consumer<E> handler) {
-        handlers.put(type, effect -> handler.accept(type.cast(effect)));
-    }
-
-    /**
-     * Carries out one effect.
-     *
-     * @throws IllegalArgumentException if no handler is registered for its type
-     */
+    /** Carries out one effect. */
     void dispatch(Effect effect) {
-        Consumer<Effect> handler = handlers.get(effect.getClass());
-        if (handler == null) {
-            throw new IllegalArgumentException("no handler for " + effect.getClass());
-        }
-        handler.accept(effect);
+        handlers.dispatch(effect);
     }
 
     private static void log(Effect.Log line) {
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -1,5 +1,6 @@
 package dewlane.io;
 
+import dewlane.core.config.Settings;
 import dewlane.core.message.Input;
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.Transaction;
@@ -47,26 +48,14 @@
     private final Consumer<Input> core;
     private final long watchPauseMs;
 
-    /**
-     * Connects to the store when it is first used.
-     *
-     * @param requestsPerS the request rate that all controllers share
-     * @param controllers how many controllers there are
-     */
-    StoreClient(
-            XnioIoThread thread,
-            ByteBufferPool buffers,
-            String address,
-            double requestsPerS,
-            int controllers,
-            Consumer<Input> core) {
+    /** Connects to the store when it is first used; watches keep to their share of the settings' request rate. */
+    StoreClient(XnioIoThread thread, ByteBufferPool buffers, String address, Settings settings, Consumer<Input> core) {
         this.thread = thread;
         this.calls = new HttpConnectionPool(thread, buffers, address, MAX_CALL_CONNECTIONS);
         this.leases = new HttpConnectionPool(thread, buffers, address, MAX_LEASE_CONNECTIONS);
         this.watches = new HttpConnectionPool(thread, buffers, address, MAX_WATCH_CONNECTIONS);
         this.core = core;
-        long fairPauseMs = Math.round(1000 * controllers / (requestsPerS * WATCH_SHARE));
-        this.watchPauseMs = Math.max(MIN_WATCH_PAUSE_MS, fairPauseMs);
+        this.watchPauseMs = Math.max(MIN_WATCH_PAUSE_MS, settings.storeRequestIntervalMs(WATCH_SHARE));
     }
 
     /** Reads all keys but those of job results, page by page. */
--- a/src/main/java/dewlane/wire/CloudProtocol.java
+++ b/src/main/java/dewlane/wire/CloudProtocol.java
@@ -1,5 +1,6 @@
 package dewlane.wire;
 
+import dewlane.core.message.Effect;
 import dewlane.core.model.CloudInstance;
 import dewlane.core.model.MachineType;
 import java.io.IOException;
@@ -15,10 +16,6 @@
     public static final String INSTANCES_PATH = "/machines";
     /** The path that deletes instances. */
     public static final String DELETE_PATH = "/machines/delete";
-    /** The most instances that one request deletes. */
-    public static final int MAX_DELETED_INSTANCES = 100;
-
-    private static final int PAGE_INSTANCES = 500;
 
     private static final String MACHINE_TYPES = "racks";
     private static final String INSTANCES = "casks";
@@ -88,7 +85,7 @@
 
     /** The path of one page of the list of instances, beginning after the given name; null begins at the first. */
     public static String pagePath(String after) {
-        return INSTANCES_PATH + "?limit=" + PAGE_INSTANCES + (after == null ? "" : "&since=" + after);
+        return INSTANCES_PATH + "?limit=" + Effect.ListInstances.PAGE_SIZE + (after == null ? "" : "&since=" + after);
     }
 
     /**
--- a/src/main/java/dewlane/wire/StoreProtocol.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -183,7 +183,7 @@
             out.writeStringField(PUT, write.key());
             out.writeFieldName(VALUE);
             StoredValueCodec.encode(out, write.value());
-            if (write.lease() != 0) {
+            if (write.hasLease()) {
                 out.writeNumberField(LEASE, write.lease());
             }
         }
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -159,6 +159,6 @@
     }
 
     static Job job(String id, int tasks, double cpus) {
-        return JobBuilder.job(id).tasks(tasks).cpus(cpus).acceptedMs(1).build();
+        return JobBuilder.job(id).tasks(tasks).cpus(cpus).acceptedAtMs(1).build();
     }
 }
--- a/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
@@ -108,7 +108,7 @@
                 .team("red")
                 .tasks(tasks)
                 .cpus(0.25)
-                .acceptedMs(1)
+                .acceptedAtMs(1)
                 .build();
         applyJob(job);
         applySlice(
--- a/src/test/java/dewlane/core/job/DependencyTrackerTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -38,7 +38,7 @@
                 .priority(priority)
                 .tasks(2)
                 .deadlineS(deadlineS)
-                .acceptedMs(1000)
+                .acceptedAtMs(1000)
                 .build();
         return new JobRecord(job.withDependencies(List.of(dependencies)), List.of(), 0);
     }
--- a/src/test/java/dewlane/core/model/JobBuilder.java
+++ b/src/test/java/dewlane/core/model/JobBuilder.java
@@ -5,7 +5,7 @@
 /** Builds jobs for tests. What a test does not name is small and ordinary: one task of one CPU, for team blue. */
 public final class JobBuilder {
     private final String id;
-    private String lot = "lot";
+    private String jobClass = "lot";
     private String team = "blue";
     private Priority priority = Priority.HIGH;
     private int tasks = 1;
@@ -16,14 +16,14 @@
     private double imageGb = 1;
     private List<String> types = List.of();
     private String zone;
-    private boolean oneZone;
-    private boolean spread;
-    private boolean spot = true;
-    private double estimateS = 10;
-    private double checkpointS;
-    private double saveS;
+    private boolean sameZone;
+    private boolean spreadZones;
+    private boolean spotAllowed = true;
+    private double expectedRunS = 10;
+    private double checkpointIntervalS;
+    private double checkpointDurationS;
     private double deadlineS;
-    private long acceptedMs;
+    private long acceptedAtMs;
 
     private JobBuilder(String id) {
         this.id = id;
@@ -35,8 +35,8 @@
     }
 
     /** The kind of job. */
-    public JobBuilder lot(String value) {
-        lot = value;
+    public JobBuilder jobClass(String value) {
+        jobClass = value;
         return this;
     }
 
@@ -101,38 +101,38 @@
     }
 
     /** True if all tasks must be in one zone. */
-    public JobBuilder oneZone(boolean value) {
-        oneZone = value;
+    public JobBuilder sameZone(boolean value) {
+        sameZone = value;
         return this;
     }
 
     /** True if tasks must be spread over zones. */
-    public JobBuilder spread(boolean value) {
-        spread = value;
+    public JobBuilder spreadZones(boolean value) {
+        spreadZones = value;
         return this;
     }
 
     /** True if it may use spot machines. */
-    public JobBuilder spot(boolean value) {
-        spot = value;
+    public JobBuilder spotAllowed(boolean value) {
+        spotAllowed = value;
         return this;
     }
 
     /** How long a task is expected to run, in seconds. */
-    public JobBuilder estimateS(double value) {
-        estimateS = value;
+    public JobBuilder expectedRunS(double value) {
+        expectedRunS = value;
         return this;
     }
 
     /** Seconds between checkpoints, 0 for none. */
-    public JobBuilder checkpointS(double value) {
-        checkpointS = value;
+    public JobBuilder checkpointIntervalS(double value) {
+        checkpointIntervalS = value;
         return this;
     }
 
     /** Seconds that saving takes. */
-    public JobBuilder saveS(double value) {
-        saveS = value;
+    public JobBuilder checkpointDurationS(double value) {
+        checkpointDurationS = value;
         return this;
     }
 
@@ -143,21 +143,21 @@
     }
 
     /** The time of day at which it was accepted, in milliseconds. */
-    public JobBuilder acceptedMs(long value) {
-        acceptedMs = value;
+    public JobBuilder acceptedAtMs(long value) {
+        acceptedAtMs = value;
         return this;
     }
 
     /** The job with all that was named. */
     public Job build() {
         return Job.builder(id)
-                .ownership(new JobOwnership(team, lot, priority))
+                .ownership(new JobOwnership(team, jobClass, priority))
                 .tasks(tasks)
                 .resources(new Resources(cpus, gpus, memoryGb))
                 .image(new ContainerImage(image, imageGb))
-                .placement(new PlacementConstraints(types, zone, oneZone, spread, spot))
-                .timing(new JobTiming(estimateS, checkpointS, saveS, deadlineS))
-                .acceptedAtMs(acceptedMs)
+                .placement(new PlacementConstraints(types, zone, sameZone, spreadZones, spotAllowed))
+                .timing(new JobTiming(expectedRunS, checkpointIntervalS, checkpointDurationS, deadlineS))
+                .acceptedAtMs(acceptedAtMs)
                 .build();
     }
 }
--- a/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
+++ b/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
@@ -33,7 +33,7 @@
                 .priority(priority)
                 .tasks(tasks)
                 .cpus(2)
-                .acceptedMs(1)
+                .acceptedAtMs(1)
                 .build();
         replica.apply(new Input.KeyChange(StoreKeys.job(id), new JobRecord(job, List.of(), 0), ready.size() + 1));
         ready.add(replica.job(id));
--- a/src/test/java/dewlane/sim/JobDistributionTest.java
+++ b/src/test/java/dewlane/sim/JobDistributionTest.java
@@ -38,8 +38,8 @@
         SimCluster cluster = cluster(SEED, 3);
         cluster.users.submit(JobBuilder.job(JOB)
                 .types(List.of("large"))
-                .spot(false)
-                .estimateS(1)
+                .spotAllowed(false)
+                .expectedRunS(1)
                 .build());
         cluster.runUntil(120_000);
         assertFinished(cluster, JOB);
@@ -114,7 +114,7 @@
                 .tasks(3)
                 .cpus(4)
                 .types(List.of("large"))
-                .estimateS(5)
+                .expectedRunS(5)
                 .build();
         cluster.users.register(job);
         cluster.checker.taskDone(JOB, 2);
@@ -140,7 +140,7 @@
         cluster.users.submit(JobBuilder.job(jobId(7))
                 .priority(Priority.CRITICAL)
                 .tasks(8)
-                .estimateS(5)
+                .expectedRunS(5)
                 .deadlineS(20)
                 .build());
         cluster.runUntil(75_000);
@@ -158,8 +158,8 @@
         cluster.cloud.capacity = 12;
         cluster.runUntil(15_000);
 
-        cluster.users.submit(zoneJob(1, 6).oneZone(true).build());
-        cluster.users.submit(zoneJob(2, 7).spread(true).build());
+        cluster.users.submit(zoneJob(1, 6).sameZone(true).build());
+        cluster.users.submit(zoneJob(2, 7).spreadZones(true).build());
         cluster.users.submit(zoneJob(3, 6).zone("west").build());
         cluster.runUntil(25_000);
         for (int i = 1; i <= 3; i++) {
@@ -174,6 +174,6 @@
     }
 
     private static JobBuilder zoneJob(int number, int tasks) {
-        return JobBuilder.job(jobId(number)).tasks(tasks).cpus(2).estimateS(30);
+        return JobBuilder.job(jobId(number)).tasks(tasks).cpus(2).expectedRunS(30);
     }
 }
--- a/src/test/java/dewlane/sim/LargeClusterTest.java
+++ b/src/test/java/dewlane/sim/LargeClusterTest.java
@@ -57,7 +57,7 @@
                 .cpus(2)
                 .memoryGb(4)
                 .image("image-" + number % 10)
-                .estimateS(9)
+                .expectedRunS(9)
                 .deadlineS(60)
                 .build();
     }
--- a/src/test/java/dewlane/sim/RandomWorkload.java
+++ b/src/test/java/dewlane/sim/RandomWorkload.java
@@ -44,12 +44,12 @@
                 .image("image-" + cluster.random.nextInt(3))
                 .types(cluster.chance(0.2) ? List.of("large") : List.of())
                 .zone(cluster.chance(0.2) ? "east" : null)
-                .oneZone(oneZone)
-                .spread(!oneZone && cluster.chance(0.15))
-                .spot(cluster.chance(0.7))
-                .estimateS(cluster.between(1, 12))
-                .checkpointS(cluster.chance(0.5) ? 5 : 0)
-                .saveS(cluster.chance(0.5) ? 2 : 0)
+                .sameZone(oneZone)
+                .spreadZones(!oneZone && cluster.chance(0.15))
+                .spotAllowed(cluster.chance(0.7))
+                .expectedRunS(cluster.between(1, 12))
+                .checkpointIntervalS(cluster.chance(0.5) ? 5 : 0)
+                .checkpointDurationS(cluster.chance(0.5) ? 2 : 0)
                 .deadlineS(cluster.chance(dependencyRate) ? 60 : 0)
                 .build();
     }
@@ -85,8 +85,12 @@
     }
 
     private void submitTooLarge(SimController controller, String id) {
-        Job huge =
-                JobBuilder.job(id).team("red").tasks(2).cpus(999).estimateS(5).build();
+        Job huge = JobBuilder.job(id)
+                .team("red")
+                .tasks(2)
+                .cpus(999)
+                .expectedRunS(5)
+                .build();
         controller.submit(huge, answer -> expectStatus(answer, 422, "a job that fits no machine"));
     }
 
--- a/src/test/java/dewlane/sim/SimFixtures.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -56,7 +56,7 @@
                 .priority(priority)
                 .tasks(tasks)
                 .cpus(cpus)
-                .estimateS(estimateS)
+                .expectedRunS(estimateS)
                 .build();
     }
 
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -52,7 +52,7 @@
                     .tasks(9)
                     .cpus(0.02)
                     .memoryGb(0.01)
-                    .estimateS(1)
+                    .expectedRunS(1)
                     .build());
             for (int step = 0; step < 10; step++) {
                 cluster.runFor(100);
--- a/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import dewlane.core.message.Effect;
 import dewlane.core.model.CloudInstance;
 import dewlane.core.model.CloudInstance.State;
 import dewlane.core.model.MachineType;
@@ -35,7 +36,7 @@
         assertEquals("/catalog", CloudProtocol.MACHINE_TYPES_PATH);
         assertEquals("/machines", CloudProtocol.INSTANCES_PATH);
         assertEquals("/machines/delete", CloudProtocol.DELETE_PATH);
-        assertEquals(100, CloudProtocol.MAX_DELETED_INSTANCES);
+        assertEquals(100, Effect.DeleteInstances.MAX_INSTANCES);
         assertEquals("/machines?limit=500", CloudProtocol.pagePath((String) null));
         assertEquals("/machines?limit=500&since=vm-000231", CloudProtocol.pagePath("vm-000231"));
     }
--- a/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
@@ -7,7 +7,6 @@
 import dewlane.core.message.Input.StoreRow;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
-import dewlane.core.model.JobBuilder;
 import dewlane.core.model.Priority;
 import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
@@ -58,24 +57,10 @@
     }
 
     private static StoredValue.JobRecord jobRecord() {
-        Job job = JobBuilder.job("wk-000412")
-                .lot("train")
-                .team("vision")
+        Job job = SampleJob.builder()
                 .priority(Priority.STANDARD)
-                .tasks(16)
                 .cpus(8.5)
-                .gpus(1)
-                .memoryGb(64)
-                .image("img-07")
-                .imageGb(6.2)
-                .types(List.of("g8", "g4"))
-                .zone("east")
-                .oneZone(true)
-                .estimateS(240)
-                .checkpointS(30)
-                .saveS(4)
-                .deadlineS(900)
-                .acceptedMs(1_764_668_400_123L)
+                .acceptedAtMs(1_764_668_400_123L)
                 .build()
                 .withDependencies(List.of("wk-7", "wk-000398"));
         List<StoredValue.SliceAssignment> deals = List.of(
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -8,7 +8,6 @@
 import dewlane.core.message.Input;
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Job;
-import dewlane.core.model.JobBuilder;
 import dewlane.core.model.PeerStatus;
 import dewlane.core.schema.SchemaVersion;
 import dewlane.core.schema.StoreKeys;
@@ -43,24 +42,7 @@
     }
 
     private static Job job() {
-        return JobBuilder.job("wk-000412")
-                .lot("train")
-                .team("vision")
-                .tasks(16)
-                .cpus(8)
-                .gpus(1)
-                .memoryGb(64)
-                .image("img-07")
-                .imageGb(6.2)
-                .types(List.of("g8", "g4"))
-                .zone("east")
-                .oneZone(true)
-                .estimateS(240)
-                .checkpointS(30)
-                .saveS(4)
-                .deadlineS(900)
-                .acceptedMs(1764668400123L)
-                .build();
+        return SampleJob.builder().acceptedAtMs(1764668400123L).build();
     }
 
     private static StoredValue.Slice slice() {
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -33,32 +33,19 @@
     }
 
     private static Job jobWithEveryField() {
-        return JobBuilder.job("wk-000412")
-                .lot("train")
-                .team("vision")
+        return SampleJob.builder()
                 .priority(Priority.CRITICAL)
-                .tasks(16)
                 .cpus(8.5)
                 .gpus(1.25)
-                .memoryGb(64)
-                .image("img-07")
-                .imageGb(6.2)
-                .types(List.of("g8", "g4"))
-                .zone("east")
-                .oneZone(true)
-                .spread(false)
-                .spot(true)
-                .estimateS(240)
-                .checkpointS(30)
-                .saveS(4)
-                .deadlineS(900)
+                .spreadZones(false)
+                .spotAllowed(true)
                 .build()
                 .withDependencies(List.of("wk-000398", "wk-7"));
     }
 
     private static Job minimalJob() {
         return JobBuilder.job("wk-1")
-                .lot("l")
+                .jobClass("l")
                 .team("h")
                 .priority(Priority.IDLE)
                 .tasks(1)
@@ -69,12 +56,12 @@
                 .imageGb(3)
                 .types(List.of())
                 .zone(null)
-                .oneZone(false)
-                .spread(true)
-                .spot(false)
-                .estimateS(4)
-                .checkpointS(0)
-                .saveS(0)
+                .sameZone(false)
+                .spreadZones(true)
+                .spotAllowed(false)
+                .expectedRunS(4)
+                .checkpointIntervalS(0)
+                .checkpointDurationS(0)
                 .deadlineS(0)
                 .build();
     }
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -8,7 +8,6 @@
 import dewlane.core.model.Attempt;
 import dewlane.core.model.Heartbeat;
 import dewlane.core.model.Job;
-import dewlane.core.model.JobBuilder;
 import dewlane.core.model.PeerStatus;
 import dewlane.core.schema.SchemaVersion;
 import dewlane.core.schema.StoreKeys;
@@ -40,24 +39,7 @@
     @Test
     void aGoodSubmissionIsRead() {
         Job job = submission(GOOD).job();
-        assertEquals(
-                JobBuilder.job("wk-000412")
-                        .lot("train")
-                        .team("vision")
-                        .tasks(16)
-                        .cpus(8)
-                        .gpus(1)
-                        .memoryGb(64)
-                        .image("img-07")
-                        .imageGb(6.2)
-                        .types(List.of("g8"))
-                        .oneZone(true)
-                        .estimateS(240)
-                        .checkpointS(30)
-                        .saveS(4)
-                        .deadlineS(900)
-                        .build(),
-                job);
+        assertEquals(SampleJob.builder().types(List.of("g8")).zone(null).build(), job);
         assertEquals(
                 0,
                 submission(GOOD.replace("\"shipByS\":900.0", "\"new\":{}"))
