--- a/src/main/java/dewlane/core/autoscaling/CapacityBins.java
+++ b/src/main/java/dewlane/core/autoscaling/MachineBins.java
@@ -13,7 +13,7 @@
  * The bins of a first-fit bin packing: machines into which tasks are put by estimate. Bins are kept by pool, so that a
  * job looks only at machines that it may use, and a full one is dropped at once.
  */
-final class CapacityBins {
+final class MachineBins {
     /** A machine's type and what is in use on it. */
     private static final class Bin {
         private final MachineType type;
--- a/src/main/java/dewlane/core/autoscaling/ScaleOut.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleOut.java
@@ -28,7 +28,7 @@
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final InstanceInventory inventory;
-    private final CapacityDemand demand;
+    private final UnmetDemandEstimator demand;
     private final InstancePoolSelector pools;
     /** Requests that the cloud has not answered yet, by their ids. */
     private final Map<String, InstanceRequest> inFlight = new HashMap<>();
@@ -38,7 +38,7 @@
             ControllerContext context,
             MachineRegistry machines,
             InstanceInventory inventory,
-            CapacityDemand demand,
+            UnmetDemandEstimator demand,
             InstancePoolSelector pools) {
         this.context = context;
         this.machines = machines;
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/UnmetDemandEstimator.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 
 /** Estimates for how many pending tasks there is no capacity on the machines that are up or on their way. */
-public final class CapacityDemand {
+public final class UnmetDemandEstimator {
     /** The time for which an instance that is created for a task is counted on; shorter tasks follow one another. */
     private static final double SLOT_S = 80;
     /** The least part of a slot that a task counts for, however short it is. */
@@ -39,7 +39,7 @@
     private final DependencyGraph dependencies;
 
     /** Estimates by the replica's jobs and the registry's machines. */
-    public CapacityDemand(
+    public UnmetDemandEstimator(
             ControllerContext context,
             StoreReplica replica,
             MachineRegistry machines,
@@ -61,7 +61,7 @@
      * @param inFlight requests that the cloud has not answered yet
      */
     Map<JobEntry, Double> unmetDemand(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
-        CapacityBins bins = bins(pending, inFlight);
+        MachineBins bins = bins(pending, inFlight);
         Map<JobEntry, Double> unmet = new LinkedHashMap<>();
         Map<String, ResourceUsage> usageByTeam = new HashMap<>();
         Set<Job.Requirements> withoutCapacity = new HashSet<>();
@@ -86,8 +86,8 @@
         return allowed;
     }
 
-    private CapacityBins bins(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
-        CapacityBins bins = new CapacityBins();
+    private MachineBins bins(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
+        MachineBins bins = new MachineBins();
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
             if (type != null
--- a/src/main/java/dewlane/core/controller/AutoscalingAssembly.java
+++ b/src/main/java/dewlane/core/controller/AutoscalingAssembly.java
@@ -1,7 +1,6 @@
 package dewlane.core.controller;
 
 import dewlane.core.autoscaling.Autoscaler;
-import dewlane.core.autoscaling.CapacityDemand;
 import dewlane.core.autoscaling.CloudPoller;
 import dewlane.core.autoscaling.DecommissionProcessor;
 import dewlane.core.autoscaling.DecommissionWriter;
@@ -10,6 +9,7 @@
 import dewlane.core.autoscaling.InstancePoolSelector;
 import dewlane.core.autoscaling.ScaleIn;
 import dewlane.core.autoscaling.ScaleOut;
+import dewlane.core.autoscaling.UnmetDemandEstimator;
 import dewlane.core.fleet.MachineRegistry;
 import dewlane.core.job.DependencyGraph;
 import dewlane.core.membership.AuthorityMonitor;
@@ -34,7 +34,8 @@
     Autoscaler autoscaler(QuotaEnforcer quota) {
         DecommissionWriter writer = new DecommissionWriter(context, replica, transactions);
         InstanceInventory inventory = new InstanceInventory(context, machines, writer);
-        CapacityDemand demand = new CapacityDemand(context, replica, machines, schedulability, quota, dependencies);
+        UnmetDemandEstimator demand =
+                new UnmetDemandEstimator(context, replica, machines, schedulability, quota, dependencies);
         InstancePoolSelector pools = new InstancePoolSelector(context, machines);
         return new Autoscaler(
                 context,
--- a/src/main/java/dewlane/core/controller/CloudInputs.java
+++ b/src/main/java/dewlane/core/controller/CloudInputHandlers.java
@@ -6,12 +6,12 @@
 import dewlane.core.message.Input;
 
 /** Answers of the cloud. */
-final class CloudInputs {
+final class CloudInputHandlers {
     private final MachineRegistry machines;
     private final Autoscaler autoscaler;
     private final SchedulingTrigger scheduling;
 
-    CloudInputs(MachineRegistry machines, Autoscaler autoscaler, SchedulingTrigger scheduling) {
+    CloudInputHandlers(MachineRegistry machines, Autoscaler autoscaler, SchedulingTrigger scheduling) {
         this.machines = machines;
         this.autoscaler = autoscaler;
         this.scheduling = scheduling;
--- a/src/main/java/dewlane/core/controller/ControllerAssembly.java
+++ b/src/main/java/dewlane/core/controller/ControllerAssembly.java
@@ -148,13 +148,13 @@
     HandlerTable<Input> inputHandlers() {
         HandlerTable<Input> handlers = new HandlerTable<>(Input.class);
         periodicTasks().register(handlers);
-        new WorkerInputs(heartbeatHandler(), scheduling).register(handlers);
+        new WorkerInputHandlers(heartbeatHandler(), scheduling).register(handlers);
         userInputs().register(handlers);
-        new WatchInputs(storeWatcher, scheduling).register(handlers);
-        new StoreInputs(storeConnectivity, transactions, resultReader, barrier, membership, scheduling)
+        new WatchInputHandlers(storeWatcher, scheduling).register(handlers);
+        new StoreInputHandlers(storeConnectivity, transactions, resultReader, barrier, membership, scheduling)
                 .register(handlers);
-        new CloudInputs(machines, autoscaler, scheduling).register(handlers);
-        new PeerInputs(peers, machines, membership, cancellations, replica, scheduling).register(handlers);
+        new CloudInputHandlers(machines, autoscaler, scheduling).register(handlers);
+        new PeerInputHandlers(peers, machines, membership, cancellations, replica, scheduling).register(handlers);
         handlers.requireComplete();
         return handlers;
     }
@@ -165,7 +165,7 @@
         return new HeartbeatHandler(context, replica, machines, admission, commands, counters);
     }
 
-    private UserInputs userInputs() {
+    private UserInputHandlers userInputs() {
         UserResponses responses = new UserResponses(context);
         JobLookup lookup = new JobLookup(replica, dependencies, barrier, resultReader, responses);
         JobStatusHandler statuses = new JobStatusHandler(lookup, dependencies, responses);
@@ -179,7 +179,8 @@
                 new DependencyLookup(replica, dependencies, barrier, resultReader),
                 new NewJobWriter(context, replica, transactions, assigner, sizer),
                 responses);
-        return new UserInputs(submissions, statuses, new CancellationHandler(lookup, cancellationWriter, responses));
+        return new UserInputHandlers(
+                submissions, statuses, new CancellationHandler(lookup, cancellationWriter, responses));
     }
 
     private PeriodicTasks periodicTasks() {
--- a/src/main/java/dewlane/core/controller/PeerInputs.java
+++ b/src/main/java/dewlane/core/controller/PeerInputHandlers.java
@@ -11,7 +11,7 @@
 import dewlane.core.store.StoreReplica;
 
 /** Broadcasts of peers. They only add speed. */
-final class PeerInputs {
+final class PeerInputHandlers {
     private final PeerTable peers;
     private final MachineRegistry machines;
     private final Membership membership;
@@ -19,7 +19,7 @@
     private final StoreReplica replica;
     private final SchedulingTrigger scheduling;
 
-    PeerInputs(
+    PeerInputHandlers(
             PeerTable peers,
             MachineRegistry machines,
             Membership membership,
--- a/src/main/java/dewlane/core/controller/SchedulingAssembly.java
+++ b/src/main/java/dewlane/core/controller/SchedulingAssembly.java
@@ -14,9 +14,9 @@
 import dewlane.core.scheduling.JobWriter;
 import dewlane.core.scheduling.LaunchGate;
 import dewlane.core.scheduling.LaunchPlanner;
+import dewlane.core.scheduling.MachineScan;
 import dewlane.core.scheduling.MachineSchedulability;
-import dewlane.core.scheduling.MachineSurvey;
-import dewlane.core.scheduling.OutcomeBatching;
+import dewlane.core.scheduling.OutcomeBatcher;
 import dewlane.core.scheduling.OversizedSliceSplitter;
 import dewlane.core.scheduling.PartitionOwnership;
 import dewlane.core.scheduling.PartitionSelector;
@@ -51,13 +51,13 @@
         JobWriter writer = new JobWriter(
                 jobTransactions,
                 new JobFinisher(context, ownership, dependencies, jobTransactions, sizer),
-                new OutcomeBatching(context, transactions, quota),
+                new OutcomeBatcher(context, transactions, quota),
                 new OversizedSliceSplitter(context, ownership, membership, transactions),
                 new LaunchGate(context, transactions, cancellations, quota),
                 planner);
         return new SchedulingCycle(
                 membership,
-                new MachineSurvey(context, machines, schedulability),
+                new MachineScan(context, machines, schedulability),
                 new JobQueue(replica, machines, dependencyGraph, quota, ownership, counters),
                 writer,
                 planner,
--- a/src/main/java/dewlane/core/controller/StoreInputs.java
+++ b/src/main/java/dewlane/core/controller/StoreInputHandlers.java
@@ -13,7 +13,7 @@
  * What became of single requests to the store. Whatever shows that the store carried one out proves that it can be
  * reached; a refusal proves nothing.
  */
-final class StoreInputs {
+final class StoreInputHandlers {
     private final StoreConnectivity connectivity;
     private final TransactionQueue transactions;
     private final JobResultReader resultReader;
@@ -21,7 +21,7 @@
     private final Membership membership;
     private final SchedulingTrigger scheduling;
 
-    StoreInputs(
+    StoreInputHandlers(
             StoreConnectivity connectivity,
             TransactionQueue transactions,
             JobResultReader resultReader,
--- a/src/main/java/dewlane/core/controller/UserInputs.java
+++ b/src/main/java/dewlane/core/controller/UserInputHandlers.java
@@ -7,12 +7,12 @@
 import dewlane.core.message.Input;
 
 /** Requests of users. What they change comes back from the store, so none of them asks for a scheduling cycle. */
-final class UserInputs {
+final class UserInputHandlers {
     private final SubmissionHandler submissions;
     private final JobStatusHandler statuses;
     private final CancellationHandler cancellations;
 
-    UserInputs(SubmissionHandler submissions, JobStatusHandler statuses, CancellationHandler cancellations) {
+    UserInputHandlers(SubmissionHandler submissions, JobStatusHandler statuses, CancellationHandler cancellations) {
         this.submissions = submissions;
         this.statuses = statuses;
         this.cancellations = cancellations;
--- a/src/main/java/dewlane/core/controller/WatchInputs.java
+++ b/src/main/java/dewlane/core/controller/WatchInputHandlers.java
@@ -5,11 +5,11 @@
 import dewlane.core.store.StoreWatcher;
 
 /** The contents of the store, as it is listed and watched. */
-final class WatchInputs {
+final class WatchInputHandlers {
     private final StoreWatcher storeWatcher;
     private final SchedulingTrigger scheduling;
 
-    WatchInputs(StoreWatcher storeWatcher, SchedulingTrigger scheduling) {
+    WatchInputHandlers(StoreWatcher storeWatcher, SchedulingTrigger scheduling) {
         this.storeWatcher = storeWatcher;
         this.scheduling = scheduling;
     }
--- a/src/main/java/dewlane/core/controller/WorkerInputs.java
+++ b/src/main/java/dewlane/core/controller/WorkerInputHandlers.java
@@ -5,11 +5,11 @@
 import dewlane.core.worker.HeartbeatHandler;
 
 /** Inputs from workers: heartbeats, and answers to direct commands. Either may free capacity or end attempts. */
-final class WorkerInputs {
+final class WorkerInputHandlers {
     private final HeartbeatHandler heartbeats;
     private final SchedulingTrigger scheduling;
 
-    WorkerInputs(HeartbeatHandler heartbeats, SchedulingTrigger scheduling) {
+    WorkerInputHandlers(HeartbeatHandler heartbeats, SchedulingTrigger scheduling) {
         this.heartbeats = heartbeats;
         this.scheduling = scheduling;
     }
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -4,7 +4,7 @@
 import dewlane.core.model.AttemptId;
 import dewlane.core.model.Job;
 import dewlane.core.schema.StoredValue.Slice;
-import dewlane.core.store.UnresolvedWrite;
+import dewlane.core.store.UnresolvedWriteTracker;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Iterator;
@@ -27,7 +27,7 @@
     /** A launch that the replica does not show yet. */
     public record Launch(Machine machine, Attempt attempt, int slice, Job spec) {}
 
-    private final UnresolvedWrite write = new UnresolvedWrite();
+    private final UnresolvedWriteTracker write = new UnresolvedWriteTracker();
     private final PendingOutcomes outcomes = new PendingOutcomes();
     private final FailureBackoff failures = new FailureBackoff();
     /** Launches in the write in flight, or in one that the replica does not show yet. */
--- a/src/main/java/dewlane/core/membership/MissingMembers.java
+++ b/src/main/java/dewlane/core/membership/ExpiredMembers.java
@@ -13,7 +13,7 @@
  * Members of the partition map whose lease has expired, and when it is this controller's turn to evict them. The live
  * members take turns in the order of the map, so that mostly one of them alone writes the next map.
  */
-final class MissingMembers {
+final class ExpiredMembers {
     /** How long each live member leaves to the one before it. */
     private static final long TURN_MS = 300;
 
@@ -22,7 +22,7 @@
     private final String self;
     private final Map<String, Long> missingSinceMs = new HashMap<>();
 
-    MissingMembers(ControllerContext context, StoreReplica replica) {
+    ExpiredMembers(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
         this.self = context.settings().controllerName();
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -39,7 +39,7 @@
     private final StoreConnectivity store;
     private final PeerTable peers;
     private final MemberLease lease;
-    private final MissingMembers missingMembers;
+    private final ExpiredMembers missingMembers;
     private final MachineClaims claims;
     private final ControllerSchemaVersions schemaVersions;
     private final PartitionMapBuilder maps;
@@ -66,7 +66,7 @@
         this.peers = peers;
         this.self = context.settings().controllerName();
         this.lease = new MemberLease(context);
-        this.missingMembers = new MissingMembers(context, replica);
+        this.missingMembers = new ExpiredMembers(context, replica);
         this.claims = new MachineClaims(context, replica);
         this.schemaVersions = new ControllerSchemaVersions(context, replica);
         this.maps = new PartitionMapBuilder(context, replica, schemaVersions, sizer);
--- a/src/main/java/dewlane/core/membership/PartitionMapWriter.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapWriter.java
@@ -8,7 +8,7 @@
 import dewlane.core.schema.TransactionPriority;
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
-import dewlane.core.store.UnresolvedWrite;
+import dewlane.core.store.UnresolvedWriteTracker;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -19,7 +19,7 @@
 final class PartitionMapWriter {
     private final StoreReplica replica;
     private final TransactionQueue transactions;
-    private final UnresolvedWrite lastWrite = new UnresolvedWrite();
+    private final UnresolvedWriteTracker lastWrite = new UnresolvedWriteTracker();
 
     PartitionMapWriter(StoreReplica replica, TransactionQueue transactions) {
         this.replica = replica;
--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -45,8 +45,8 @@
     }
 
     /** Machines with capacity for a task of the job, the cheapest first. */
-    List<Candidate> find(JobEntry job) {
-        List<Candidate> found = new ArrayList<>();
+    List<MachineCandidate> find(JobEntry job) {
+        List<MachineCandidate> found = new ArrayList<>();
         Map<String, TypeCost> costByType = new HashMap<>();
         int total = machinesWithCapacity.size();
         int sampled = Math.min(total, MAX_SAMPLE_SIZE);
@@ -57,10 +57,10 @@
             MachineType type = machines.type(machine);
             if (isCandidate(machine, type, job)) {
                 TypeCost typeCost = costByType.computeIfAbsent(type.name(), name -> typeCost(type, job));
-                found.add(new Candidate(machine, costS(machine, type, job.job(), typeCost)));
+                found.add(new MachineCandidate(machine, costS(machine, type, job.job(), typeCost)));
             }
         }
-        found.sort(Comparator.comparingDouble(Candidate::costS));
+        found.sort(Comparator.comparingDouble(MachineCandidate::costS));
         return found;
     }
 
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -11,7 +11,7 @@
 public final class JobWriter {
     private final JobTransactions transactions;
     private final JobFinisher finisher;
-    private final OutcomeBatching outcomes;
+    private final OutcomeBatcher outcomes;
     private final OversizedSliceSplitter splitter;
     private final LaunchGate launchGate;
     private final LaunchPlanner planner;
@@ -20,7 +20,7 @@
     public JobWriter(
             JobTransactions transactions,
             JobFinisher finisher,
-            OutcomeBatching outcomes,
+            OutcomeBatcher outcomes,
             OversizedSliceSplitter splitter,
             LaunchGate launchGate,
             LaunchPlanner planner) {
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -46,7 +46,7 @@
     }
 
     /** Begins a cycle with the machines of the survey and the ids of the jobs within their team's guarantee. */
-    void beginCycle(MachineSurvey survey, Set<String> guaranteed) {
+    void beginCycle(MachineScan survey, Set<String> guaranteed) {
         withoutCapacity.clear();
         candidateFinder.beginCycle(survey.machinesWithCapacity());
         preemptor.beginCycle(survey.schedulableMachines(), guaranteed);
@@ -72,7 +72,7 @@
         JobEntry job = update.job();
         boolean isFirst = !update.hasLaunches();
         int pending = update.value(slice).pendingCount();
-        List<Candidate> candidates = findCandidates(job);
+        List<MachineCandidate> candidates = findCandidates(job);
         int maxTasks = Math.min(pending, Math.min(maxAttempts, quota.capacityFor(job.job())));
         SliceLauncher.Result result = launcher.launch(update, slice, candidates, maxTasks);
         int remaining = pending - result.count();
@@ -91,7 +91,7 @@
         }
     }
 
-    private List<Candidate> findCandidates(JobEntry job) {
+    private List<MachineCandidate> findCandidates(JobEntry job) {
         return withoutCapacity.contains(job.requirements()) ? List.of() : candidateFinder.find(job);
     }
 
--- a/src/main/java/dewlane/core/scheduling/Candidate.java
+++ b/src/main/java/dewlane/core/scheduling/MachineCandidate.java
@@ -7,4 +7,4 @@
  *
  * @param costS what it costs to use the machine, as seconds of fetching an image
  */
-record Candidate(Machine machine, double costS) {}
+record MachineCandidate(Machine machine, double costS) {}
--- a/src/main/java/dewlane/core/scheduling/MachineSurvey.java
+++ b/src/main/java/dewlane/core/scheduling/MachineScan.java
@@ -13,7 +13,7 @@
  * Looks at the machines of this partition once a cycle: finds those that can be given tasks, has tasks checkpoint on
  * those that are soon terminated, and records what was lost with those that are.
  */
-public final class MachineSurvey {
+public final class MachineScan {
     /** How long before a machine's termination a checkpoint on it must have ended. */
     private static final int CHECKPOINT_MARGIN_S = 5;
 
@@ -25,7 +25,7 @@
     private List<Machine> withCapacity = List.of();
 
     /** Surveys the registry's machines. */
-    public MachineSurvey(ControllerContext context, MachineRegistry machines, MachineSchedulability schedulability) {
+    public MachineScan(ControllerContext context, MachineRegistry machines, MachineSchedulability schedulability) {
         this.context = context;
         this.machines = machines;
         this.schedulability = schedulability;
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /** Decides which outcomes of attempts are written when: those of a slice gather for a while, to share a write. */
-public final class OutcomeBatching {
+public final class OutcomeBatcher {
     /** How long outcomes gather, and how long while writes are scarce. */
     private static final long DELAY_MS = 1000;
 
@@ -29,7 +29,7 @@
     private final QuotaEnforcer quota;
 
     /** Batches by the scarcity of writes in the queue and by the teams' quotas. */
-    public OutcomeBatching(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
+    public OutcomeBatcher(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
         this.context = context;
         this.transactions = transactions;
         this.quota = quota;
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -11,7 +11,7 @@
  */
 public final class SchedulingCycle {
     private final Membership membership;
-    private final MachineSurvey survey;
+    private final MachineScan survey;
     private final JobQueue queue;
     private final JobWriter writer;
     private final LaunchPlanner planner;
@@ -20,7 +20,7 @@
     /** A cycle of the given steps. */
     public SchedulingCycle(
             Membership membership,
-            MachineSurvey survey,
+            MachineScan survey,
             JobQueue queue,
             JobWriter writer,
             LaunchPlanner planner,
--- a/src/main/java/dewlane/core/scheduling/SliceLauncher.java
+++ b/src/main/java/dewlane/core/scheduling/SliceLauncher.java
@@ -35,14 +35,14 @@
     }
 
     /** Launches up to the given number of the slice's pending tasks, on the first candidates that take them. */
-    Result launch(JobUpdate update, SliceEntry slice, List<Candidate> candidates, int maxTasks) {
+    Result launch(JobUpdate update, SliceEntry slice, List<MachineCandidate> candidates, int maxTasks) {
         Slice value = update.value(slice);
         Optional<ZoneConstraint> zones = zoneConstraint(update.job().job(), value);
         if (maxTasks <= 0 || candidates.isEmpty() || zones.isEmpty()) {
             return Result.NONE;
         }
         SliceLaunch launch = new SliceLaunch(update, slice, zones.get(), maxTasks);
-        for (Candidate candidate : candidates) {
+        for (MachineCandidate candidate : candidates) {
             if (launch.isDone()) {
                 break;
             }
--- a/src/main/java/dewlane/core/store/UnresolvedWrite.java
+++ b/src/main/java/dewlane/core/store/UnresolvedWriteTracker.java
@@ -1,7 +1,7 @@
 package dewlane.core.store;
 
 /** Whether the last write about something is in flight, or answered at a revision that the replica has yet to reach. */
-public final class UnresolvedWrite {
+public final class UnresolvedWriteTracker {
     private boolean inFlight;
     /** The revision at which the last write was answered: until the replica reaches it, it may not show the write. */
     private long answeredAtRevision;
--- a/src/main/java/dewlane/core/worker/SilenceBaseline.java
+++ b/src/main/java/dewlane/core/worker/ContactTimerReset.java
@@ -5,7 +5,7 @@
 import dewlane.core.message.ControllerContext;
 
 /** Keeps time in which this controller could not hear its machines from counting as their silence. */
-final class SilenceBaseline {
+final class ContactTimerReset {
     /** Ticks come every second; only a process that was paused has a longer gap between two of them. */
     private static final long PROCESS_PAUSE_MS = 3000;
 
@@ -17,7 +17,7 @@
     private long tickedAtMs = NEVER;
     private long incarnation;
 
-    SilenceBaseline(ControllerContext context, MachineRegistry machines, Membership membership) {
+    ContactTimerReset(ControllerContext context, MachineRegistry machines, Membership membership) {
         this.context = context;
         this.machines = machines;
         this.membership = membership;
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -25,7 +25,7 @@
     private final MachineRegistry machines;
     private final Membership membership;
     private final TransactionQueue transactions;
-    private final SilenceBaseline silenceBaseline;
+    private final ContactTimerReset silenceBaseline;
     private final DecommissionPolicy policy;
     private final CancelledTaskEviction eviction;
     /** Machines in records that are being written. */
@@ -47,7 +47,7 @@
         this.membership = membership;
         this.transactions = transactions;
         CancelledTaskAge cancelledTasks = new CancelledTaskAge(context, cancellations);
-        this.silenceBaseline = new SilenceBaseline(context, machines, membership);
+        this.silenceBaseline = new ContactTimerReset(context, machines, membership);
         this.policy = new DecommissionPolicy(context, machines, cancelledTasks);
         this.eviction = new CancelledTaskEviction(context, machines, membership, cancelledTasks);
     }
