--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/DeployFile.java
@@ -138,6 +138,6 @@
                 operators.number("silent_s", 5, defaults.machineTimeoutS()),
                 operators.number("idle_s", 1, defaults.scaleInIdleS()),
                 operators.number("boot_patience", 1, defaults.bootTimeoutFactor()),
-                defaults.partitionedQuotaCpus());
+                defaults.minPartitionedShareCpus());
     }
 }
--- a/src/main/java/dewlane/core/admission/CancellationWriter.java
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -53,8 +53,8 @@
                 .build();
         Runnable onCommitted = () -> {
             context.info("job " + job + " cancelled");
-            cancellations.onConfirmed(job);
-            replica.recordResult(job, result);
+            cancellations.onCancellationCommitted(job);
+            replica.cacheResult(job, result);
             listener.committed();
         };
         transactions.submit(TransactionPriority.SAFETY, transaction, WriteListener.reportingTo(listener, onCommitted));
--- a/src/main/java/dewlane/core/admission/DependencyLookup.java
+++ b/src/main/java/dewlane/core/admission/DependencyLookup.java
@@ -118,18 +118,18 @@
         }
 
         @Override
-        public void found(JobResult result) {
+        public void onFound(JobResult result) {
             resultsRead.put(reading, result);
             readNext();
         }
 
         @Override
-        public void absent() {
+        public void onAbsent() {
             listener.neverAccepted(reading);
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
             listener.unavailable();
         }
     }
--- a/src/main/java/dewlane/core/admission/JobLookup.java
+++ b/src/main/java/dewlane/core/admission/JobLookup.java
@@ -82,17 +82,17 @@
     private void answerFromStore(long requestId, String job, Runnable onUnknown) {
         boolean sent = resultReader.read(job, new JobResultReader.Listener() {
             @Override
-            public void found(JobResult result) {
+            public void onFound(JobResult result) {
                 responses.result(requestId, job, result);
             }
 
             @Override
-            public void absent() {
+            public void onAbsent() {
                 onUnknown.run();
             }
 
             @Override
-            public void unavailable() {
+            public void onUnavailable() {
                 responses.unavailable(requestId);
             }
         });
--- a/src/main/java/dewlane/core/admission/JobStatusHandler.java
+++ b/src/main/java/dewlane/core/admission/JobStatusHandler.java
@@ -53,7 +53,7 @@
     }
 
     private void answerActive(long requestId, JobEntry job) {
-        if (!dependencies.isResolved(job.id())) {
+        if (!dependencies.areDependenciesResolved(job.id())) {
             // A dependency may have been cancelled long ago, and the job with it.
             responses.retryLater(requestId, "looking up what the job awaits, try again");
             return;
--- a/src/main/java/dewlane/core/admission/NewJobWriter.java
+++ b/src/main/java/dewlane/core/admission/NewJobWriter.java
@@ -53,7 +53,7 @@
         int maxBytes = context.settings().maxValueBytes();
         JobRecord record = new JobRecord(job, assigner.assign(job), 0);
         if (sizer.bytes(record) > maxBytes) {
-            record = new JobRecord(job, assigner.assignWhole(job), 0);
+            record = new JobRecord(job, assigner.assignAsOneSlice(job), 0);
         }
         if (sizer.bytes(record) > maxBytes) {
             listener.tooLarge(maxBytes);
@@ -78,7 +78,7 @@
         Transaction.Builder transaction = ifAbsent(job.id()).put(StoreKeys.jobResult(job.id()), result);
         submit(transaction, listener, () -> {
             context.info("job " + job.id() + " is accepted as cancelled, since a dependency is cancelled");
-            replica.recordResult(job.id(), result);
+            replica.cacheResult(job.id(), result);
             listener.accepted(JobCondition.CANCELLED);
         });
     }
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -41,7 +41,7 @@
     /** Checks a submission, writes the job, and answers once that is durable. */
     public void onSubmit(Input.SubmitJob request) {
         if (request.jobId() == null) {
-            responses.malformed(request.id(), request.rejection());
+            responses.malformed(request.id(), request.bodyError());
         } else if (statuses.isKnown(request.jobId())) {
             statuses.answer(request.id(), request.jobId(), () -> admit(request));
         } else if (request.job() == null) {
@@ -60,7 +60,7 @@
                 request.id(),
                 request.jobId(),
                 () -> admit(request),
-                () -> responses.malformed(request.id(), request.rejection()));
+                () -> responses.malformed(request.id(), request.bodyError()));
     }
 
     private void admitIfValid(Input.SubmitJob request) {
@@ -82,7 +82,7 @@
     /** Admits a job of which nothing is known. */
     private void admit(Input.SubmitJob request) {
         if (request.job() == null) {
-            responses.malformed(request.id(), request.rejection());
+            responses.malformed(request.id(), request.bodyError());
             return;
         }
         if (!membership.isMember()) {
--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -47,7 +47,7 @@
             startLeading();
         }
         poller.pollInstances();
-        if (!membership.reachesStore() || !poller.hasCatalog()) {
+        if (!membership.isStoreReachable() || !poller.hasCatalog()) {
             return;
         }
         scaleOut.expireRequests();
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -126,7 +126,7 @@
     /** Finds pending instances that are up: their workers were heard, here or by their owners. */
     void detectBooted() {
         for (Machine machine : machines.all()) {
-            if (machine.reachability().everConfirmed()
+            if (machine.reachability().wasConfirmed()
                     || !machine.attempts().isEmpty()
                     || machines.isListedByOwner(machine)) {
                 booted.add(machine.name());
--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -112,12 +112,12 @@
      * and may run beside this one, so no job gets more than that version can end.
      */
     public int maxSlicesPerJob() {
-        int present = store.present().maxTransactionWrites();
+        int present = store.current().maxTransactionWrites();
         return present < MIN_WRITES_OF_0_1 ? Integer.MAX_VALUE : present - WRITES_TO_END_JOB;
     }
 
     /** The shortest time, in seconds, that an objective of the kind gives jobs of the class; infinite without one. */
-    public double objectiveS(String kind, String jobClass) {
+    public double shortestObjectiveS(String kind, String jobClass) {
         double shortestS = Double.POSITIVE_INFINITY;
         for (ServiceLevelObjective objective : objectives) {
             if (objective.appliesTo(kind, jobClass)) {
@@ -134,7 +134,7 @@
      * @param machineTimeoutS seconds of silence after which a machine is deleted
      * @param scaleInIdleS seconds that a machine must be idle before it is scaled in
      * @param bootTimeoutFactor multiple of the boot time after which a machine that never came up is deleted
-     * @param partitionedQuotaCpus a team's limit of so many CPUs a controller, or a quarter as many GPUs, is divided
+     * @param minPartitionedShareCpus a team's limit of so many CPUs a controller, or a quarter as many GPUs, is divided
      *     among them; all controllers must agree on it, so operators' files do not set it
      */
     public record Tuning(
@@ -142,7 +142,7 @@
             double machineTimeoutS,
             double scaleInIdleS,
             double bootTimeoutFactor,
-            double partitionedQuotaCpus) {
+            double minPartitionedShareCpus) {
         /** What applies where operators set nothing. */
         public static Tuning defaults() {
             return new Tuning(3000, 12, 60, 4, 256);
--- a/src/main/java/dewlane/core/config/StoreLimits.java
+++ b/src/main/java/dewlane/core/config/StoreLimits.java
@@ -7,10 +7,10 @@
  * <p>Sizes keep within the smaller of both from the start, since a value or transaction that is too large once the
  * limits change could not be written at all. The larger rate is used until the store refuses writes.
  *
- * @param present the limits in force
+ * @param current the limits in force
  * @param next the limits to come; the same ones if none are to come
  */
-public record StoreLimits(Limits present, Limits next) {
+public record StoreLimits(Limits current, Limits next) {
     /** Writes that a transaction must allow at least: a cancellation writes the job's record and its result. */
     public static final int MIN_TRANSACTION_WRITES = 2;
     /** Bytes that a value must be allowed at least: a job with names of ordinary length fits, and so does a slice. */
@@ -35,21 +35,21 @@
 
     /** Requests a second that are allowed now and later. */
     public double requestsPerS() {
-        return Math.min(present.requestsPerS(), next.requestsPerS());
+        return Math.min(current.requestsPerS(), next.requestsPerS());
     }
 
     /** Writes a second that are allowed once the smaller limit is in force. */
     public double reducedWritesPerS() {
-        return Math.min(present.writesPerS(), next.writesPerS());
+        return Math.min(current.writesPerS(), next.writesPerS());
     }
 
     /** The most bytes that a value may have now and later. */
     public int maxValueBytes() {
-        return Math.min(present.maxValueBytes(), next.maxValueBytes());
+        return Math.min(current.maxValueBytes(), next.maxValueBytes());
     }
 
     /** The most writes that a transaction may make now and later. */
     public int maxTransactionWrites() {
-        return Math.min(present.maxTransactionWrites(), next.maxTransactionWrites());
+        return Math.min(current.maxTransactionWrites(), next.maxTransactionWrites());
     }
 }
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -48,15 +48,15 @@
      * @return what is to be done, in this order
      */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
-        context.startMessage(nowMs, wallMs);
+        context.beginInput(nowMs, wallMs);
         handlers.dispatch(input);
         scheduling.runIfDue();
         return context.takeEffects();
     }
 
     /** Has each command to a worker logged at debug level, with what it rests on. */
-    public void logCommands(boolean wanted) {
-        context.logCommands(wanted);
+    public void setCommandLogging(boolean wanted) {
+        context.setCommandLogging(wanted);
     }
 
     /** What this controller has done since its start, for the log. */
--- a/src/main/java/dewlane/core/controller/ControllerAssembly.java
+++ b/src/main/java/dewlane/core/controller/ControllerAssembly.java
@@ -215,7 +215,7 @@
     /** The store's write rate is shared by the controllers of the partition map. */
     private void shareWriteRate() {
         if (replica.partitionMap() != null) {
-            transactions.shareAmong(replica.partitionMap().members().size());
+            transactions.setControllerCount(replica.partitionMap().members().size());
         }
     }
 }
--- a/src/main/java/dewlane/core/controller/PeerInputHandlers.java
+++ b/src/main/java/dewlane/core/controller/PeerInputHandlers.java
@@ -39,14 +39,14 @@
     }
 
     private void onStatus(PeerStatus status) {
-        peers.update(status);
+        peers.onStatusReceived(status);
         machines.discoverFrom(status);
         membership.onPeerEpoch(status.epoch());
         status.cancelledJobs().forEach(this::onCancelled);
     }
 
     private void onCancelled(String job) {
-        JobEntry entry = cancellations.onPeerConfirmed(job) ? replica.job(job) : null;
+        JobEntry entry = cancellations.onPeerCancellation(job) ? replica.job(job) : null;
         if (entry != null) {
             // Its tasks are stopped with the next commands to their machines.
             machines.markChangedFor(entry);
--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -91,7 +91,7 @@
         return new PeerStatus(
                 context.settings().controllerName(),
                 replica.partitionMap().epoch(),
-                membership.reachesStore(),
+                membership.isStoreReachable(),
                 cancellations.jobsToAnnounce(),
                 machines);
     }
--- a/src/main/java/dewlane/core/controller/Readiness.java
+++ b/src/main/java/dewlane/core/controller/Readiness.java
@@ -38,6 +38,7 @@
 
     /** See {@link Controller#isHealthy()}. */
     boolean isHealthy() {
-        return isReady() && (storeConnectivity.silenceMs() < MAX_STORE_SILENCE_MS || !peers.anyReachesStore());
+        return isReady()
+                && (storeConnectivity.timeSinceLastContactMs() < MAX_STORE_SILENCE_MS || !peers.anyPeerReachesStore());
     }
 }
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -61,7 +61,7 @@
     }
 
     /** The worker began another incarnation, in which no launch of an earlier one is carried out. */
-    public void incarnationBegan() {
+    public void onNewIncarnation() {
         commandLaunches.clear();
         responseLaunches.clear();
         abandonedLaunches.clear();
@@ -73,7 +73,7 @@
     }
 
     /** A direct command is sent. */
-    public void commandSent(Set<AttemptId> launches, long nowMs) {
+    public void onCommandSent(Set<AttemptId> launches, long nowMs) {
         commandToken = fencingToken();
         commandSentAtMs = nowMs;
         commandLaunches.addAll(launches);
@@ -85,7 +85,7 @@
     }
 
     /** The worker answered the direct command, or it was never sent: no copy of it can arrive. */
-    public void commandResolved() {
+    public void onCommandResolved() {
         commandToken = NO_TOKEN;
         commandLaunches.clear();
     }
@@ -95,24 +95,24 @@
      *
      * @return true if it had launches
      */
-    public boolean commandAbandoned() {
+    public boolean onCommandTimedOut() {
         boolean hadLaunches = !commandLaunches.isEmpty();
         if (commandToken == fencingToken()) {
             abandonedLaunches.addAll(commandLaunches);
         }
-        commandResolved();
+        onCommandResolved();
         return hadLaunches;
     }
 
     /** A heartbeat is responded to. */
-    public void responseSent(Set<AttemptId> launches) {
+    public void onResponseSent(Set<AttemptId> launches) {
         responseToken = fencingToken();
         responseLaunches.clear();
         responseLaunches.addAll(launches);
     }
 
     /** The worker sent another heartbeat, so it has received the response to its last one or will drop it. */
-    public void responseResolved() {
+    public void onResponseResolved() {
         responseLaunches.clear();
     }
 
--- a/src/main/java/dewlane/core/fleet/CommandHistory.java
+++ b/src/main/java/dewlane/core/fleet/CommandHistory.java
@@ -19,7 +19,7 @@
     private final Object2LongOpenHashMap<AttemptId> unaccountedSinceMs = new Object2LongOpenHashMap<>();
 
     /** A command about the attempt is sent. */
-    public void commanded(AttemptId id, long nowMs) {
+    public void onCommandSent(AttemptId id, long nowMs) {
         commandedAtMs.put(id, nowMs);
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** For how long it has been noticed that the replica does not explain the attempt, from its first call on. */
-    public long unaccountedForMs(AttemptId id, long nowMs) {
+    public long absentFromReplicaForMs(AttemptId id, long nowMs) {
         unaccountedSinceMs.putIfAbsent(id, nowMs);
         return nowMs - unaccountedSinceMs.getLong(id);
     }
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -48,12 +48,12 @@
     }
 
     /** Nothing is written before the given steady time, as a write was called invalid. */
-    public void pauseUntil(long atMs) {
+    public void blockWritesUntil(long atMs) {
         pausedUntilMs = atMs;
     }
 
     /** True while a write is in flight, its revision is not yet in the replica, or the job is paused. */
-    public boolean isBusy(long revision, long now) {
+    public boolean isWriteBlocked(long revision, long now) {
         return write.isUnresolved(revision) || now < pausedUntilMs;
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** Since when outcomes of the slice gather, in steady time; now if none do. */
-    public long gatheringSince(int slice, long now) {
+    public long batchOpenedAtMs(int slice, long now) {
         return outcomes.gatheringSinceMs(slice, now);
     }
 
@@ -91,7 +91,7 @@
      * Outcomes of the slice are being written: they stay listed until the replica shows them, and later ones gather
      * anew.
      */
-    public void resetGathering(int slice) {
+    public void closeBatch(int slice) {
         outcomes.resetGathering(slice);
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Nothing of the job is launched before the given steady time. */
-    public void retryNotBefore(long atMs) {
+    public void setRetryAtMs(long atMs) {
         failures.retryNotBefore(atMs);
     }
 
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -41,7 +41,7 @@
     }
 
     /** A launch was decided. */
-    public void launchDecided(String job, JobProgress.Launch launch) {
+    public void onLaunchDecided(String job, JobProgress.Launch launch) {
         getOrCreate(job).addLaunch(launch);
         unreconciled.add(job);
         launch.machine().load().usage().add(launch.spec());
--- a/src/main/java/dewlane/core/fleet/MachineDiscovery.java
+++ b/src/main/java/dewlane/core/fleet/MachineDiscovery.java
@@ -31,7 +31,7 @@
             return null;
         }
         Machine machine = machines.getOrCreate(name);
-        if (!machine.reachability().everConfirmed() || machine.typeName() == null) {
+        if (!machine.reachability().wasConfirmed() || machine.typeName() == null) {
             machine.describe(type, zone, spot);
         }
         if (machine.address() == null) {
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -161,7 +161,7 @@
     }
 
     /** A heartbeat proves the attempt's end: its room is free, but its team's limit counts it until that is durable. */
-    public void attemptEnded(Machine machine, AssignedAttempt attempt) {
+    public void onAttemptEnded(Machine machine, AssignedAttempt attempt) {
         attempts.attemptEnded(machine, attempt);
     }
 
--- a/src/main/java/dewlane/core/fleet/PartitionCapacity.java
+++ b/src/main/java/dewlane/core/fleet/PartitionCapacity.java
@@ -82,7 +82,8 @@
         }
         if (machines.owns(machine)) {
             return machine.reachability()
-                            .confirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs())
+                            .wasConfirmedWithin(
+                                    context.nowMs(), context.settings().heartbeatTimeoutMs())
                     && !machine.lifecycle().isTerminationScheduled()
                     && !machine.reachability().isSuspected();
         }
--- a/src/main/java/dewlane/core/fleet/Reachability.java
+++ b/src/main/java/dewlane/core/fleet/Reachability.java
@@ -49,7 +49,7 @@
     }
 
     /** The machine has proved that it hears this controller. */
-    public void confirmed(long nowMs) {
+    public void onConfirmed(long nowMs) {
         confirmedAtMs = nowMs;
         suspectedSinceMs = NEVER;
     }
@@ -72,42 +72,42 @@
     }
 
     /** True if it was confirmed under the present owner. */
-    public boolean everConfirmed() {
+    public boolean wasConfirmed() {
         return confirmedAtMs != NEVER;
     }
 
     /** True if it proved within the given time that it hears this controller. */
-    public boolean confirmedWithin(long nowMs, long withinMs) {
+    public boolean wasConfirmedWithin(long nowMs, long withinMs) {
         return confirmedAtMs != NEVER && nowMs - confirmedAtMs <= withinMs;
     }
 
     /** For how long it has not proved that it hears this controller. */
-    public long silentForMs(long nowMs) {
+    public long timeSinceLastContactMs(long nowMs) {
         return nowMs - Math.max(confirmedAtMs, silenceBaselineMs);
     }
 
     /** Silence before this moment does not count. */
-    public void countSilenceFrom(long nowMs) {
+    public void restartContactTimer(long nowMs) {
         silenceBaselineMs = nowMs;
     }
 
     /** A heartbeat of its own was accepted. */
-    public void heartbeatAccepted(long nowMs) {
+    public void onHeartbeatAccepted(long nowMs) {
         heartbeatAtMs = nowMs;
     }
 
     /** When a heartbeat of its own was last accepted; 0: never. */
-    public long reportedAt() {
+    public long lastHeartbeatAtMs() {
         return heartbeatAtMs;
     }
 
     /** True if it is suspected and was not probed for so long. */
-    public boolean probeDue(long nowMs, long intervalMs) {
+    public boolean isProbeDue(long nowMs, long intervalMs) {
         return isSuspected() && nowMs - probedAtMs > intervalMs;
     }
 
     /** It is asked for a proof that it hears this controller. */
-    public void probed(long nowMs) {
+    public void onProbeSent(long nowMs) {
         probedAtMs = nowMs;
     }
 
--- a/src/main/java/dewlane/core/fleet/WorkerState.java
+++ b/src/main/java/dewlane/core/fleet/WorkerState.java
@@ -24,12 +24,12 @@
     }
 
     /** True before the first heartbeat that this controller accepts. */
-    public boolean isUnheard() {
+    public boolean hasNoHeartbeat() {
         return fencingToken == 0 && sequence == 0;
     }
 
     /** True if the heartbeat is newer than the latest one. */
-    public boolean precedes(Heartbeat heartbeat) {
+    public boolean isOlderThan(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(incarnation, sequence);
     }
 
--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -67,14 +67,14 @@
     }
 
     /** This controller's own write that cancels the job is durable. */
-    public void onConfirmed(String job) {
+    public void onCancellationCommitted(String job) {
         knownSinceMs.putIfAbsent(job, context.nowMs());
         confirmedAtMs.put(job, context.nowMs());
         announcementDue = true;
     }
 
     /** A peer announced that it confirmed the cancellation; returns true if it was not known yet. */
-    public boolean onPeerConfirmed(String job) {
+    public boolean onPeerCancellation(String job) {
         return knownSinceMs.putIfAbsent(job, context.nowMs()) == null;
     }
 
--- a/src/main/java/dewlane/core/job/DependencyGraph.java
+++ b/src/main/java/dewlane/core/job/DependencyGraph.java
@@ -61,7 +61,7 @@
             failed.add(id);
         } else if (dependencyFailed) {
             List<String> failedJobs = new ArrayList<>(List.of(id));
-            failedJobs.addAll(finish(id, Result.FAILED));
+            failedJobs.addAll(recordResult(id, Result.FAILED));
             return failedJobs;
         } else if (node.result == null && node.unsatisfied.isEmpty()) {
             ready.add(id);
@@ -89,7 +89,7 @@
      *
      * @return the dependents, direct and transitive, that fail with it
      */
-    public List<String> finish(String id, Result result) {
+    public List<String> recordResult(String id, Result result) {
         List<String> failedDependents = new ArrayList<>();
         Deque<String> queue = new ArrayDeque<>(List.of(id));
         while (!queue.isEmpty()) {
@@ -123,7 +123,7 @@
     }
 
     /** Removes an ended job. Its result is kept for as long as other jobs in the graph depend on it. */
-    public void forget(String id) {
+    public void remove(String id) {
         ready.remove(id);
         failed.remove(id);
         Node node = nodes.get(id);
@@ -168,7 +168,7 @@
     }
 
     /** The unsatisfied dependencies of the job: those that have no result yet. */
-    public Collection<String> dependencies(String id) {
+    public Collection<String> unsatisfiedDependencies(String id) {
         Node node = nodes.get(id);
         return node == null ? List.of() : node.unsatisfied;
     }
@@ -186,7 +186,7 @@
     }
 
     /** True if the job was added and not forgotten. */
-    public boolean isKnown(String id) {
+    public boolean contains(String id) {
         Node node = nodes.get(id);
         return node != null && node.added;
     }
--- a/src/main/java/dewlane/core/job/DependencyResolver.java
+++ b/src/main/java/dewlane/core/job/DependencyResolver.java
@@ -90,7 +90,7 @@
         }
         boolean resolved = true;
         Set<String> visited = new HashSet<>();
-        Deque<String> queue = new ArrayDeque<>(graph.dependencies(job));
+        Deque<String> queue = new ArrayDeque<>(graph.unsatisfiedDependencies(job));
         while (!queue.isEmpty()) {
             String id = queue.poll();
             if (!visited.add(id)) {
@@ -100,7 +100,7 @@
                 urgent.add(id);
                 resolved = false;
             }
-            queue.addAll(graph.dependencies(id));
+            queue.addAll(graph.unsatisfiedDependencies(id));
         }
         return resolved;
     }
@@ -113,13 +113,13 @@
         }
 
         @Override
-        public void found(JobResult result) {
+        public void onFound(JobResult result) {
             // The reader has put the result into the replica, whose listeners include the tracker.
             inFlight.remove(job);
         }
 
         @Override
-        public void absent() {
+        public void onAbsent() {
             backOff();
             if (unresolved.contains(job) && replica.activeJob(job) == null) {
                 context.info("job " + job + " is a dependency, but has neither a record nor a result");
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
             backOff();
         }
 
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -62,7 +62,7 @@
         dependencies.forEach(dependency -> onDependency(dependency, job));
         eventLog.cancelled(failed, job.id());
         if (!dependencies.isEmpty() && !graph.isReady(job.id()) && !graph.hasFailed(job.id())) {
-            eventLog.waiting(job.id(), graph.dependencies(job.id()));
+            eventLog.waiting(job.id(), graph.unsatisfiedDependencies(job.id()));
         }
     }
 
@@ -96,7 +96,7 @@
             resolver.onMissing(id);
         }
         List<String> dependencies = List.copyOf(graph.allDependencies(id));
-        graph.forget(id);
+        graph.remove(id);
         dependencies.forEach(urgency::recompute);
         dependencies.forEach(this::stopResolvingIfUnneeded);
     }
@@ -109,7 +109,7 @@
 
     private void onEnded(String id, JobResult result) {
         resolver.stopResolving(id);
-        if (!graph.isKnown(id) && graph.dependents(id).isEmpty()) {
+        if (!graph.contains(id) && graph.dependents(id).isEmpty()) {
             return;
         }
         if (result.cancelled()) {
@@ -123,13 +123,13 @@
         for (String dependentId : graph.dependents(id)) {
             JobEntry dependent = replica.activeJob(dependentId);
             if (dependent != null) {
-                dependent.dependencyEnded(result.endedAtMs());
+                dependent.onDependencyEnded(result.endedAtMs());
             }
         }
         List<String> waiting = graph.dependents(id).stream()
                 .filter(dependent -> !graph.isReady(dependent))
                 .toList();
-        graph.finish(id, Result.DONE);
+        graph.recordResult(id, Result.DONE);
         for (String dependent : waiting) {
             if (graph.isReady(dependent)) {
                 eventLog.ready(dependent, id);
@@ -138,7 +138,7 @@
     }
 
     private void fail(String id) {
-        List<String> failedDependents = graph.finish(id, Result.FAILED);
+        List<String> failedDependents = graph.recordResult(id, Result.FAILED);
         eventLog.cancelled(failedDependents, id);
         urgency.recomputeDependenciesOf(id);
         failedDependents.forEach(urgency::recomputeDependenciesOf);
@@ -157,7 +157,7 @@
      * True if it is known of every dependency of the job, direct or transitive, whether it is cancelled. Otherwise the
      * missing results are read with precedence, and the caller asks again later.
      */
-    public boolean isResolved(String job) {
+    public boolean areDependenciesResolved(String job) {
         return resolver.isResolved(job);
     }
 
--- a/src/main/java/dewlane/core/job/SliceSizeBound.java
+++ b/src/main/java/dewlane/core/job/SliceSizeBound.java
@@ -68,7 +68,7 @@
      * @param tasksPerMachine how many of them run on one machine
      * @return at least 1
      */
-    public static int tasksWithin(int limitBytes, int tasksPerMachine) {
+    public static int maxTasksPerSlice(int limitBytes, int tasksPerMachine) {
         int bytesPerMachine = TYPICAL_MACHINE_BYTES + tasksPerMachine * TYPICAL_TASK_BYTES;
         return Math.max(1, (limitBytes - TYPICAL_SLICE_BYTES) * tasksPerMachine / bytesPerMachine);
     }
--- a/src/main/java/dewlane/core/job/UrgencyInheritance.java
+++ b/src/main/java/dewlane/core/job/UrgencyInheritance.java
@@ -37,7 +37,7 @@
             return;
         }
         dependency.inheritUrgency(priority, deadlineMs);
-        for (String id : graph.dependencies(dependency.id())) {
+        for (String id : graph.unsatisfiedDependencies(dependency.id())) {
             JobEntry upstream = replica.activeJob(id);
             if (upstream != null) {
                 raise(upstream, dependency);
@@ -67,7 +67,7 @@
         }
         if (priority != job.priority() || deadlineMs != job.deadlineMs()) {
             job.inheritUrgency(priority, deadlineMs);
-            graph.dependencies(id).forEach(this::recompute);
+            graph.unsatisfiedDependencies(id).forEach(this::recompute);
         }
     }
 
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -74,7 +74,7 @@
     }
 
     /** True if the store has answered lately. */
-    public boolean reachesStore() {
+    public boolean isStoreReachable() {
         return store.isReachable();
     }
 
@@ -101,7 +101,7 @@
      */
     boolean isIsolated() {
         long ms = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
-        return store.silenceMs() > ms && peers.noneHeardWithin(ms);
+        return store.timeSinceLastContactMs() > ms && peers.receivedNoStatusWithin(ms);
     }
 
     /** True if a peer has shown a newer map for longer than the watch should take, so that this one is out of date. */
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -25,7 +25,7 @@
     }
 
     /** A peer has sent its status. */
-    public void update(PeerStatus status) {
+    public void onStatusReceived(PeerStatus status) {
         latest.put(status.controller(), new Received(status, context.nowMs()));
     }
 
@@ -41,19 +41,19 @@
     }
 
     /** True if a peer said within the last few seconds that it reaches the store. */
-    public boolean anyReachesStore() {
+    public boolean anyPeerReachesStore() {
         return latest.values().stream()
                 .anyMatch(received -> received.status().storeReachable() && isWithin(received, STATUS_TTL_MS));
     }
 
     /** True if the controller's status came within the given time, in milliseconds. */
-    public boolean heardWithin(String controller, long ms) {
+    public boolean receivedStatusWithin(String controller, long ms) {
         Received received = latest.get(controller);
         return received != null && isWithin(received, ms);
     }
 
     /** True if there are other controllers and the status of none of them came within the given time. */
-    boolean noneHeardWithin(long ms) {
+    boolean receivedNoStatusWithin(long ms) {
         return !context.settings().peers().isEmpty()
                 && latest.values().stream().noneMatch(received -> isWithin(received, ms));
     }
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -36,7 +36,7 @@
      * @param nowMs steady time, see {@link #nowMs()}
      * @param wallMs time of day, see {@link #wallClockMs()}
      */
-    public void startMessage(long nowMs, long wallMs) {
+    public void beginInput(long nowMs, long wallMs) {
         this.nowMs = nowMs;
         this.wallClockMs = wallMs;
     }
@@ -72,12 +72,12 @@
     }
 
     /** Says whether each command is to be logged; those lines cost too much to be built and thrown away. */
-    public void logCommands(boolean wanted) {
+    public void setCommandLogging(boolean wanted) {
         logsCommands = wanted;
     }
 
     /** True if each command to a worker is logged. */
-    public boolean logsCommands() {
+    public boolean isCommandLoggingEnabled() {
         return logsCommands;
     }
 
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -112,10 +112,10 @@
      *
      * @param machine the name of the worker's machine
      * @param fencingToken the token that the commands bore
-     * @param delivered false if the commands were never sent, so that they cannot arrive late
+     * @param mayHaveBeenSent false if the commands were never sent, so that they cannot arrive late
      * @param heartbeat the worker's answer, or null if there was none
      */
-    record CommandCompleted(String machine, long fencingToken, boolean delivered, Heartbeat heartbeat)
+    record CommandCompleted(String machine, long fencingToken, boolean mayHaveBeenSent, Heartbeat heartbeat)
             implements Input {}
 
     // Users
@@ -125,9 +125,9 @@
      *
      * @param jobId the job's id, or null if the body has none of the right form
      * @param job the job, or null if the body is malformed
-     * @param rejection what is wrong with a malformed body; null for any other
+     * @param bodyError what is wrong with a malformed body; null for any other
      */
-    record SubmitJob(long id, String jobId, Job job, String rejection) implements Input {}
+    record SubmitJob(long id, String jobId, Job job, String bodyError) implements Input {}
 
     /** A user asks for a job's state. */
     record GetJobStatus(long id, String job) implements Input {}
--- a/src/main/java/dewlane/core/model/MachineType.java
+++ b/src/main/java/dewlane/core/model/MachineType.java
@@ -11,7 +11,7 @@
  * @param memoryGb memory in GB
  * @param imageCacheGb room for container images in GB
  * @param imageFetchGbPerS rate at which images are fetched, in GB per second
- * @param price price of an on-demand instance per hour
+ * @param onDemandPrice price of an on-demand instance per hour
  * @param spotPrice present price of a spot instance per hour
  * @param bootS usual time in seconds from request to first heartbeat
  * @param zones the zones that have the type
@@ -23,7 +23,7 @@
         double memoryGb,
         double imageCacheGb,
         double imageFetchGbPerS,
-        double price,
+        double onDemandPrice,
         double spotPrice,
         double bootS,
         List<String> zones) {
@@ -44,6 +44,6 @@
 
     /** The price per hour of a spot or an on-demand instance. */
     public double price(boolean spot) {
-        return spot ? spotPrice : price;
+        return spot ? spotPrice : onDemandPrice;
     }
 }
--- a/src/main/java/dewlane/core/quota/PartitionedLimit.java
+++ b/src/main/java/dewlane/core/quota/PartitionedLimit.java
@@ -30,7 +30,7 @@
         int controllers = replica.partitionMap() == null
                 ? 1
                 : replica.partitionMap().members().size();
-        double minShareCpus = settings.tuning().partitionedQuotaCpus();
+        double minShareCpus = settings.tuning().minPartitionedShareCpus();
         return (team.maxCpus() <= 0 || team.maxCpus() / controllers >= minShareCpus)
                 && (team.maxGpus() <= 0 || team.maxGpus() / controllers >= minShareCpus / 4);
     }
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -52,18 +52,18 @@
     }
 
     /** True if the controllers have shares of the limit of the job's team. */
-    boolean isPartitioned(Job job) {
+    boolean hasPartitionedLimit(Job job) {
         return hasLimit(job) && partitioned.appliesTo(team(job));
     }
 
     /** True if launches of the job's team are serialized to enforce its limit. */
-    public boolean isSerialized(Job job) {
+    public boolean hasSerializedLimit(Job job) {
         return hasLimit(job) && !partitioned.appliesTo(team(job));
     }
 
     /** True while a launch of a serialized team is in flight, so that its usage is not known. */
     public boolean isLaunchInFlight(Job job) {
-        return isSerialized(job) && serialized.isLaunchInFlight(job.team());
+        return hasSerializedLimit(job) && serialized.isLaunchInFlight(job.team());
     }
 
     /** How many more tasks of the job this controller may start under the team's limit; none for an unknown team. */
@@ -102,7 +102,7 @@
     }
 
     /** True if the team's limit allows more in all, though perhaps not in this controller's share. */
-    public boolean hasCapacity(Job job) {
+    public boolean hasTeamCapacity(Job job) {
         return capacityFor(job, machines.teamUsage().usageOf(job.team())) > 0;
     }
 
@@ -119,7 +119,7 @@
      * @param ready unfinished jobs in ready order
      * @return ids of jobs
      */
-    public Set<String> withinGuarantee(List<JobEntry> ready) {
+    public Set<String> jobsWithinGuarantee(List<JobEntry> ready) {
         return guarantees.withinGuarantee(ready);
     }
 
@@ -132,7 +132,7 @@
 
     /** Makes a launch of a serialized team conditional on the usage by which it was decided. */
     public void addPrecondition(Transaction.Builder transaction, Job job) {
-        if (isSerialized(job)) {
+        if (hasSerializedLimit(job)) {
             serialized.addPrecondition(transaction, job.team());
         }
     }
--- a/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
+++ b/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
@@ -30,7 +30,7 @@
 
     /** True if the job may be pending for want of quota in another controller's share, while its team has more. */
     boolean mayNeedTransfer(JobEntry job) {
-        return quota.isPartitioned(job.job()) && job.pendingCount() > 0 && quota.hasCapacity(job.job());
+        return quota.hasPartitionedLimit(job.job()) && job.pendingCount() > 0 && quota.hasTeamCapacity(job.job());
     }
 
     /** A transfer to the first controller whose machines fit the job's tasks while its share is used up. */
--- a/src/main/java/dewlane/core/quota/TeamGuarantees.java
+++ b/src/main/java/dewlane/core/quota/TeamGuarantees.java
@@ -46,7 +46,7 @@
         return !isWithin(cpus, gpus, team);
     }
 
-    /** See {@link QuotaEnforcer#withinGuarantee}. */
+    /** See {@link QuotaEnforcer#jobsWithinGuarantee}. */
     Set<String> withinGuarantee(List<JobEntry> ready) {
         Map<String, Demand> demandByTeam = new HashMap<>();
         Set<String> within = new HashSet<>();
--- a/src/main/java/dewlane/core/scheduling/JobQueue.java
+++ b/src/main/java/dewlane/core/scheduling/JobQueue.java
@@ -60,7 +60,7 @@
         List<JobEntry> jobs = withRecord(dependencies.ready());
         counters.increment(Counter.SCHEDULING_CYCLES);
         counters.add(Counter.JOBS_CONSIDERED, jobs.size());
-        Set<String> guaranteed = quota.withinGuarantee(jobs);
+        Set<String> guaranteed = quota.jobsWithinGuarantee(jobs);
         jobs.removeIf(job -> !hasWork(job));
         jobs.sort(Comparator.comparing((JobEntry job) -> guaranteed.contains(job.id()))
                 .thenComparing(JobEntry::priority)
--- a/src/main/java/dewlane/core/scheduling/JobTransactions.java
+++ b/src/main/java/dewlane/core/scheduling/JobTransactions.java
@@ -55,7 +55,7 @@
      */
     boolean isReady(JobEntry job) {
         JobProgress progress = machines.progress().getOrCreate(job.id());
-        return !progress.isBusy(replica.revision(), context.nowMs())
+        return !progress.isWriteBlocked(replica.revision(), context.nowMs())
                 && !replica.isUnreadable(job.id())
                 && transactions.hasCapacity(TransactionPriority.OUTCOME);
     }
@@ -63,7 +63,7 @@
     /** Begins an empty write about the job; a launch of a serialized team needs a write and a precondition more. */
     JobUpdate begin(JobEntry job) {
         Settings settings = context.settings();
-        int reserved = quota.isSerialized(job.job()) ? 1 : 0;
+        int reserved = quota.hasSerializedLimit(job.job()) ? 1 : 0;
         return new JobUpdate(
                 job,
                 machines.progress().getOrCreate(job.id()),
@@ -87,7 +87,7 @@
         Job job = update.job().job();
         JobProgress progress = update.progress();
         progress.beginWrite();
-        update.changedSlices().forEach(slice -> progress.resetGathering(slice.number()));
+        update.changedSlices().forEach(slice -> progress.closeBatch(slice.number()));
         TransactionPriority priority = update.hasLaunches() ? TransactionPriority.LAUNCH : TransactionPriority.OUTCOME;
         transactions.submit(
                 priority, transaction.build(), (status, revision) -> onCompleted(update, job, status, revision));
@@ -99,7 +99,7 @@
         if (status == Transaction.Status.COMMITTED) {
             counters.add(Counter.TASKS_LAUNCHED, update.launchCount());
         } else if (status == Transaction.Status.INVALID) {
-            progress.pauseUntil(context.nowMs() + INVALID_PAUSE_MS);
+            progress.blockWritesUntil(context.nowMs() + INVALID_PAUSE_MS);
         }
         if (update.hasLaunches()) {
             quota.onLaunchCompleted(job, revision);
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -82,7 +82,7 @@
         }
         boolean handedOver = remaining > 0
                 && !update.hasLaunches()
-                && quota.hasCapacity(job.job())
+                && quota.hasTeamCapacity(job.job())
                 && handover.tryHandOver(update, slice);
         if (handedOver) {
             update.requireJobAndMap();
--- a/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
+++ b/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
@@ -36,7 +36,7 @@
                 && !machine.lifecycle().isTerminationScheduled()
                 && !machine.reachability().isSuspected()
                 && machine.reachability()
-                        .confirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs())
+                        .wasConfirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs())
                 && sendsHeartbeats(machine)
                 && (machine.failedJobs().isEmpty() || !machines.isFaulty(machine));
     }
@@ -47,7 +47,7 @@
      * it.
      */
     private boolean sendsHeartbeats(Machine machine) {
-        long sinceMs = Math.max(machine.reachability().reportedAt(), machine.ownerSinceMs());
+        long sinceMs = Math.max(machine.reachability().lastHeartbeatAtMs(), machine.ownerSinceMs());
         return context.nowMs() - sinceMs < context.settings().workerLeaseS() * 1000 / 2;
     }
 }
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
@@ -91,13 +91,13 @@
         long delayMs = delayMs(update.job().job());
         return value.isComplete()
                 || (update.job().isCancelled() && value.attempts().isEmpty())
-                || nowMs - progress.gatheringSince(slice.number(), nowMs) >= delayMs
+                || nowMs - progress.batchOpenedAtMs(slice.number(), nowMs) >= delayMs
                 || hasTaskToRetry(update, slice);
     }
 
     private long delayMs(Job job) {
-        boolean scarce = transactions.isScarce();
-        if (quota.isSerialized(job)) {
+        boolean scarce = transactions.isWriteRateLow();
+        if (quota.hasSerializedLimit(job)) {
             return scarce ? DELAY_SERIALIZED_MS : 0;
         }
         if (!scarce) {
--- a/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
+++ b/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
@@ -82,7 +82,7 @@
         if (pieces.size() <= writes) {
             update.put(slice, pieces.get(0));
             pieces.subList(1, pieces.size()).forEach(update::create);
-        } else if (owned && (membership.allControllersUpgraded() || transactions.wasSizeRejected())) {
+        } else if (owned && (membership.allControllersUpgraded() || transactions.isReducedValueLimitDetected())) {
             // What the new slices take over must be in no launch that is still on its way: the owner alone does this,
             // under the partition map.
             pieces.subList(pieces.size() - writes, pieces.size()).forEach(update::create);
--- a/src/main/java/dewlane/core/scheduling/PreemptionPolicy.java
+++ b/src/main/java/dewlane/core/scheduling/PreemptionPolicy.java
@@ -50,7 +50,7 @@
     boolean mayPreempt(AssignedAttempt attempt, JobEntry job) {
         JobEntry victim = attempt.job();
         Job spec = victim.job();
-        double finishedS = context.settings().objectiveS("finished", spec.jobClass());
+        double finishedS = context.settings().shortestObjectiveS("finished", spec.jobClass());
         if (victim.isCancelled() || ageS(victim) > SPARED_FRACTION * finishedS) {
             return false;
         }
@@ -73,9 +73,10 @@
         Job spec = job.job();
         Settings settings = context.settings();
         double allowedS = Math.min(
-                settings.objectiveS("wait", spec.jobClass()), settings.objectiveS("finished", spec.jobClass()));
+                settings.shortestObjectiveS("wait", spec.jobClass()),
+                settings.shortestObjectiveS("finished", spec.jobClass()));
         if (isGuaranteed(job)) {
-            allowedS = Math.min(allowedS, settings.objectiveS("guarantee", spec.jobClass()));
+            allowedS = Math.min(allowedS, settings.shortestObjectiveS("guarantee", spec.jobClass()));
         }
         if (job.deadlineMs() != JobEntry.NO_DEADLINE) {
             double untilDeadlineS = (job.deadlineMs() - job.waitingSinceMs()) / 1000.0;
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -54,7 +54,7 @@
     }
 
     private void writeInOrder(List<JobEntry> jobs) {
-        boolean mayLaunch = membership.reachesStore();
+        boolean mayLaunch = membership.isStoreReachable();
         for (JobEntry job : jobs) {
             if (mayLaunch) {
                 writer.writeWithLaunches(job);
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -60,7 +60,7 @@
     }
 
     /** All of a job's tasks as one slice, for a record that has no space for more. */
-    public List<SliceAssignment> assignWhole(Job job) {
+    public List<SliceAssignment> assignAsOneSlice(Job job) {
         return wholeJob(job, partitions.forNewJob(job).get(0));
     }
 
@@ -108,7 +108,7 @@
             }
         }
         int tasksPerMachine = types == 0 ? 1 : Math.max(1, fitting / types / 2);
-        return SliceSizeBound.tasksWithin(context.settings().maxValueBytes(), tasksPerMachine);
+        return SliceSizeBound.maxTasksPerSlice(context.settings().maxValueBytes(), tasksPerMachine);
     }
 
     /** Divides a run of tasks into slices of about equal length. */
--- a/src/main/java/dewlane/core/scheduling/SliceHandover.java
+++ b/src/main/java/dewlane/core/scheduling/SliceHandover.java
@@ -53,7 +53,7 @@
 
     private boolean handOver(JobUpdate update, SliceEntry slice, PartitionCandidate target) {
         Slice value = update.value(slice);
-        int tail = value.count() - value.occupied().length();
+        int tail = value.count() - value.nonPendingTasks().length();
         int moved = update.job().job().hasZoneConstraint() ? value.count() : Math.min(tail, target.capacity());
         // Tasks that are pending before others that are done can only go with the whole slice, or they would stay here
         // for ever.
--- a/src/main/java/dewlane/core/scheduling/SliceLauncher.java
+++ b/src/main/java/dewlane/core/scheduling/SliceLauncher.java
@@ -88,7 +88,7 @@
             this.job = update.job().job();
             this.zones = zones;
             this.size = new SliceSizeBound(value);
-            this.occupied = value.occupied();
+            this.occupied = value.nonPendingTasks();
             this.attempts = new ArrayList<>(value.attempts());
             this.nextOffset = occupied.nextClearBit(0);
             this.remaining = maxTasks;
@@ -125,7 +125,7 @@
             attempts.add(attempt);
             JobProgress.Launch launch = new JobProgress.Launch(machine, attempt, slice.number(), job);
             update.launch(launch);
-            machines.progress().launchDecided(update.job().id(), launch);
+            machines.progress().onLaunchDecided(update.job().id(), launch);
             zones.add(machine.zone());
             nextOffset = occupied.nextClearBit(nextOffset + 1);
             remaining--;
--- a/src/main/java/dewlane/core/schema/StoreKeys.java
+++ b/src/main/java/dewlane/core/schema/StoreKeys.java
@@ -19,7 +19,7 @@
     /** The prefix of the slices of jobs. */
     public static final String SLICES = ROOT + "slice/";
     /** Never set: reading it tells the latest revision. */
-    public static final String NEVER_SET = ROOT + "none";
+    public static final String REVISION_PROBE = ROOT + "none";
     /** The prefix of the teams' usage records. */
     public static final String TEAM_USAGES = ROOT + "team/";
 
--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -138,7 +138,7 @@
         }
 
         /** Tasks that are done or may be on a machine, as offsets from {@code first}. */
-        public BitSet occupied() {
+        public BitSet nonPendingTasks() {
             BitSet occupied = (BitSet) done.clone();
             for (Attempt attempt : attempts) {
                 occupied.set(attempt.task() - first);
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -107,7 +107,7 @@
     }
 
     /** The last job that this one awaited ended at the given time of day. */
-    public void dependencyEnded(long atMs) {
+    public void onDependencyEnded(long atMs) {
         urgency.dependencyEnded(atMs);
     }
 
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -20,13 +20,13 @@
     /** Told what a read found. */
     public interface Listener {
         /** The job has ended. */
-        void found(JobResult result);
+        void onFound(JobResult result);
 
         /** The job has no result: it has not ended, or was never accepted. */
-        void absent();
+        void onAbsent();
 
         /** The store did not answer, or what it holds cannot be read. */
-        void unavailable();
+        void onUnavailable();
     }
 
     private record PendingRead(String job, Listener listener) {}
@@ -69,12 +69,12 @@
         }
         StoredValue value = in.value().orElse(null);
         if (value == null) {
-            read.listener().absent();
+            read.listener().onAbsent();
         } else if (value instanceof JobResult result) {
-            replica.recordResult(read.job(), result);
-            read.listener().found(result);
+            replica.cacheResult(read.job(), result);
+            read.listener().onFound(result);
         } else {
-            read.listener().unavailable();
+            read.listener().onUnavailable();
         }
     }
 
@@ -82,7 +82,7 @@
     public void onValueReadFailed(Input.ValueReadFailed in) {
         PendingRead read = inFlight.remove(in.id());
         if (read != null) {
-            read.listener().unavailable();
+            read.listener().onUnavailable();
         }
     }
 }
--- a/src/main/java/dewlane/core/store/ReducedRateDetector.java
+++ b/src/main/java/dewlane/core/store/ReducedRateDetector.java
@@ -39,7 +39,7 @@
 
     /** Writes a second that all controllers together may make. */
     double writesPerS() {
-        return isReduced() ? limits.reducedWritesPerS() : limits.present().writesPerS();
+        return isReduced() ? limits.reducedWritesPerS() : limits.current().writesPerS();
     }
 
     /** A write was refused for the rate while this controller took no more than an equal share of the present one. */
@@ -54,7 +54,7 @@
         }
         refusals++;
         if (refusals >= MIN_REFUSALS
-                && limits.reducedWritesPerS() < limits.present().writesPerS()) {
+                && limits.reducedWritesPerS() < limits.current().writesPerS()) {
             reduce(nowMs);
         }
     }
@@ -63,7 +63,7 @@
         boolean wasRight = nowMs - reducedUntilMs < 2 * REFUSAL_WINDOW_MS;
         doublings = wasRight ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
         reducedUntilMs = nowMs + (REDUCED_MS << doublings);
-        context.info("writes are refused at " + limits.present().writesPerS() + " a second, reducing the rate to "
+        context.info("writes are refused at " + limits.current().writesPerS() + " a second, reducing the rate to "
                 + limits.reducedWritesPerS());
     }
 }
--- a/src/main/java/dewlane/core/store/StoreConnectivity.java
+++ b/src/main/java/dewlane/core/store/StoreConnectivity.java
@@ -22,11 +22,11 @@
 
     /** True if the store has answered lately. */
     public boolean isReachable() {
-        return silenceMs() <= REACHABLE_MS;
+        return timeSinceLastContactMs() <= REACHABLE_MS;
     }
 
     /** Milliseconds since the store last answered. */
-    public long silenceMs() {
+    public long timeSinceLastContactMs() {
         return context.nowMs() - contactAtMs;
     }
 }
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -123,7 +123,7 @@
 
     private void applyResult(String job, JobResult result) {
         if (result != null) {
-            recordResult(job, result);
+            cacheResult(job, result);
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /** Remembers the result of a job that has ended. */
-    public void recordResult(String id, JobResult result) {
+    public void cacheResult(String id, JobResult result) {
         results.put(id, result);
         listener.accept(new ReplicaChange.JobEnded(id, result));
     }
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -111,7 +111,7 @@
     }
 
     private void logProgress(Input.WatchEvents in) {
-        if (context.logsCommands() && !in.changes().isEmpty()) {
+        if (context.isCommandLoggingEnabled() && !in.changes().isEmpty()) {
             context.debug("the replica is at revision " + in.revision() + ": "
                     + in.changes().size() + " changes, requested " + (context.nowMs() - watchRequestedAtMs)
                     + " ms ago");
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -29,7 +29,7 @@
          * Called once, with the definite answer and its revision. A transaction that a user has stopped waiting for
          * ends as refused or unknown instead, at revision 0; it may then yet be applied.
          */
-        void completed(Transaction.Status status, long revision);
+        void onCompleted(Transaction.Status status, long revision);
     }
 
     private static final int MAX_IN_FLIGHT = 8;
@@ -61,7 +61,7 @@
     }
 
     /** Says how many live controllers share the write rate. */
-    public void shareAmong(int controllers) {
+    public void setControllerCount(int controllers) {
         rateLimiter.shareAmong(controllers);
     }
 
@@ -69,7 +69,7 @@
      * True once a write within the present limits was called invalid: the coming ones are in force, which they are only
      * after every controller has been upgraded.
      */
-    public boolean wasSizeRejected() {
+    public boolean isReducedValueLimitDetected() {
         return invalidTransactions.wasSizeRejected();
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** True if little of the write rate is left, so that it pays to put more into each transaction. */
-    public boolean isScarce() {
+    public boolean isWriteRateLow() {
         return rateLimiter.tokens() < rateLimiter.capacity() / 2;
     }
 
@@ -124,9 +124,9 @@
             case UNKNOWN -> {}
         }
         if (status.isDefinite()) {
-            pending.listener().completed(status, answer.revision());
+            pending.listener().onCompleted(status, answer.revision());
         } else if (retryPolicy.isAbandoned(pending)) {
-            pending.listener().completed(status, 0);
+            pending.listener().onCompleted(status, 0);
         } else {
             retryPolicy.scheduleRetry(pending, status);
             enqueue(pending);
--- a/src/main/java/dewlane/core/worker/AttemptReconciler.java
+++ b/src/main/java/dewlane/core/worker/AttemptReconciler.java
@@ -57,6 +57,6 @@
         SliceEntry slice = job == null ? null : job.sliceOf(id.task());
         boolean shownByReplica =
                 slice != null ? slice.value().launchCount() >= id.number() : replica.result(id.job()) != null;
-        return shownByReplica || machine.commands().unaccountedForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_MS;
+        return shownByReplica || machine.commands().absentFromReplicaForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_MS;
     }
 }
--- a/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
@@ -59,11 +59,11 @@
     private List<String> overdueMachines() {
         // There is less time left than for other silent machines: one that missed its heartbeats counts as silent.
         long timeoutMs = context.settings().heartbeatTimeoutMs();
-        double fraction = membership.reachesStore() ? DEADLINE_FRACTION : DEADLINE_FRACTION_WITHOUT_STORE;
+        double fraction = membership.isStoreReachable() ? DEADLINE_FRACTION : DEADLINE_FRACTION_WITHOUT_STORE;
         List<String> overdue = new ArrayList<>();
         for (Machine machine : machines.owned()) {
             if (overdue.size() < DecommissionBatches.MAX_MACHINES
-                    && machine.reachability().silentForMs(context.nowMs()) > timeoutMs
+                    && machine.reachability().timeSinceLastContactMs(context.nowMs()) > timeoutMs
                     && cancelledTasks.exceedsOn(machine, fraction)) {
                 overdue.add(machine.name());
             }
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -50,9 +50,9 @@
 
     /** Responds to the machine's latest heartbeat, which shows that the response before has arrived or is dropped. */
     void respond(Machine machine, long requestId) {
-        machine.commandChannel().responseResolved();
+        machine.commandChannel().onResponseResolved();
         List<WorkerCommand> commands = planner.planResponse(machine);
-        machine.commandChannel().responseSent(launches(commands));
+        machine.commandChannel().onResponseSent(launches(commands));
         commandLog.sentInResponse(machine, commands);
         context.emit(new Effect.AnswerHeartbeat(requestId, machine.fencingToken(), commands));
     }
@@ -94,7 +94,7 @@
         boolean probe = isProbeDue(machine);
         if (probe) {
             counters.increment(Counter.PROBES);
-            machine.reachability().probed(context.nowMs());
+            machine.reachability().onProbeSent(context.nowMs());
         }
         if (urgent || probe) {
             send(machine, commands);
@@ -105,7 +105,7 @@
     private boolean isProbeDue(Machine machine) {
         boolean tokenUnseen =
                 !machine.reachability().isTokenSent() && !machine.attempts().isEmpty();
-        return machine.reachability().probeDue(context.nowMs(), PROBE_INTERVAL_MS)
+        return machine.reachability().isProbeDue(context.nowMs(), PROBE_INTERVAL_MS)
                 && (tokenUnseen || machine.worker().sequence() > 0);
     }
 
@@ -113,9 +113,9 @@
         counters.increment(Counter.COMMANDS);
         machine.reachability().markTokenSent();
         for (WorkerCommand command : commands) {
-            machine.commands().commanded(command.attemptId(), context.nowMs());
+            machine.commands().onCommandSent(command.attemptId(), context.nowMs());
         }
-        machine.commandChannel().commandSent(launches(commands), context.nowMs());
+        machine.commandChannel().onCommandSent(launches(commands), context.nowMs());
         commandLog.sentDirectly(machine, commands);
         context.emit(new Effect.SendCommands(
                 machine.name(), machine.address(), machine.worker().incarnation(), machine.fencingToken(), commands));
@@ -124,10 +124,10 @@
     /** A direct command to the machine was answered, was abandoned, or was never sent. */
     void onCompleted(Machine machine, Input.CommandCompleted completed) {
         commandLog.commandCompleted(machine, completed);
-        boolean abandoned = completed.heartbeat() == null && completed.delivered();
+        boolean abandoned = completed.heartbeat() == null && completed.mayHaveBeenSent();
         if (!abandoned) {
-            machine.commandChannel().commandResolved();
-        } else if (machine.commandChannel().commandAbandoned()) {
+            machine.commandChannel().onCommandResolved();
+        } else if (machine.commandChannel().onCommandTimedOut()) {
             counters.increment(Counter.LAUNCHES_ABANDONED);
         }
     }
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -33,7 +33,7 @@
     }
 
     private void sent(Machine machine, String way, List<WorkerCommand> commands) {
-        if (!context.logsCommands() || commands.isEmpty()) {
+        if (!context.isCommandLoggingEnabled() || commands.isEmpty()) {
             return;
         }
         StringJoiner text = new StringJoiner(", ");
@@ -46,7 +46,7 @@
 
     /** A direct command was answered, abandoned, or never sent. */
     void commandCompleted(Machine machine, Input.CommandCompleted completed) {
-        if (!context.logsCommands()) {
+        if (!context.isCommandLoggingEnabled()) {
             return;
         }
         long ageMs = machine.commandChannel().commandAgeMs(context.nowMs());
@@ -58,12 +58,12 @@
         if (completed.heartbeat() != null) {
             return "answered by heartbeat " + completed.heartbeat().sequence();
         }
-        return completed.delivered() ? "abandoned" : "not sent";
+        return completed.mayHaveBeenSent() ? "abandoned" : "not sent";
     }
 
     /** An attempt has ended, and the command to forget it has to wait. */
     void forgetDeferred(Machine machine, AttemptId id) {
-        if (context.logsCommands()) {
+        if (context.isCommandLoggingEnabled()) {
             context.debug("forget of " + id + " on " + machine.name() + " deferred, " + tokenAndIncarnation(machine)
                     + ": a launch of it is in flight");
         }
@@ -71,7 +71,7 @@
 
     /** All launches in flight to the machine are fenced off. */
     void fenceRaised(Machine machine, String reason) {
-        if (context.logsCommands()) {
+        if (context.isCommandLoggingEnabled()) {
             context.debug("fence of " + machine.name() + " raised, " + tokenAndIncarnation(machine) + ": " + reason);
         }
     }
--- a/src/main/java/dewlane/core/worker/ContactTimerReset.java
+++ b/src/main/java/dewlane/core/worker/ContactTimerReset.java
@@ -42,6 +42,6 @@
     }
 
     private void reset() {
-        machines.all().forEach(machine -> machine.reachability().countSilenceFrom(context.nowMs()));
+        machines.all().forEach(machine -> machine.reachability().restartContactTimer(context.nowMs()));
     }
 }
--- a/src/main/java/dewlane/core/worker/DecommissionPolicy.java
+++ b/src/main/java/dewlane/core/worker/DecommissionPolicy.java
@@ -59,7 +59,7 @@
     }
 
     private long silentForMs(Machine machine) {
-        return machine.reachability().silentForMs(context.nowMs());
+        return machine.reachability().timeSinceLastContactMs(context.nowMs());
     }
 
     /**
@@ -67,7 +67,7 @@
      * machine that is long gone.
      */
     private static boolean isExpectedToBeReachable(Machine machine) {
-        return (machine.reachability().everConfirmed() && !machine.lifecycle().isScaleInExpected())
+        return (machine.reachability().wasConfirmed() && !machine.lifecycle().isScaleInExpected())
                 || !machine.attempts().isEmpty();
     }
 
--- a/src/main/java/dewlane/core/worker/FailureAttribution.java
+++ b/src/main/java/dewlane/core/worker/FailureAttribution.java
@@ -31,7 +31,7 @@
         } else if (outcome == Outcome.ERROR) {
             failed(machine, assigned);
         } else if (outcome == Outcome.REFUSED) {
-            progress.getOrCreate(assigned.job().id()).retryNotBefore(context.nowMs() + REFUSED_RETRY_MS);
+            progress.getOrCreate(assigned.job().id()).setRetryAtMs(context.nowMs() + REFUSED_RETRY_MS);
         }
     }
 
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -59,7 +59,7 @@
             return;
         }
         eviction.tick();
-        if (!membership.reachesStore()) {
+        if (!membership.isStoreReachable()) {
             return;
         }
         silenceBaseline.resetAfterRejoin();
--- a/src/main/java/dewlane/core/worker/HeartbeatAdmission.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatAdmission.java
@@ -81,6 +81,6 @@
     /** Copies may arrive late: a heartbeat that is no newer than the latest one proves nothing. */
     private static boolean isNews(Machine machine, Heartbeat heartbeat) {
         return heartbeat.fencingToken() <= machine.fencingToken()
-                && machine.worker().precedes(heartbeat);
+                && machine.worker().isOlderThan(heartbeat);
     }
 }
--- a/src/main/java/dewlane/core/worker/HeartbeatHandler.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -47,7 +47,7 @@
     private void acceptAndRespond(long requestId, Heartbeat heartbeat) {
         Machine machine = machines.get(heartbeat.machine());
         updater.apply(machine, heartbeat, false);
-        machine.reachability().heartbeatAccepted(context.nowMs());
+        machine.reachability().onHeartbeatAccepted(context.nowMs());
         commands.respond(machine, requestId);
     }
 
--- a/src/main/java/dewlane/core/worker/MachineStateUpdater.java
+++ b/src/main/java/dewlane/core/worker/MachineStateUpdater.java
@@ -30,13 +30,13 @@
      * @param commandAnswer true if the heartbeat answers a direct command
      */
     void apply(Machine machine, Heartbeat heartbeat, boolean commandAnswer) {
-        if (machine.worker().isUnheard()) {
+        if (machine.worker().hasNoHeartbeat()) {
             context.debug("first heartbeat of machine " + machine.name() + ": " + heartbeat.type() + " "
                     + heartbeat.zone() + (heartbeat.spot() ? " spot" : ""));
         }
         if (heartbeat.incarnation() != machine.worker().incarnation()) {
             machine.commands().clear();
-            machine.commandChannel().incarnationBegan();
+            machine.commandChannel().onNewIncarnation();
         }
         machine.setAddress(heartbeat.address());
         machine.describe(heartbeat.type(), heartbeat.zone(), heartbeat.spot());
--- a/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
+++ b/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
@@ -59,9 +59,9 @@
     private boolean cannotReachOwner(Machine machine, Heartbeat heartbeat) {
         machines.discover(
                 heartbeat.machine(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
-        if (!membership.reachesStore()
+        if (!membership.isStoreReachable()
                 || machine.address() == null
-                || !machine.worker().precedes(heartbeat)) {
+                || !machine.worker().isOlderThan(heartbeat)) {
             return false;
         }
         if (!ownerIsEstablished(machine)) {
@@ -78,7 +78,7 @@
      * makes a new map, which invalidates every launch in flight.
      */
     private boolean ownerIsEstablished(Machine machine) {
-        return peers.heardWithin(machine.owner(), OWNER_HEARD_MS)
+        return peers.receivedStatusWithin(machine.owner(), OWNER_HEARD_MS)
                 && context.nowMs() - machine.ownerSinceMs() >= NEW_OWNER_GRACE_MS;
     }
 }
--- a/src/main/java/dewlane/core/worker/OutcomeRecorder.java
+++ b/src/main/java/dewlane/core/worker/OutcomeRecorder.java
@@ -52,7 +52,7 @@
         boolean first =
                 machines.progress().getOrCreate(assigned.job().id()).recordOutcome(assigned, outcome, context.nowMs());
         if (first) {
-            machines.attemptEnded(machine, assigned);
+            machines.onAttemptEnded(machine, assigned);
             failures.attemptEnded(machine, assigned, outcome);
         }
     }
--- a/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
+++ b/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
@@ -32,7 +32,7 @@
     boolean assess(Machine machine, Heartbeat heartbeat, boolean commandAnswer) {
         boolean missedResponse = hasMissedResponse(machine, heartbeat);
         if (commandAnswer || provesReachable(machine, heartbeat, missedResponse)) {
-            machine.reachability().confirmed(context.nowMs());
+            machine.reachability().onConfirmed(context.nowMs());
             return true;
         }
         if (!machine.reachability().isSuspected()) {
@@ -50,7 +50,7 @@
         }
         return !missedResponse
                 && machine.reachability()
-                        .confirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs());
+                        .wasConfirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs());
     }
 
     /** True if the heartbeat lacks the token, or a launch, of the response to the machine's last heartbeat. */
--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -52,7 +52,8 @@
         this.settings = settings;
         this.endpoints = endpoints;
         this.controller = new Controller(settings, seed, value -> StoredValueCodec.encode(value).length);
-        this.controller.logCommands(LoggerFactory.getLogger(Controller.class).isDebugEnabled());
+        this.controller.setCommandLogging(
+                LoggerFactory.getLogger(Controller.class).isDebugEnabled());
         this.loop = new ControllerLoop(controller, this::dispatch);
         this.worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -166,7 +166,7 @@
 
     /** Reads a key that never exists: the answer names the latest revision. */
     void readRevision() {
-        calls.send(Methods.GET, StoreProtocol.valuePath(StoreKeys.NEVER_SET), null, TIMEOUT_MS, (status, body) -> {
+        calls.send(Methods.GET, StoreProtocol.valuePath(StoreKeys.REVISION_PROBE), null, TIMEOUT_MS, (status, body) -> {
             Input read = new Input.RevisionReadFailed();
             try {
                 if (status == StatusCodes.NOT_FOUND) {
--- a/src/main/java/dewlane/io/UserEndpoint.java
+++ b/src/main/java/dewlane/io/UserEndpoint.java
@@ -26,7 +26,7 @@
         forward(
                 exchange,
                 PendingRequests.Kind.CHANGE,
-                id -> new Input.SubmitJob(id, submission.jobId(), submission.job(), submission.rejection()));
+                id -> new Input.SubmitJob(id, submission.jobId(), submission.job(), submission.bodyError()));
     }
 
     /** Takes a query or a cancellation; {@code path} is what follows the path of submissions and a slash. */
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -27,9 +27,9 @@
      *
      * @param jobId the job's id, or null if the body has none of the right form
      * @param job the job, or null if the body is malformed
-     * @param rejection why the body is malformed, or null if it is not
+     * @param bodyError why the body is malformed, or null if it is not
      */
-    public record Submission(String jobId, Job job, String rejection) {}
+    public record Submission(String jobId, Job job, String bodyError) {}
 
     /** True if the text has the form of a job id. */
     public static boolean isJobId(String text) {
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -34,7 +34,7 @@
         assertEquals("node-0", file.settings().controllerName());
         assertEquals("127.0.0.1:18085", file.endpoints().store());
         assertEquals(16_384, file.settings().maxValueBytes());
-        assertEquals(10, file.settings().objectiveS("guarantee", "any"));
+        assertEquals(10, file.settings().shortestObjectiveS("guarantee", "any"));
         assertTrue(file.settings().teams().get("blue").hasLimit());
         assertFalse(new Settings.TeamQuota("none", 0, 0, 0, 0).hasLimit());
     }
@@ -87,10 +87,10 @@
         assertEquals(16, settings.maxTransactionWrites());
         assertEquals(64, settings.maxTransactionPreconditions());
         assertEquals(100, settings.storeRequestsPerS());
-        assertEquals(30, settings.store().present().writesPerS());
+        assertEquals(30, settings.store().current().writesPerS());
         assertEquals(21, settings.store().reducedWritesPerS());
         Settings without = DeployFile.read(GOOD.toString(), null).settings();
-        assertEquals(without.store().present(), without.store().next());
+        assertEquals(without.store().current(), without.store().next());
     }
 
     @Test
--- a/src/test/java/dewlane/core/config/TestSettings.java
+++ b/src/test/java/dewlane/core/config/TestSettings.java
@@ -5,14 +5,14 @@
 
 /** Settings for tests of single parts of a controller. */
 public final class TestSettings {
-    public static final StoreLimits LIMITS = StoreLimits.constant(100, 100, 16_384, 16);
-    public static final double CANCEL_S = 60;
+    public static final StoreLimits STORE_LIMITS = StoreLimits.constant(100, 100, 16_384, 16);
+    public static final double CANCELLATION_DEADLINE_S = 60;
 
     private TestSettings() {}
 
     /** A controller without peers or teams. */
-    public static Settings alone() {
-        return of(List.of(), Map.of(), CANCEL_S, LIMITS);
+    public static Settings singleController() {
+        return of(List.of(), Map.of(), CANCELLATION_DEADLINE_S, STORE_LIMITS);
     }
 
     /** Controller n0 in one zone, with workers' leases of 30 s. */
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -43,8 +43,8 @@
                             new Settings.TeamQuota("blue", 0, 0, 4, 0),
                             "red",
                             new Settings.TeamQuota("red", 0, 0, 0, 0)),
-                    TestSettings.CANCEL_S,
-                    TestSettings.LIMITS),
+                    TestSettings.CANCELLATION_DEADLINE_S,
+                    TestSettings.STORE_LIMITS),
             1,
             value -> 0);
     final List<Effect> effects = new ArrayList<>();
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -116,9 +116,9 @@
     String description() {
         CommandChannel channel = channel();
         CommandChannel withoutCommand = channel();
-        withoutCommand.commandResolved();
+        withoutCommand.onCommandResolved();
         CommandChannel withoutAnswer = channel();
-        withoutAnswer.responseResolved();
+        withoutAnswer.onResponseResolved();
         StringBuilder text = new StringBuilder();
         text.append(recorded).append(worker).append(reported).append(commands).append(controllerWaits);
         text.append(awaited == null ? -1 : commands.indexOf(awaited));
@@ -223,9 +223,9 @@
         if (!take(taken)) {
             return null;
         }
-        step(CommandChannel::responseResolved);
+        step(CommandChannel::onResponseResolved);
         Message orders = orders();
-        step(channel -> channel.responseSent(orders.launchKeys()));
+        step(channel -> channel.onResponseSent(orders.launchKeys()));
         return orders;
     }
 }
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -99,7 +99,7 @@
         if (orders.launches().isEmpty() && orders.forgets().isEmpty()) {
             return;
         }
-        next.step(channel -> channel.commandSent(orders.launchKeys(), 0));
+        next.step(channel -> channel.onCommandSent(orders.launchKeys(), 0));
         next.commands.add(orders);
         next.awaited = orders;
         next.controllerWaits = true;
@@ -120,7 +120,7 @@
             }
             if (answerArrives) {
                 next.controllerWaits = false;
-                next.step(CommandChannel::commandResolved);
+                next.step(CommandChannel::onCommandResolved);
                 next.take(next.newReport());
             }
         });
@@ -131,7 +131,7 @@
             branch(at, next -> {
                 next.controllerWaits = false;
                 next.awaited = null;
-                next.step(CommandChannel::commandAbandoned);
+                next.step(CommandChannel::onCommandTimedOut);
             });
         }
     }
--- a/src/test/java/dewlane/core/fleet/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -19,27 +19,27 @@
         assertTrue(reachability.isSuspected());
         assertFalse(reachability.endsSuspicion(6), "a token of an owner before");
         assertTrue(reachability.endsSuspicion(7));
-        assertFalse(reachability.everConfirmed());
-        assertEquals(500, reachability.silentForMs(1500));
-        reachability.confirmed(2000);
+        assertFalse(reachability.wasConfirmed());
+        assertEquals(500, reachability.timeSinceLastContactMs(1500));
+        reachability.onConfirmed(2000);
         assertFalse(reachability.isSuspected());
-        assertTrue(reachability.confirmedWithin(2300, 300));
-        assertFalse(reachability.confirmedWithin(2301, 300));
+        assertTrue(reachability.wasConfirmedWithin(2300, 300));
+        assertFalse(reachability.wasConfirmedWithin(2301, 300));
     }
 
     @Test
     void noHeartbeatEndsSuspicionWhileLaunchIsUnderWay() {
         reachability.acquired(0, 7);
-        reachability.confirmed(10);
+        reachability.onConfirmed(10);
         reachability.suspected(5000, Reachability.NO_TOKEN_ENDS_IT);
         assertFalse(reachability.endsSuspicion(Long.MAX_VALUE - 1));
-        assertTrue(reachability.probeDue(5000, 2000), "it is asked at once");
-        reachability.probed(5000);
-        assertFalse(reachability.probeDue(7000, 2000));
-        assertTrue(reachability.probeDue(7001, 2000));
-        assertEquals(4990, reachability.silentForMs(5000), "its silence counts from before the suspicion");
-        reachability.countSilenceFrom(5000);
-        assertEquals(0, reachability.silentForMs(5000));
+        assertTrue(reachability.isProbeDue(5000, 2000), "it is asked at once");
+        reachability.onProbeSent(5000);
+        assertFalse(reachability.isProbeDue(7000, 2000));
+        assertTrue(reachability.isProbeDue(7001, 2000));
+        assertEquals(4990, reachability.timeSinceLastContactMs(5000), "its silence counts from before the suspicion");
+        reachability.restartContactTimer(5000);
+        assertEquals(0, reachability.timeSinceLastContactMs(5000));
     }
 
     @Test
--- a/src/test/java/dewlane/core/job/DependencyGraphTest.java
+++ b/src/test/java/dewlane/core/job/DependencyGraphTest.java
@@ -20,11 +20,11 @@
         release.add("right", List.of("root"));
         release.add("root", List.of());
         assertEquals(List.of("root"), List.copyOf(release.ready()));
-        release.finish("root", Result.DONE);
+        release.recordResult("root", Result.DONE);
         assertEquals(List.of("left", "right"), List.copyOf(release.ready()));
-        release.finish("right", Result.DONE);
+        release.recordResult("right", Result.DONE);
         assertFalse(release.isReady("join"));
-        release.finish("left", Result.DONE);
+        release.recordResult("left", Result.DONE);
         assertEquals(List.of("join"), List.copyOf(release.ready()));
     }
 
@@ -32,8 +32,8 @@
     void laterResultsAndRepeatedArrivalsAreIgnored() {
         release.add("a", List.of());
         release.add("b", List.of("a"));
-        release.finish("a", Result.DONE);
-        assertEquals(List.of(), release.finish("a", Result.FAILED));
+        release.recordResult("a", Result.DONE);
+        assertEquals(List.of(), release.recordResult("a", Result.FAILED));
         assertTrue(release.isReady("b"));
         release.add("a", List.of());
         assertFalse(release.isReady("a"), "a repeated arrival starts nothing twice");
@@ -45,8 +45,8 @@
         release.add("b", List.of("a"));
         release.add("c", List.of("b", "other"));
         release.add("other", List.of());
-        assertEquals(Set.of("b", "c"), Set.copyOf(release.finish("a", Result.FAILED)));
-        release.finish("other", Result.DONE);
+        assertEquals(Set.of("b", "c"), Set.copyOf(release.recordResult("a", Result.FAILED)));
+        release.recordResult("other", Result.DONE);
         assertEquals(List.of(), List.copyOf(release.ready()));
         release.add("late", List.of("c"));
         assertFalse(release.isReady("late"), "a dependant that arrives after the failure fails too");
@@ -55,7 +55,7 @@
     @Test
     void dependantOfDoneDependencyIsReadyOnArrival() {
         release.add("a", List.of());
-        release.finish("a", Result.DONE);
+        release.recordResult("a", Result.DONE);
         release.add("b", List.of("a"));
         assertTrue(release.isReady("b"));
     }
--- a/src/test/java/dewlane/core/job/DependencyTrackerTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -22,7 +22,7 @@
 
 /** What jobs that depend on each other are treated as, change by change. */
 class DependencyTrackerTest {
-    private final ControllerContext context = new ControllerContext(TestSettings.alone(), 1);
+    private final ControllerContext context = new ControllerContext(TestSettings.singleController(), 1);
     private final DependencyGraph release = new DependencyGraph();
     private DependencyTracker dependencies;
     private final StoreReplica replica = new StoreReplica(delta -> dependencies.onReplicaChange(delta));
@@ -84,10 +84,10 @@
     void dependantsAreUnresolvedUntilOutcomeOfDependencyIsKnown() {
         store(record("second", Priority.HIGH, 0, "gone"));
         store(record("third", Priority.HIGH, 0, "second"));
-        assertFalse(dependencies.isResolved("second"));
-        assertFalse(dependencies.isResolved("third"));
-        replica.recordResult("gone", new JobResult(true, 500));
-        assertTrue(dependencies.isResolved("third"));
+        assertFalse(dependencies.areDependenciesResolved("second"));
+        assertFalse(dependencies.areDependenciesResolved("third"));
+        replica.cacheResult("gone", new JobResult(true, 500));
+        assertTrue(dependencies.areDependenciesResolved("third"));
         assertTrue(dependencies.isCancelled(replica.job("second")) && dependencies.isCancelled(replica.job("third")));
     }
 }
--- a/src/test/java/dewlane/core/membership/AuthorityTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -28,12 +28,12 @@
             Authority standing = standing(bits);
             Restriction limit = standing.restriction();
             boolean keepsWorkers = limit == Restriction.NONE
-                    || limit == Restriction.VIEW_STALE
+                    || limit == Restriction.REPLICA_STALE
                     || limit == Restriction.STORE_UNREACHABLE;
             assertEquals(keepsWorkers, standing.mayRenewWorkerLeases(), standing.toString());
             if (limit == Restriction.NONE) {
                 assertTrue(standing.mayDecide() && standing.maySendLaunches(), standing.toString());
-            } else if (limit == Restriction.VIEW_STALE) {
+            } else if (limit == Restriction.REPLICA_STALE) {
                 assertFalse(standing.maySendLaunches(), standing.toString());
             } else if (limit == Restriction.STORE_UNREACHABLE || limit == Restriction.NOT_A_MEMBER) {
                 assertFalse(standing.mayDecide(), standing.toString());
@@ -73,7 +73,7 @@
         receive(10, peerStatus(1, false));
         receive(40_000, peerStatus(1, false));
         tick(0);
-        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.REPLICA_TOO_OLD.description()), takeLimitsLogged());
         receive(10, new Input.WatchEvents(List.of(), revision()));
         receive(10, new Input.WatchEvents(List.of(), revision()));
         tick(1000);
@@ -121,8 +121,8 @@
     @Test
     void settingsThatLeaveNoTimeForCancellationAreWarnedOf() {
         for (double cancelS : new double[] {31, 44}) {
-            Controller tight =
-                    new Controller(TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.LIMITS), 1, value -> 0);
+            Controller tight = new Controller(
+                    TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.STORE_LIMITS), 1, value -> 0);
             boolean warned = tight.handle(0, 0, new Input.Tick()).stream()
                     .anyMatch(e -> e instanceof Effect.Log l && l.text().contains("too short beside lease_s"));
             assertEquals(cancelS == 31, warned);
--- a/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
+++ b/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
@@ -23,8 +23,8 @@
     private final Settings settings = TestSettings.of(
             List.of(),
             Map.of("blue", new Settings.TeamQuota("blue", 20, 0, 0, 0)),
-            TestSettings.CANCEL_S,
-            TestSettings.LIMITS);
+            TestSettings.CANCELLATION_DEADLINE_S,
+            TestSettings.STORE_LIMITS);
     private final StoreReplica replica = new StoreReplica(delta -> {});
     private final List<JobEntry> ready = new ArrayList<>();
 
@@ -40,7 +40,7 @@
     }
 
     private Set<String> guaranteed() {
-        return new QuotaEnforcer(settings, replica, null).withinGuarantee(ready);
+        return new QuotaEnforcer(settings, replica, null).jobsWithinGuarantee(ready);
     }
 
     /** Counted on a day: an idle backlog, always the oldest, took the whole guarantee before work with a deadline. */
--- a/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
+++ b/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
@@ -15,8 +15,8 @@
     private static final StoreLimits LIMITS =
             new StoreLimits(new StoreLimits.Limits(150, 30, 32_768, 16), new StoreLimits.Limits(150, 21, 2048, 5));
 
-    private final ControllerContext context =
-            new ControllerContext(TestSettings.of(List.of(), Map.of(), TestSettings.CANCEL_S, LIMITS), 1);
+    private final ControllerContext context = new ControllerContext(
+            TestSettings.of(List.of(), Map.of(), TestSettings.CANCELLATION_DEADLINE_S, LIMITS), 1);
     private final WriteRateLimiter budget = new WriteRateLimiter(context);
     private long now;
 
@@ -30,7 +30,7 @@
         int done = 0;
         for (int i = 0; i < seconds * 10; i++) {
             now += 100;
-            context.startMessage(now, now);
+            context.beginInput(now, now);
             left = Math.min(allowed, left + allowed / 10);
             while (budget.tokens() >= 1) {
                 budget.spend(1);
@@ -69,7 +69,7 @@
         spend(30, 10);
         for (int i = 0; i < 100; i++) {
             now += 20;
-            context.startMessage(now, now);
+            context.beginInput(now, now);
             budget.onRefused(false);
         }
         double later = spend(30, 30);
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -63,7 +63,7 @@
         inputsWhileFrozen.clear();
         frozenUntil = 0;
         core = new Controller(ownSettings(), cluster.random.nextLong(), value -> StoredValueCodec.encode(value).length);
-        core.logCommands(true);
+        core.setCommandLogging(true);
         tick(incarnation);
     }
 
@@ -79,7 +79,7 @@
                 shared.heartbeatIntervalS(),
                 shared.workerLeaseS(),
                 shared.cancellationDeadlineS(),
-                runsVersion01 ? new StoreLimits(limits.present(), limits.present()) : limits,
+                runsVersion01 ? new StoreLimits(limits.current(), limits.current()) : limits,
                 shared.cloudRequestsPerS(),
                 shared.cloudListLagS(),
                 shared.tuning());
--- a/src/test/java/dewlane/sim/SimStoreLimits.java
+++ b/src/test/java/dewlane/sim/SimStoreLimits.java
@@ -19,7 +19,7 @@
 
     SimStoreLimits(SimCluster cluster) {
         this.cluster = cluster;
-        this.now = cluster.settings.store().present();
+        this.now = cluster.settings.store().current();
     }
 
     StoreLimits.Limits now() {
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -81,7 +81,7 @@
     void aBadFieldIsToldAndTheIdKept(String good, String bad) {
         UserProtocol.Submission s = submission(GOOD.replace(good, bad == null ? "" : bad));
         assertNull(s.job());
-        assertNotNull(s.rejection());
+        assertNotNull(s.bodyError());
         assertEquals("wk-000412", s.jobId());
     }
 
