--- a/src/main/java/dewlane/core/controller/PeerInputs.java
+++ b/src/main/java/dewlane/core/controller/PeerInputHandlers.java
@@ -11,7 +11,7 @@
 import dewlane.core.store.StoreReplica;
 
 /** Broadcasts of peers. They only add speed. */
-final class PeerInputs {
+final class PeerInputHandlers {
     private final PeerTable peers;
     private final MachineRegistry machines;
     private final Membership membership;
@@ -19,7 +19,7 @@
     private final StoreReplica replica;
     private final SchedulingTrigger scheduling;
 
-    PeerInputs(
+    PeerInputHandlers(
             PeerTable peers,
             MachineRegistry machines,
             Membership membership,
@@ -39,14 +39,14 @@
     }
 
     private void onStatus(PeerStatus status) {
-        peers.update(status);
+        peers.onStatusReceived(status);
         machines.discoverFrom(status);
         membership.onPeerEpoch(status.epoch());
         status.cancelledJobs().forEach(this::onCancelled);
     }
 
     private void onCancelled(String job) {
-        JobEntry entry = cancellations.onPeerConfirmed(job) ? replica.job(job) : null;
+        JobEntry entry = cancellations.onPeerCancellation(job) ? replica.job(job) : null;
         if (entry != null) {
             // Its tasks are stopped with the next commands to their machines.
             machines.markChangedFor(entry);
