--- a/src/main/java/dewlane/core/controller/AutoscalingAssembly.java
+++ b/src/main/java/dewlane/core/controller/AutoscalingAssembly.java
@@ -20,7 +20,7 @@
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 
-/** Wires the autoscaling subsystem to the parts of a controller on which all of it rests. */
+/** Builds the autoscaling subsystem from the components of a controller that it depends on. */
 record AutoscalingAssembly(
         ControllerContext context,
         StoreReplica replica,
@@ -30,7 +30,7 @@
         TransactionQueue transactions,
         DependencyGraph dependencies) {
 
-    /** The leader's management of instances. */
+    /** Builds the autoscaler, which manages the cloud instances while this controller is the leader. */
     Autoscaler autoscaler(QuotaEnforcer quota) {
         DecommissionWriter writer = new DecommissionWriter(context, replica, transactions);
         InstanceInventory inventory = new InstanceInventory(context, machines, writer);
@@ -45,7 +45,7 @@
                 new ScaleOut(context, machines, inventory, demand, pools));
     }
 
-    /** The scale-in of idle machines of this controller's partition. */
+    /** Builds the component that scales in idle machines of this controller's partition. */
     ScaleIn scaleIn(AuthorityMonitor authority) {
         IdleMachineFinder idleMachines =
                 new IdleMachineFinder(context, replica, machines, schedulability, dependencies);
--- a/src/main/java/dewlane/core/controller/CloudInputs.java
+++ b/src/main/java/dewlane/core/controller/CloudInputs.java
@@ -5,7 +5,7 @@
 import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 
-/** Answers of the cloud. */
+/** Handles the inputs from the cloud, which are answers to its requests. */
 final class CloudInputs {
     private final MachineRegistry machines;
     private final Autoscaler autoscaler;
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * The core of one controller: takes inputs with the time of their arrival and returns the effects to carry out. It
- * reads no clock and no socket, so the same inputs at the same times always have the same effects. Not thread-safe: all
- * calls come from one thread.
+ * The core of one controller. It takes inputs with their arrival times and returns the effects to perform. It reads no
+ * clock and no socket, so the same inputs at the same times always result in the same effects. Not thread-safe: all
+ * calls must come from one thread.
  */
 public final class Controller {
     private final ControllerContext context;
@@ -25,10 +25,10 @@
     private final Readiness readiness;
 
     /**
-     * A controller that has not joined yet.
+     * Creates a controller that has not joined the partition map yet.
      *
-     * @param seed of all random choices
-     * @param sizer computes how many bytes a value takes in the store
+     * @param seed seed of the random number generator
+     * @param sizer computes the size in bytes of a value in the store
      */
     public Controller(Settings settings, long seed, ValueSizer sizer) {
         ControllerAssembly assembly = new ControllerAssembly(settings, seed, sizer);
@@ -41,11 +41,11 @@
     }
 
     /**
-     * Handles one input, and runs a scheduling cycle if one is due.
+     * Handles one input, then runs a scheduling cycle if one is due.
      *
-     * @param nowMs steady time of the arrival in milliseconds
-     * @param wallMs time of day of the arrival in milliseconds
-     * @return what is to be done, in this order
+     * @param nowMs monotonic arrival time in milliseconds
+     * @param wallMs wall-clock arrival time in milliseconds
+     * @return the effects to perform, in this order
      */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
         context.startMessage(nowMs, wallMs);
@@ -54,35 +54,36 @@
         return context.takeEffects();
     }
 
-    /** Has each command to a worker logged at debug level, with what it rests on. */
+    /** Enables or disables a debug log line per command to a worker, with the state that the command is based on. */
     public void logCommands(boolean wanted) {
         context.logCommands(wanted);
     }
 
-    /** What this controller has done since its start, for the log. */
+    /** Returns the counters of this controller since its start, for the log. */
     public String countersSummary() {
         return counters.summary();
     }
 
-    /** How many machines are in this controller's partition. */
+    /** Returns the number of machines in this controller's partition. */
     public int ownedMachineCount() {
         return machines.owned().size();
     }
 
-    /** How many jobs a scheduling cycle has considered on average. */
+    /** Returns the average number of jobs considered per scheduling cycle since the start. */
     public double jobsPerCycle() {
         long cycles = counters.get(Counter.SCHEDULING_CYCLES);
         return cycles == 0 ? 0 : (double) counters.get(Counter.JOBS_CONSIDERED) / cycles;
     }
 
-    /** True once this controller can decide about jobs. */
+    /** Returns true once this controller can make decisions about jobs. */
     public boolean isReady() {
         return readiness.isReady();
     }
 
     /**
-     * True if the load balancer should send users here: not while this controller alone cannot reach the store. In an
-     * outage for all controllers it stays true, since no other would serve better.
+     * Returns true if the load balancer should send user requests to this controller. Returns false if this controller
+     * cannot reach the store while a peer can. If no controller reaches the store it stays true, since no other
+     * controller would serve users better.
      */
     public boolean isHealthy() {
         return readiness.isHealthy();
--- a/src/main/java/dewlane/core/controller/ControllerAssembly.java
+++ b/src/main/java/dewlane/core/controller/ControllerAssembly.java
@@ -46,7 +46,7 @@
 import dewlane.core.worker.HeartbeatHandler;
 import java.util.List;
 
-/** Builds the subsystems of one controller, lowest first, and connects them. Used once, when a controller is made. */
+/** Builds the subsystems of one controller in the order of their dependencies, and connects them. */
 final class ControllerAssembly {
     private final ControllerContext context;
     private final ValueSizer sizer;
@@ -111,7 +111,7 @@
         return new CommandDispatcher(context, replica, machines, membership, counters, planner);
     }
 
-    /** Those that come later may use what those before them derive from a change. */
+    /** Registers the listeners in order: a listener may use state that an earlier one derived from the same change. */
     private void listenToReplica() {
         replicaListeners.add(machines::onReplicaChange);
         replicaListeners.add(cancellations::onReplicaChange);
@@ -119,7 +119,7 @@
         replicaListeners.add(new ReplicaChangeLog(context, counters)::onReplicaChange);
     }
 
-    /** What all subsystems share. */
+    /** The context that all subsystems share. */
     ControllerContext context() {
         return context;
     }
@@ -129,22 +129,22 @@
         return counters;
     }
 
-    /** The machines that the controller knows. */
+    /** The registry of machines. */
     MachineRegistry machines() {
         return machines;
     }
 
-    /** Runs scheduling cycles. */
+    /** The trigger of scheduling cycles. */
     SchedulingTrigger scheduling() {
         return scheduling;
     }
 
-    /** Whether the controller can serve. */
+    /** Builds the readiness and health checks. */
     Readiness readiness() {
         return new Readiness(storeWatcher, membership, machines, storeConnectivity, peers);
     }
 
-    /** The handlers of all inputs. */
+    /** Builds the table of handlers of all inputs. */
     HandlerTable<Input> inputHandlers() {
         HandlerTable<Input> handlers = new HandlerTable<>(Input.class);
         periodicTasks().register(handlers);
@@ -211,7 +211,7 @@
         return new PeriodicTasks(context, everyTick, everySecond);
     }
 
-    /** The store's write rate is shared by the controllers of the partition map. */
+    /** Divides the store's write rate by the number of controllers in the partition map. */
     private void shareWriteRate() {
         if (replica.partitionMap() != null) {
             transactions.shareAmong(replica.partitionMap().members().size());
--- a/src/main/java/dewlane/core/controller/PeerInputs.java
+++ b/src/main/java/dewlane/core/controller/PeerInputs.java
@@ -10,7 +10,7 @@
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.StoreReplica;
 
-/** Broadcasts of peers. They only add speed. */
+/** Handles status broadcasts of peers, which only let this controller react sooner; safety does not depend on them. */
 final class PeerInputs {
     private final PeerTable peers;
     private final MachineRegistry machines;
@@ -48,7 +48,7 @@
     private void onCancelled(String job) {
         JobEntry entry = cancellations.onPeerConfirmed(job) ? replica.job(job) : null;
         if (entry != null) {
-            // Its tasks are stopped with the next commands to their machines.
+            // The next commands to the machines of the job stop its tasks.
             machines.markChangedFor(entry);
             scheduling.request();
         }
--- a/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
+++ b/src/main/java/dewlane/core/controller/PeerStatusBroadcaster.java
@@ -12,11 +12,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Broadcasts to the peers the status of this controller and the machines of its partition. It only adds speed. */
+/**
+ * Broadcasts the status of this controller and the machines of its partition to its peers. The broadcasts only let
+ * peers react sooner; safety does not depend on them.
+ */
 final class PeerStatusBroadcaster {
-    /** Keeps messages within the size limit; a controller that is alone for a while may own all machines. */
+    /** Keeps messages within the size limit of 64 KiB; a controller that is temporarily alone may own all machines. */
     private static final int MAX_MACHINES_PER_MESSAGE = 300;
-    /** Each broadcast costs every peer something, so the interval grows with the number of peers. */
+    /** The interval grows with the number of peers, since each peer has to process each broadcast. */
     private static final long INTERVAL_PER_PEER_MS = 1000 / 3;
 
     private static final long MAX_INTERVAL_MS = 2000;
@@ -41,7 +44,7 @@
         this.schedulingCycle = schedulingCycle;
     }
 
-    /** Announces at once the cancellations that were confirmed here: a peer may not be able to watch the store now. */
+    /** Announces newly confirmed cancellations at once, as a peer may be unable to watch the store at the moment. */
     void announceCancellations() {
         if (cancellations.takeAnnouncementDue() && membership.isMember()) {
             cancellations.removeExpired();
@@ -49,7 +52,7 @@
         }
     }
 
-    /** Broadcasts the status with all machines, if the interval has passed. */
+    /** Broadcasts the status with all machines if the interval has passed. */
     void broadcastIfDue() {
         long intervalMs = Math.min(
                 MAX_INTERVAL_MS,
--- a/src/main/java/dewlane/core/controller/PeriodicTasks.java
+++ b/src/main/java/dewlane/core/controller/PeriodicTasks.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * What is done as time passes: some of it with every tick, the rest about once a second. Tasks run in a fixed order.
+ * Runs periodic tasks in a fixed order: some on every tick, the others about once a second.
  */
 final class PeriodicTasks {
     private static final long SLOW_INTERVAL_MS = 1000;
--- a/src/main/java/dewlane/core/controller/Readiness.java
+++ b/src/main/java/dewlane/core/controller/Readiness.java
@@ -6,9 +6,9 @@
 import dewlane.core.store.StoreConnectivity;
 import dewlane.core.store.StoreWatcher;
 
-/** Whether a controller can serve requests, and whether the load balancer should send it some. */
+/** Determines whether a controller can serve requests and whether the load balancer should send requests to it. */
 final class Readiness {
-    private static final long MAX_STORE_SILENCE_MS = 2500;
+    private static final long STORE_CONTACT_TIMEOUT_MS = 2500;
 
     private final StoreWatcher storeWatcher;
     private final Membership membership;
@@ -38,6 +38,6 @@
 
     /** See {@link Controller#isHealthy()}. */
     boolean isHealthy() {
-        return isReady() && (storeConnectivity.silenceMs() < MAX_STORE_SILENCE_MS || !peers.anyReachesStore());
+        return isReady() && (storeConnectivity.silenceMs() < STORE_CONTACT_TIMEOUT_MS || !peers.anyReachesStore());
     }
 }
--- a/src/main/java/dewlane/core/controller/ReplicaChangeLog.java
+++ b/src/main/java/dewlane/core/controller/ReplicaChangeLog.java
@@ -8,7 +8,7 @@
 import dewlane.core.store.ReplicaChange;
 import dewlane.core.store.UnreadableValueLog;
 
-/** Counts and logs the changes of the replica that operators want to know of. */
+/** Counts and logs changes of the replica that are relevant to operators. */
 final class ReplicaChangeLog {
     private final ControllerContext context;
     private final ControllerCounters counters;
--- a/src/main/java/dewlane/core/controller/ReplicaListeners.java
+++ b/src/main/java/dewlane/core/controller/ReplicaListeners.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Passes each change of the replica to all that keep state derived from it, in the order in which they were added. */
+/** Notifies listeners, which keep state derived from the replica, of each change in the order of their registration. */
 final class ReplicaListeners implements Consumer<ReplicaChange> {
     private final List<Consumer<ReplicaChange>> listeners = new ArrayList<>();
 
--- a/src/main/java/dewlane/core/controller/SchedulingAssembly.java
+++ b/src/main/java/dewlane/core/controller/SchedulingAssembly.java
@@ -26,7 +26,7 @@
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 
-/** Wires the scheduling subsystem to the parts of a controller on which all of it rests. */
+/** Builds the scheduling subsystem from the components of a controller that it depends on. */
 record SchedulingAssembly(
         ControllerContext context,
         StoreReplica replica,
@@ -36,7 +36,7 @@
         TransactionQueue transactions,
         ControllerCounters counters) {
 
-    /** The scheduling cycle with all that it runs. */
+    /** Builds the scheduling cycle and its components. */
     SchedulingCycle cycle(
             QuotaEnforcer quota,
             PartitionSelector partitions,
--- a/src/main/java/dewlane/core/controller/SchedulingTrigger.java
+++ b/src/main/java/dewlane/core/controller/SchedulingTrigger.java
@@ -5,12 +5,12 @@
 import dewlane.core.worker.CommandDispatcher;
 
 /**
- * Decides when a scheduling cycle runs: after an input that may change what there is to schedule, and now and then
- * without one. Inputs that come close together share a cycle. The commands that follow from it are sent with it.
+ * Decides when a scheduling cycle runs: after inputs that may affect scheduling decisions, and periodically without
+ * them. Inputs that arrive in quick succession share one cycle. Direct commands are sent right after each cycle.
  */
 final class SchedulingTrigger {
     private static final long MIN_INTERVAL_MS = 80;
-    /** Time after which a cycle runs without a reason: some decisions only depend on time. */
+    /** Maximum time between cycles, even without a request, since some decisions depend on time alone. */
     private static final long IDLE_INTERVAL_MS = 300;
 
     private final ControllerContext context;
@@ -25,19 +25,19 @@
         this.commands = commands;
     }
 
-    /** Has a cycle run as soon as one is due again. */
+    /** Requests a cycle, which runs once the minimum interval since the last one has passed. */
     void request() {
         requested = true;
     }
 
-    /** Requests a cycle if none has run for a while. */
+    /** Requests a cycle if none has run within the idle interval. */
     void requestIfIdle() {
         if (sinceCycleMs() >= IDLE_INTERVAL_MS) {
             request();
         }
     }
 
-    /** Runs a cycle if one is requested and the last one is long enough ago. */
+    /** Runs a cycle if one is requested and the minimum interval since the last one has passed. */
     void runIfDue() {
         if (requested && sinceCycleMs() >= MIN_INTERVAL_MS) {
             cycleAtMs = context.nowMs();
--- a/src/main/java/dewlane/core/controller/StoreInputs.java
+++ b/src/main/java/dewlane/core/controller/StoreInputs.java
@@ -10,8 +10,8 @@
 import dewlane.core.store.TransactionQueue;
 
 /**
- * What became of single requests to the store. Whatever shows that the store carried one out proves that it can be
- * reached; a refusal proves nothing.
+ * Handles the results of single requests to the store. A result that shows that the store executed the request proves
+ * that the store is reachable; a refusal proves nothing.
  */
 final class StoreInputs {
     private final StoreConnectivity connectivity;
--- a/src/main/java/dewlane/core/controller/UserInputs.java
+++ b/src/main/java/dewlane/core/controller/UserInputs.java
@@ -6,7 +6,7 @@
 import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 
-/** Requests of users. What they change comes back from the store, so none of them asks for a scheduling cycle. */
+/** Handles requests of users. None requests a scheduling cycle, since their changes arrive by the store's watch. */
 final class UserInputs {
     private final SubmissionHandler submissions;
     private final JobStatusHandler statuses;
--- a/src/main/java/dewlane/core/controller/WatchInputs.java
+++ b/src/main/java/dewlane/core/controller/WatchInputs.java
@@ -4,7 +4,7 @@
 import dewlane.core.message.Input;
 import dewlane.core.store.StoreWatcher;
 
-/** The contents of the store, as it is listed and watched. */
+/** Handles the results of listing and watching the store. */
 final class WatchInputs {
     private final StoreWatcher storeWatcher;
     private final SchedulingTrigger scheduling;
--- a/src/main/java/dewlane/core/controller/WorkerInputs.java
+++ b/src/main/java/dewlane/core/controller/WorkerInputs.java
@@ -4,7 +4,10 @@
 import dewlane.core.message.Input;
 import dewlane.core.worker.HeartbeatHandler;
 
-/** Inputs from workers: heartbeats, and answers to direct commands. Either may free capacity or end attempts. */
+/**
+ * Handles inputs from workers: heartbeats and answers to direct commands. Either may free capacity or end attempts, so
+ * each requests a scheduling cycle.
+ */
 final class WorkerInputs {
     private final HeartbeatHandler heartbeats;
     private final SchedulingTrigger scheduling;
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 
 /**
- * What the subsystems of one controller share: its settings, the time at which the input at hand arrived, the source of
- * random choices, and the effects so far. Used by one thread only.
+ * The context that the subsystems of one controller share: its settings, the arrival time of the current input, the
+ * random number generator, and the effects emitted so far. Used by one thread only.
  */
 public final class ControllerContext {
-    /** A steady time long before any other, for what has not happened yet: the time since then does not overflow. */
+    /** Initial value of timestamps of events that have not happened; {@code nowMs() - NEVER_MS} does not overflow. */
     public static final long NEVER_MS = Long.MIN_VALUE / 2;
 
     private final Settings settings;
@@ -21,9 +21,9 @@
     private boolean logsCommands;
 
     /**
-     * A context at time 0 without effects.
+     * Creates a context at time 0 without effects.
      *
-     * @param seed of all random choices: runs with the same seed, inputs and times are the same
+     * @param seed seed of the random number generator; runs with equal seed, inputs and times are identical
      */
     public ControllerContext(Settings settings, long seed) {
         this.settings = settings;
@@ -31,62 +31,62 @@
     }
 
     /**
-     * Sets the times at which the input at hand arrived, in milliseconds.
+     * Sets the arrival time of the input that is handled next.
      *
-     * @param nowMs steady time, see {@link #nowMs()}
-     * @param wallMs time of day, see {@link #wallClockMs()}
+     * @param nowMs monotonic time in milliseconds, see {@link #nowMs()}
+     * @param wallMs wall-clock time in milliseconds, see {@link #wallClockMs()}
      */
     public void startMessage(long nowMs, long wallMs) {
         this.nowMs = nowMs;
         this.wallClockMs = wallMs;
     }
 
-    /** Steady time in milliseconds since some moment of the process's own: never goes back, says nothing to others. */
+    /** Returns the monotonic time in milliseconds. Its origin is arbitrary, so it has no meaning in other processes. */
     public long nowMs() {
         return nowMs;
     }
 
-    /** Time of day in milliseconds since the epoch of Unix: comparable between controllers, may jump. */
+    /** Returns the wall-clock time in milliseconds since the Unix epoch. Comparable across controllers; may jump. */
     public long wallClockMs() {
         return wallClockMs;
     }
 
-    /** The settings of this controller. */
+    /** Returns the settings of this controller. */
     public Settings settings() {
         return settings;
     }
 
-    /** The source of all random choices. */
+    /** Returns the random number generator, the only source of randomness in the core. */
     public SplittableRandom random() {
         return random;
     }
 
-    /** Adds an effect, to be performed once the input at hand has been handled. */
+    /** Adds an effect, which is performed after the current input has been handled. */
     public void emit(Effect effect) {
         effects.add(effect);
     }
 
-    /** Logs a line for operators. */
+    /** Logs a line at info level, for operators. */
     public void info(String text) {
         effects.add(new Effect.Log(Effect.Level.INFO, text));
     }
 
-    /** Says whether each command is to be logged; those lines cost too much to be built and thrown away. */
+    /** Enables or disables a log line per command. Disabled lines are not built, as building them is expensive. */
     public void logCommands(boolean wanted) {
         logsCommands = wanted;
     }
 
-    /** True if each command to a worker is logged. */
+    /** Returns true if each command to a worker is logged. */
     public boolean logsCommands() {
         return logsCommands;
     }
 
-    /** Logs a line for those who look for a fault. */
+    /** Logs a line at debug level, for troubleshooting. */
     public void debug(String text) {
         effects.add(new Effect.Log(Effect.Level.DEBUG, text));
     }
 
-    /** Returns the effects so far and starts a new list. */
+    /** Returns the effects emitted so far and clears the list. */
     public List<Effect> takeEffects() {
         List<Effect> taken = effects;
         effects = new ArrayList<>();
--- a/src/main/java/dewlane/core/message/ControllerCounters.java
+++ b/src/main/java/dewlane/core/message/ControllerCounters.java
@@ -5,35 +5,36 @@
 import java.util.StringJoiner;
 
 /**
- * Counts what a controller has done since its start. Nothing in them depends on time, so equal runs have equal ones.
+ * The counters of one controller since its start. They measure no durations, so runs with the same inputs have the same
+ * counts.
  */
 public final class ControllerCounters {
     private final long[] counts = new long[Counter.values().length];
     private final long[] writesByPriority = new long[TransactionPriority.values().length];
 
-    /** Adds one. */
+    /** Adds one to the counter. */
     public void increment(Counter counter) {
         counts[counter.ordinal()]++;
     }
 
-    /** Adds an amount. */
+    /** Adds an amount to the counter. */
     public void add(Counter counter, long amount) {
         counts[counter.ordinal()] += amount;
     }
 
-    /** The present count. */
+    /** Returns the current count. */
     public long get(Counter counter) {
         return counts[counter.ordinal()];
     }
 
-    /** Counts a transaction that is sent, with so many writes. */
+    /** Counts a transaction that is sent, and its number of writes. */
     public void countTransaction(TransactionPriority priority, int writes) {
         increment(Counter.TRANSACTIONS);
         add(Counter.WRITES, writes);
         writesByPriority[priority.ordinal()] += writes;
     }
 
-    /** All counters in one line, for the log. */
+    /** Formats all counters in one line for the log. */
     public String summary() {
         StringJoiner text = new StringJoiner(", ");
         for (Counter counter : Counter.values()) {
--- a/src/main/java/dewlane/core/message/Counter.java
+++ b/src/main/java/dewlane/core/message/Counter.java
@@ -1,48 +1,48 @@
 package dewlane.core.message;
 
-/** What a controller counts about itself. */
+/** Counters of a controller's activity since its start. */
 public enum Counter {
-    /** Heartbeats of workers. */
+    /** Heartbeats received from workers, including those that answer direct commands. */
     HEARTBEATS("heartbeats"),
-    /** Heartbeats that were rejected, as this controller might not renew leases. */
+    /** Heartbeats rejected because this controller was not allowed to renew worker leases at that time. */
     HEARTBEATS_REJECTED("heartbeats rejected"),
-    /** Changes that the watch brought. */
+    /** Key changes received from the store's watch. */
     CHANGES_SEEN("changes seen"),
-    /** Attempts in the slices that the watch brought. */
+    /** Attempts in the slices that were listed or changed in the store. */
     ATTEMPTS_SEEN("attempts seen"),
-    /** Scheduling cycles. */
+    /** Scheduling cycles run. */
     SCHEDULING_CYCLES("scheduling cycles"),
-    /** Ready jobs, once a cycle. */
+    /** Ready jobs, summed over all scheduling cycles. */
     JOBS_CONSIDERED("jobs considered"),
-    /** Machines looked at for a task. */
+    /** Machines evaluated as candidates for a task. */
     MACHINES_CONSIDERED("machines considered"),
-    /** Direct commands to workers. */
+    /** Messages with direct commands sent to workers. */
     COMMANDS("commands"),
-    /** Commands that ask a suspected machine for a sign. */
+    /** Probes of machines that are suspected unreachable. */
     PROBES("probes"),
-    /** Direct commands with launches that were not answered in time. */
+    /** Direct commands with launches that timed out without an answer. */
     LAUNCHES_ABANDONED("launches abandoned"),
-    /** Fences raised because of a launch in flight. */
+    /** Fencing tokens raised to invalidate a launch that is abandoned or in flight. */
     FENCES_RAISED("fences raised"),
-    /** Attempts not forgotten yet, as a launch of them was in flight. */
+    /** Forget commands held back because a launch of the same attempt was in flight. */
     FORGETS_DEFERRED("forgets deferred"),
-    /** Machines that may not hear this controller. */
+    /** Times that a machine became suspected unreachable. */
     SUSPICIONS("suspicions"),
-    /** Tasks handed over to another partition. */
+    /** Handovers of a slice's tasks to another partition. */
     HANDOVERS("handovers"),
-    /** Transactions sent. */
+    /** Transactions sent to the store, retries included. */
     TRANSACTIONS("transactions"),
-    /** Keys written or deleted by them. */
+    /** Keys written or deleted by the transactions sent. */
     WRITES("writes"),
-    /** Tasks launched. */
+    /** Task launches committed to the store. */
     TASKS_LAUNCHED("tasks launched"),
-    /** Transactions whose preconditions did not hold. */
+    /** Transactions rejected because a precondition failed. */
     CONFLICTS("conflicts"),
-    /** Transactions refused for the rate, or as the store is unavailable. */
+    /** Transactions refused because the rate limit was exceeded or the store was unavailable. */
     REFUSED_TRANSACTIONS("transactions refused"),
-    /** Transactions that the store called invalid. */
+    /** Transactions that the store rejected as invalid. */
     INVALID_TRANSACTIONS("transactions invalid"),
-    /** Stored values that cannot be read. */
+    /** Stored keys and values that could not be read. */
     UNREADABLE_VALUES("unreadable values");
 
     private final String label;
@@ -51,7 +51,7 @@
         this.label = label;
     }
 
-    /** The counter's name in the log. */
+    /** Returns the counter's name in the log. */
     public String label() {
         return label;
     }
--- a/src/main/java/dewlane/core/message/Effect.java
+++ b/src/main/java/dewlane/core/message/Effect.java
@@ -6,41 +6,41 @@
 import java.util.List;
 
 /**
- * What the core wants done by the sockets and timers round it. An effect with an answer names the {@link Input} that
- * brings it; where it has an id, so has that input.
+ * An action that the core asks the I/O layer to perform. If an effect is answered, its comment names the {@link Input}
+ * that carries the answer; if the effect has an id, that input carries the same id.
  */
 public sealed interface Effect {
 
     // The store
 
-    /** List all keys but job results; answered by {@link Input.StoreListed} or {@link Input.StoreListFailed}. */
+    /** List all keys except job results; answered by {@link Input.StoreListed} or {@link Input.StoreListFailed}. */
     record ListStore() implements Effect {}
 
     /**
-     * Wait for changes; answered by {@link Input.WatchEvents} or {@link Input.WatchFailed}.
+     * Wait for changes in the store; answered by {@link Input.WatchEvents} or {@link Input.WatchFailed}.
      *
-     * @param afterRevision the revision up to which changes are known
+     * @param afterRevision the revision after which changes are requested
      */
     record Watch(long afterRevision) implements Effect {}
 
-    /** Send a transaction; answered by {@link Input.TransactionCompleted}. */
+    /** Send a transaction to the store; answered by {@link Input.TransactionCompleted}. */
     record CommitTransaction(long id, Transaction transaction) implements Effect {}
 
     /**
-     * Ask for a lease; answered by {@link Input.LeaseGranted} or {@link Input.LeaseGrantFailed}.
+     * Request a lease; answered by {@link Input.LeaseGranted} or {@link Input.LeaseGrantFailed}.
      *
-     * @param ttlMs milliseconds after which the lease expires unless it is renewed
+     * @param ttlMs time to live in milliseconds, after which the lease expires unless it is renewed
      */
     record GrantLease(long ttlMs) implements Effect {}
 
     /** Renew a lease; answered by {@link Input.LeaseRenewalCompleted}. */
     record RenewLease(long lease) implements Effect {}
 
-    /** Read one key; answered by {@link Input.ValueRead} or {@link Input.ValueReadFailed}. */
+    /** Read the value of one key; answered by {@link Input.ValueRead} or {@link Input.ValueReadFailed}. */
     record ReadValue(long id, String key) implements Effect {}
 
     /**
-     * Ask for the revision of the store's latest change; answered by {@link Input.RevisionRead} or
+     * Read the revision of the store's latest change; answered by {@link Input.RevisionRead} or
      * {@link Input.RevisionReadFailed}.
      */
     record ReadRevision() implements Effect {}
@@ -48,11 +48,11 @@
     // Workers
 
     /**
-     * Answer a worker's heartbeat, which renews the worker's lease.
+     * Respond to a worker's heartbeat, which renews the worker's lease.
      *
      * @param id the id of the heartbeat
-     * @param fencingToken a worker that has seen a higher one drops the answer
-     * @param commands what the worker is to do, in this order
+     * @param fencingToken the fencing token; a worker that has seen a higher one ignores the response
+     * @param commands the commands to the worker, in the order of execution
      */
     record AnswerHeartbeat(long id, long fencingToken, List<WorkerCommand> commands) implements Effect {
         public AnswerHeartbeat {
@@ -61,28 +61,29 @@
     }
 
     /**
-     * Tell a worker to send its heartbeats to another controller; its lease is not renewed.
+     * Redirect a worker's heartbeats to another controller. The worker's lease is not renewed.
      *
      * @param id the id of the heartbeat
-     * @param controller the name of that controller, or null for any other
+     * @param controller the name of the other controller, or null for any other controller
      */
     record RedirectHeartbeat(long id, String controller) implements Effect {}
 
     /**
-     * Refuse a worker's heartbeat, so that the worker tries the next controller; its lease is not renewed.
+     * Reject a worker's heartbeat, so that the worker tries the next controller. The worker's lease is not renewed.
      *
      * @param id the id of the heartbeat
      */
     record RejectHeartbeat(long id) implements Effect {}
 
     /**
-     * Send commands to a worker without waiting for its heartbeat; answered by {@link Input.CommandCompleted}.
+     * Send commands directly to a worker, without waiting for its heartbeat; answered by
+     * {@link Input.CommandCompleted}.
      *
      * @param machine the name of the worker's machine
      * @param address host and port of the worker
-     * @param incarnation the worker's incarnation; another one executes nothing
-     * @param fencingToken a worker that has seen a higher one executes nothing
-     * @param commands what the worker is to do, in this order; may be empty, to see whether it answers
+     * @param incarnation the worker's incarnation; a worker of another incarnation executes nothing
+     * @param fencingToken the fencing token; a worker that has seen a higher one executes nothing
+     * @param commands the commands, in the order of execution; empty to probe whether the worker answers
      */
     record SendCommands(
             String machine, String address, long incarnation, long fencingToken, List<WorkerCommand> commands)
@@ -95,63 +96,63 @@
     // Users
 
     /**
-     * Answer a user's request.
+     * Respond to a user's request.
      *
      * @param id the id of the request
      * @param status the HTTP status
      * @param job the job's state; null unless the status is 200 or 201
-     * @param reason why the request was refused; null if it was not
-     * @param retryAfterS seconds after which the user should try again, if the status is 503
+     * @param reason why the request was rejected; null if it was not
+     * @param retryAfterS seconds after which the user should retry, if the status is 503
      */
     record AnswerUser(long id, int status, JobStatus job, String reason, int retryAfterS) implements Effect {}
 
     /**
-     * A job's state as its user sees it.
+     * A job's state as reported to users.
      *
      * @param job the job's id
-     * @param condition what has become of the job
-     * @param done how many tasks are done
-     * @param running how many tasks may be on a machine
+     * @param condition the condition of the whole job
+     * @param done number of tasks that are done
+     * @param running number of tasks that may be on a machine
      */
     record JobStatus(String job, JobCondition condition, int done, int running) {}
 
-    /** Conditions of a job. */
+    /** The condition of a job. */
     enum JobCondition {
-        /** No task is on a machine at present, and not all are done. */
+        /** Not all tasks are done, and none is on a machine. */
         PENDING,
-        /** A task may be on a machine. */
+        /** At least one task may be on a machine. */
         RUNNING,
-        /** Every task is done. */
+        /** All tasks are done. */
         DONE,
-        /** Cancelled by its user, or through a job that it depends on. */
+        /** Cancelled by a user, or because a job that it depends on was cancelled. */
         CANCELLED
     }
 
     // The cloud
 
-    /** Read the machine types; answered by {@link Input.MachineTypesListed}. */
+    /** List the machine types that the cloud offers; answered by {@link Input.MachineTypesListed}. */
     record ListMachineTypes() implements Effect {}
 
-    /** Read the list of instances; answered by {@link Input.InstancesListed}. */
+    /** List the instances; answered by {@link Input.InstancesListed}. */
     record ListInstances() implements Effect {
-        /** How many instances the cloud lists by one request. */
+        /** Number of instances that the cloud lists per request. */
         public static final int PAGE_SIZE = 500;
     }
 
     /**
      * Create instances; answered by {@link Input.InstancesCreated}.
      *
-     * @param requestId makes the request idempotent; never used for another one
+     * @param requestId idempotency key of the request, never reused
      * @param type the name of the machine type
      * @param zone the zone's name
      * @param spot true for spot instances
-     * @param count how many to create
+     * @param count number of instances to create
      */
     record CreateInstances(String requestId, String type, String zone, boolean spot, int count) implements Effect {}
 
     /** Delete instances by name; answered by {@link Input.InstancesDeleted}. */
     record DeleteInstances(List<String> machines) implements Effect {
-        /** The most instances that the cloud deletes by one request. */
+        /** Maximum number of instances that the cloud deletes per request. */
         public static final int MAX_INSTANCES = 100;
 
         public DeleteInstances {
@@ -162,10 +163,9 @@
     // Peers
 
     /**
-     * Send this controller's status to every other one.
+     * Send this controller's status to all peers.
      *
-     * @param pages messages to be sent one by one: a large partition takes several, as no message may be larger than 64
-     *     KiB
+     * @param pages the messages, sent one at a time: a large partition needs several, as no message may exceed 64 KiB
      */
     record BroadcastStatus(List<PeerStatus> pages) implements Effect {
         public BroadcastStatus {
@@ -173,12 +173,12 @@
         }
     }
 
-    // The log
+    // Logging
 
     /** Write a line to the log. */
     record Log(Level level, String text) implements Effect {}
 
-    /** Levels of the log. */
+    /** Log levels. */
     enum Level {
         ERROR,
         INFO,
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -11,21 +11,21 @@
 import java.util.Optional;
 
 /**
- * What happened outside the core. The answer to an {@link Effect} bears the id of that; workers' and users' requests
- * bear one that the I/O layer has chosen, under which it expects the answer.
+ * An event outside the core that the core handles. The completion of an {@link Effect} carries the id of that effect;
+ * requests of workers and users carry an id that the I/O layer assigned, and their response carries the same id.
  */
 public sealed interface Input {
 
-    /** Time has passed. */
+    /** The timer fired. */
     record Tick() implements Input {}
 
     // The store
 
-    /** A key of the store with its value, and the revision of its latest change. */
+    /** A key in the store, its value, and the revision at which it last changed. */
     record StoreRow(String key, StoredValue value, long revision) {}
 
     /**
-     * A change of one key.
+     * A change of one key in the store.
      *
      * @param value the new value, or null if the key was deleted
      * @param revision the revision of the change
@@ -35,9 +35,9 @@
     /**
      * The store was listed, page by page.
      *
-     * @param rows all keys but job results; changes after {@code revision} may or may not be in them
-     * @param revision the store's revision as the first page was read
-     * @param latestRevision the store's revision as the last page was read
+     * @param rows all keys except job results; changes after {@code revision} may or may not be included
+     * @param revision the store's revision when the first page was read
+     * @param latestRevision the store's revision when the last page was read
      */
     record StoreListed(List<StoreRow> rows, long revision, long latestRevision) implements Input {}
 
@@ -45,55 +45,55 @@
     record StoreListFailed() implements Input {}
 
     /**
-     * A watch was answered.
+     * The store answered a watch request.
      *
-     * @param changes every change up to the revision, in the order of revisions
+     * @param changes all changes after the requested revision up to {@code revision}, ordered by revision
      * @param revision the store's revision
      */
     record WatchEvents(List<KeyChange> changes, long revision) implements Input {}
 
     /**
-     * A watch ended without changes.
+     * A watch request timed out or failed.
      *
-     * @param revisionCompacted true if the store does not remember changes since the watch's revision any more
+     * @param revisionCompacted true if the store no longer holds all changes since the watch's revision
      */
     record WatchFailed(boolean revisionCompacted) implements Input {}
 
     /**
-     * A transaction ended.
+     * A transaction completed, or its request failed.
      *
-     * @param status how it ended, as far as the answer tells
-     * @param revision the store's revision, if the status is a commit or a conflict; otherwise 0
+     * @param status the result, as far as the response determines it
+     * @param revision the store's revision if the transaction was committed or in conflict; otherwise 0
      */
     record TransactionCompleted(long id, Transaction.Status status, long revision) implements Input {}
 
-    /** A lease was granted. */
+    /** The store granted a lease. */
     record LeaseGranted(long lease) implements Input {}
 
-    /** No lease was granted, as far as the answer tells. */
+    /** The request for a lease failed; the store may have granted one all the same. */
     record LeaseGrantFailed() implements Input {}
 
-    /** A lease renewal ended. */
+    /** A lease renewal completed, or its request failed. */
     record LeaseRenewalCompleted(long lease, RenewalStatus status) implements Input {}
 
-    /** How a lease renewal ended. */
+    /** The result of a lease renewal. */
     enum RenewalStatus {
-        /** The lease has its full time again. */
+        /** The lease was renewed for its full time to live. */
         RENEWED,
-        /** The lease exists no longer. */
+        /** The lease no longer exists. */
         EXPIRED,
-        /** The store did not answer, or refused to. */
+        /** The store did not answer, or refused the request; the lease may still exist. */
         UNKNOWN
     }
 
     /**
-     * A key was read.
+     * The value of a key was read.
      *
      * @param value the key's value, or empty if the key does not exist
      */
     record ValueRead(long id, Optional<StoredValue> value) implements Input {}
 
-    /** A key could not be read. */
+    /** The value of a key could not be read. */
     record ValueReadFailed(long id) implements Input {}
 
     /** The revision of the store's latest change was read. */
@@ -104,16 +104,16 @@
 
     // Workers
 
-    /** A worker has sent a heartbeat and waits for the answer. */
+    /** A worker sent a heartbeat and waits for the response. */
     record HeartbeatReceived(long id, Heartbeat heartbeat) implements Input {}
 
     /**
-     * Commands sent straight to a worker were answered, or given up on.
+     * A direct command to a worker was answered, timed out, failed, or was never sent.
      *
      * @param machine the name of the worker's machine
-     * @param fencingToken the token that the commands bore
-     * @param delivered false if the commands were never sent, so that they cannot arrive late
-     * @param heartbeat the worker's answer, or null if there was none
+     * @param fencingToken the fencing token of the command
+     * @param delivered false if the command was never sent, so that it cannot arrive late
+     * @param heartbeat the heartbeat that the worker answered with, or null if there was no answer
      */
     record CommandCompleted(String machine, long fencingToken, boolean delivered, Heartbeat heartbeat)
             implements Input {}
@@ -121,58 +121,58 @@
     // Users
 
     /**
-     * A user submits a job.
+     * A user submitted a job.
      *
-     * @param jobId the job's id, or null if the body has none of the right form
+     * @param jobId the job's id, or null if the body contains no valid id
      * @param job the job, or null if the body is malformed
-     * @param rejection what is wrong with a malformed body; null for any other
+     * @param rejection why the body is malformed; null if it is well-formed
      */
     record SubmitJob(long id, String jobId, Job job, String rejection) implements Input {}
 
-    /** A user asks for a job's state. */
+    /** A user requested the state of a job. */
     record GetJobStatus(long id, String job) implements Input {}
 
-    /** A user cancels a job. */
+    /** A user requested the cancellation of a job. */
     record CancelJob(long id, String job) implements Input {}
 
     // The cloud
 
-    /** The machine types that the cloud offers. */
+    /** The cloud listed the machine types that it offers. */
     record MachineTypesListed(List<MachineType> types) implements Input {}
 
-    /** The cloud's list of instances, which lags. */
+    /** The cloud listed its instances. The list lags behind the actual state. */
     record InstancesListed(List<CloudInstance> machines) implements Input {}
 
     /**
-     * A request for instances ended.
+     * A request to create instances completed, or failed.
      *
      * @param requestId the id of the request
      * @param machines the names of the instances that were created, perhaps fewer than requested
      */
     record InstancesCreated(String requestId, CreateStatus status, List<String> machines) implements Input {}
 
-    /** How a request for instances ended. */
+    /** The result of a request to create instances. */
     enum CreateStatus {
         /** Instances were created. */
         CREATED,
-        /** The cloud has none of this type, zone and kind at present; nothing was created. */
+        /** The cloud has no capacity of this type, zone and kind (spot or on-demand); nothing was created. */
         NO_CAPACITY,
-        /** The cloud calls the request malformed; nothing was created. */
+        /** The cloud rejected the request as malformed; nothing was created. */
         INVALID,
-        /** There was no answer that says; instances may have been created or may yet be. */
+        /** There was no definite answer; instances may have been created or may still be created. */
         UNKNOWN
     }
 
     /**
-     * A request to delete instances ended.
+     * A request to delete instances completed, or failed.
      *
      * @param machines the names of the instances
-     * @param terminated true if they are proven gone; false if the cloud did not say
+     * @param terminated true if all of them are proven terminated; false if the cloud did not confirm it
      */
     record InstancesDeleted(List<String> machines, boolean terminated) implements Input {}
 
     // Peers
 
-    /** Another controller has sent its status. */
+    /** A peer controller sent its status. */
     record PeerStatusReceived(PeerStatus status) implements Input {}
 }
--- a/src/main/java/dewlane/core/message/TokenBucket.java
+++ b/src/main/java/dewlane/core/message/TokenBucket.java
@@ -1,6 +1,6 @@
 package dewlane.core.message;
 
-/** A token bucket: limits the rate of something, and lets what was not used be used later in a burst. */
+/** A token bucket: limits the rate of an operation and allows bursts of unused tokens. */
 public final class TokenBucket {
     private static final double MS_PER_S = 1000.0;
 
@@ -10,10 +10,10 @@
     private long refilledAtMs = Long.MIN_VALUE;
 
     /**
-     * A full bucket.
+     * Creates a full bucket.
      *
-     * @param tokensPerS tokens that are added in a second
-     * @param burst the most tokens that the bucket holds
+     * @param tokensPerS number of tokens added per second
+     * @param burst maximum number of tokens in the bucket
      */
     public TokenBucket(double tokensPerS, double burst) {
         this.tokensPerS = tokensPerS;
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Takes one token.
+     * Takes one token if one is available.
      *
-     * @param nowMs steady time in milliseconds
-     * @return false if there is none
+     * @param nowMs monotonic time in milliseconds
+     * @return false if no token was available
      */
     public boolean tryAcquire(long nowMs) {
         if (refilledAtMs != Long.MIN_VALUE) {
--- a/src/main/java/dewlane/core/model/Attempt.java
+++ b/src/main/java/dewlane/core/model/Attempt.java
@@ -1,18 +1,18 @@
 package dewlane.core.model;
 
 /**
- * One launch of a task. The task counts as being on its machine until its outcome, or a proof that the machine or the
- * launch no longer exists, is durable.
+ * One launch of a task. The task counts as being on its machine until its outcome is durable, or a proof is durable
+ * that the machine has terminated or that the launch can no longer be executed.
  *
  * @param task number of the task within the job
- * @param number the launch number of the slice, which grows with every launch, so it is never used twice for a task
+ * @param number launch number within the slice; it increases with every launch, so no two attempts of a task share one
  * @param machine name of the machine
  * @param incarnation the worker's incarnation at the launch
- * @param fencingToken the only token under which this launch is ever commanded
- * @param launchedAtMs time of day of the launch in milliseconds
+ * @param fencingToken the only fencing token under which this launch is ever sent
+ * @param launchedAtMs wall-clock time of the launch in milliseconds
  */
 public record Attempt(int task, int number, String machine, long incarnation, long fencingToken, long launchedAtMs) {
-    /** Identifies the attempt, as one of the given job. */
+    /** Returns the id of this attempt, given the id of its job. */
     public AttemptId idIn(String job) {
         return new AttemptId(job, task, number);
     }
--- a/src/main/java/dewlane/core/model/Job.java
+++ b/src/main/java/dewlane/core/model/Job.java
@@ -4,13 +4,14 @@
 import java.util.Objects;
 
 /**
- * A job array as a user submitted it. The short accessors, such as {@link #cpus()}, stand for those of the components.
+ * A job as a user submitted it: an array of identical tasks. Accessors such as {@link #cpus()} are shortcuts to the
+ * fields of the nested records.
  *
  * @param id unique id, chosen by the user
- * @param ownership whose job it is, and its priority
- * @param taskArray the tasks and what each of them needs
- * @param timing run time, checkpoints and deadline
- * @param acceptedAtMs time of day in milliseconds at which the job was accepted, 0 until then
+ * @param ownership the team, class and priority
+ * @param taskArray the tasks and their requirements
+ * @param timing run time estimate, checkpointing and deadline
+ * @param acceptedAtMs wall-clock time in milliseconds at which the job was accepted, 0 before that
  * @param dependencies ids of the jobs that must be done before any task of this one starts
  */
 public record Job(
@@ -26,22 +27,22 @@
         dependencies = List.copyOf(dependencies);
     }
 
-    /** Begins a job with the given id. */
+    /** Returns a builder for a job with the given id. */
     public static Builder builder(String id) {
         return new Builder(id);
     }
 
-    /** The team whose guarantee and limit apply. */
+    /** The team whose guaranteed share and limit apply. */
     public String team() {
         return ownership.team();
     }
 
-    /** The class of jobs for which the settings name service-level objectives. */
+    /** The job's class; the settings define service-level objectives per class. */
     public String jobClass() {
         return ownership.jobClass();
     }
 
-    /** The job's own priority, without what it inherits from its dependents. */
+    /** The job's own priority, without the priority that it inherits from its dependents. */
     public Priority priority() {
         return ownership.priority();
     }
@@ -86,7 +87,7 @@
         return taskArray.placement().zone();
     }
 
-    /** True if all tasks must be in one zone at a time. */
+    /** True if all tasks that are on machines at a time must be in the same zone. */
     public boolean sameZone() {
         return taskArray.placement().sameZone();
     }
@@ -101,32 +102,32 @@
         return taskArray.placement().spotAllowed();
     }
 
-    /** The owner's estimate of a task's run time in seconds. */
+    /** The owner's estimate of a task's run time in seconds, without the image fetch. */
     public double expectedRunS() {
         return timing.expectedRunS();
     }
 
-    /** Seconds of progress between checkpoints, 0 if tasks never save. */
+    /** Seconds of progress between checkpoints, 0 if tasks never save one. */
     public double checkpointIntervalS() {
         return timing.checkpointIntervalS();
     }
 
-    /** Seconds that a task needs to save when it is stopped. */
+    /** Seconds that a task needs to save a checkpoint when it is stopped. */
     public double checkpointDurationS() {
         return timing.checkpointDurationS();
     }
 
-    /** Seconds from submission by which the job should be done, 0 for no deadline. */
+    /** Seconds from acceptance within which the job should be done, 0 for no deadline. */
     public double deadlineS() {
         return timing.deadlineS();
     }
 
-    /** True if where a task may run depends on the zones of others: such tasks stay in one slice. */
+    /** True if the allowed zones of a task depend on the other tasks; such a job is kept in one slice. */
     public boolean hasZoneConstraint() {
         return taskArray.placement().hasZoneConstraint();
     }
 
-    /** What the job asks of a machine. */
+    /** The requirements that the job has of a machine. */
     public Requirements requirements() {
         return new Requirements(cpus(), gpus(), memoryGb(), types(), zone(), spotAllowed());
     }
@@ -136,24 +137,24 @@
         return taskArray.placement().allowsType(type);
     }
 
-    /** True if the job may run on such a machine, as far as other tasks of it do not matter. */
+    /** True if the job may run on a machine of this kind, without regard to the zones of its other tasks. */
     public boolean allows(String type, String inZone, boolean onSpot) {
         return taskArray.placement().allows(type, inZone, onSpot);
     }
 
-    /** The same job with the time of day in milliseconds at which it was accepted. */
+    /** Returns a copy of the job with the wall-clock time in milliseconds at which it was accepted. */
     public Job withAcceptedAt(long timeMs) {
         return new Job(id, ownership, taskArray, timing, timeMs, dependencies);
     }
 
-    /** The same job with other dependencies. */
+    /** Returns a copy of the job with other dependencies. */
     public Job withDependencies(List<String> jobs) {
         return new Job(id, ownership, taskArray, timing, acceptedAtMs, jobs);
     }
 
     /**
-     * What decides where a task of the job may go and whether it fits; jobs with equal requirements are interchangeable
-     * there.
+     * The requirements that decide which machines a task may run on. Jobs with equal requirements have the same
+     * candidates, zone constraints between tasks aside.
      *
      * @param cpus CPUs of one task
      * @param gpus GPUs of one task
@@ -169,7 +170,7 @@
             return types.isEmpty() || types.contains(type);
         }
 
-        // Written out for speed: every job is looked up by its requirements in each scheduling cycle.
+        // Hand-written for performance: each scheduling cycle looks up every job by its requirements.
         @Override
         public boolean equals(Object other) {
             return other instanceof Requirements that
@@ -181,7 +182,7 @@
                     && Objects.equals(zone, that.zone);
         }
 
-        // The order of iteration over maps by requirements depends on this value.
+        // The iteration order of hash maps with requirements as keys depends on this value.
         @Override
         public int hashCode() {
             return ((Double.hashCode(cpus) * 31 + Double.hashCode(memoryGb)) * 31 + types.hashCode()) * 31
@@ -189,7 +190,7 @@
         }
     }
 
-    /** Builds a job. What is not set is as for a job of one task without constraints, deadline and dependencies. */
+    /** Builds a job. The defaults are one task, no placement constraints and no dependencies. */
     public static final class Builder {
         private final String id;
         private JobOwnership ownership;
@@ -205,7 +206,7 @@
             this.id = id;
         }
 
-        /** Sets whose job it is. Required. */
+        /** Sets the team, class and priority. Required. */
         public Builder ownership(JobOwnership value) {
             ownership = value;
             return this;
@@ -217,7 +218,7 @@
             return this;
         }
 
-        /** Sets what one task takes of its machine. Required. */
+        /** Sets the resources that one task uses. Required. */
         public Builder resources(Resources value) {
             resources = value;
             return this;
@@ -229,19 +230,19 @@
             return this;
         }
 
-        /** Sets which machines are allowed; all by default. */
+        /** Sets the placement constraints; none by default. */
         public Builder placement(PlacementConstraints value) {
             placement = value;
             return this;
         }
 
-        /** Sets run time, checkpoints and deadline. Required. */
+        /** Sets the run time estimate, checkpointing and deadline. Required. */
         public Builder timing(JobTiming value) {
             timing = value;
             return this;
         }
 
-        /** Sets the time of day in milliseconds at which the job was accepted; 0, not accepted yet, by default. */
+        /** Sets the wall-clock time in milliseconds at which the job was accepted; by default 0, not accepted yet. */
         public Builder acceptedAtMs(long value) {
             acceptedAtMs = value;
             return this;
@@ -253,7 +254,7 @@
             return this;
         }
 
-        /** The job with all that was set. Throws {@link NullPointerException} if something required was not. */
+        /** Builds the job. Throws {@link NullPointerException} if a required property was not set. */
         public Job build() {
             Objects.requireNonNull(ownership, "ownership");
             Objects.requireNonNull(resources, "resources");
--- a/src/main/java/dewlane/core/model/MachineType.java
+++ b/src/main/java/dewlane/core/model/MachineType.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * An entry of the cloud's catalog.
+ * A machine type of the cloud's catalog.
  *
  * @param name name of the type
  * @param cpus number of CPUs
  * @param gpus number of GPUs
  * @param memoryGb memory in GB
- * @param imageCacheGb room for container images in GB
+ * @param imageCacheGb space for container images in GB
  * @param imageFetchGbPerS rate at which images are fetched, in GB per second
- * @param price price of an on-demand instance per hour
- * @param spotPrice present price of a spot instance per hour
- * @param bootS usual time in seconds from request to first heartbeat
- * @param zones the zones that have the type
+ * @param price price per hour of an on-demand instance
+ * @param spotPrice current price per hour of a spot instance
+ * @param bootS typical time in seconds from the request to the first heartbeat
+ * @param zones the zones that offer the type
  */
 public record MachineType(
         String name,
@@ -27,22 +27,22 @@
         double spotPrice,
         double bootS,
         List<String> zones) {
-    /** Covers rounding errors of amounts that come as decimal numbers. */
+    /** Allows for rounding errors, as amounts are given as decimal fractions. */
     private static final double TOLERANCE = 1e-9;
 
-    /** How many tasks of the job fit on an empty machine. */
+    /** Returns how many tasks of the job fit on an empty machine. */
     public int capacityFor(Job job) {
         return new ResourceUsage().capacityFor(this, job);
     }
 
-    /** True if a task with the requirements fits on an empty machine. */
+    /** Returns true if a task with the requirements fits on an empty machine. */
     public boolean fits(Job.Requirements requirements) {
         return cpus >= requirements.cpus() - TOLERANCE
                 && gpus >= requirements.gpus() - TOLERANCE
                 && memoryGb >= requirements.memoryGb() - TOLERANCE;
     }
 
-    /** The price per hour of a spot or an on-demand instance. */
+    /** Returns the price per hour of a spot or an on-demand instance. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/dewlane/core/model/PeerStatus.java
+++ b/src/main/java/dewlane/core/model/PeerStatus.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a controller broadcasts to its peers about itself and its partition. It only adds speed: nothing that has to be
- * safe rests on it.
+ * The status of a controller and its partition, which it broadcasts to its peers. It only lets them react sooner; no
+ * safety property depends on it.
  *
  * @param controller name of the sender
- * @param epoch epoch of the partition map that the sender knows
+ * @param epoch epoch of the partition map in the sender's replica
  * @param storeReachable true if the sender reaches the store
- * @param cancelledJobs ids of jobs whose cancellation the sender confirmed lately
+ * @param cancelledJobs ids of jobs whose cancellation the sender recently confirmed
  * @param machines schedulable machines of the sender's partition, or one page of them
  */
 public record PeerStatus(
@@ -20,15 +20,15 @@
         List<MachineStatus> machines) {
 
     /**
-     * A schedulable machine of the sender's partition, with the latest heartbeat that the sender took from it.
+     * A schedulable machine of the sender's partition, and the latest heartbeat that the sender accepted from it.
      *
      * @param name name of the machine
      * @param address host and port of its worker
      * @param type name of its machine type
-     * @param zone the zone that it is in
+     * @param zone name of its zone
      * @param spot true for a spot instance
-     * @param incarnation the worker's incarnation in that heartbeat
-     * @param sequence the sequence number of that heartbeat
+     * @param incarnation the worker's incarnation in the latest heartbeat
+     * @param sequence the sequence number of the latest heartbeat
      */
     public record MachineStatus(
             String name, String address, String type, String zone, boolean spot, long incarnation, long sequence) {}
--- a/src/main/java/dewlane/core/model/PlacementConstraints.java
+++ b/src/main/java/dewlane/core/model/PlacementConstraints.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Which machines a job's tasks may run on.
+ * Constraints on the machines that a job's tasks may run on.
  *
  * @param types names of the allowed machine types, empty for any
  * @param zone the only allowed zone, or null for any
- * @param sameZone true if all tasks must be in one zone at a time (co-location)
+ * @param sameZone true if all tasks that are on machines at a time must be in the same zone (co-location)
  * @param spreadZones true if at most half of the tasks, rounded up, may be in one zone (anti-affinity)
  * @param spotAllowed true if tasks may run on spot instances
  */
@@ -21,17 +21,17 @@
         types = List.copyOf(types);
     }
 
-    /** True if where a task may run depends on the zones of the job's other tasks. */
+    /** Returns true if the allowed zones of a task depend on the zones of the job's other tasks. */
     public boolean hasZoneConstraint() {
         return sameZone || spreadZones;
     }
 
-    /** True if machines of the type are allowed. */
+    /** Returns true if machines of the type are allowed. */
     public boolean allowsType(String type) {
         return types.isEmpty() || types.contains(type);
     }
 
-    /** True if such a machine is allowed, as far as the job's other tasks do not matter. */
+    /** Returns true if a machine of this kind is allowed, without regard to the zones of the job's other tasks. */
     public boolean allows(String type, String inZone, boolean onSpot) {
         return allowsType(type) && (zone == null || zone.equals(inZone)) && (spotAllowed || !onSpot);
     }
--- a/src/main/java/dewlane/core/model/Priority.java
+++ b/src/main/java/dewlane/core/model/Priority.java
@@ -1,8 +1,8 @@
 package dewlane.core.model;
 
 /**
- * Priorities of jobs, lowest first, so that {@link #compareTo} ranks them. Work may preempt work of lower priority; see
- * {@code scheduling} for the other cases.
+ * Job priorities, lowest first, so that {@link #compareTo} orders them. A job may preempt jobs of lower priority; the
+ * package {@code scheduling} defines the other cases of preemption.
  */
 public enum Priority {
     IDLE,
--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -3,22 +3,22 @@
 import dewlane.core.config.Settings;
 
 /**
- * CPUs, GPUs and memory in use, a mutable sum. Counted in integer millionths, so that removing what was added leaves no
- * rounding error.
+ * A mutable sum of the CPUs, GPUs and memory in use. Amounts are stored as integer millionths, so that adding and then
+ * removing a task leaves no rounding error.
  */
 public final class ResourceUsage {
     private static final double UNITS_PER_AMOUNT = 1e6;
-    /** Stands for no limit, far above what fits on any machine, and keeps sums within an int. */
+    /** Means no limit: far more tasks than fit on any machine, and small enough that sums do not overflow an int. */
     public static final int UNLIMITED_TASKS = 1_000_000;
 
     private long cpuUnits;
     private long gpuUnits;
     private long memoryGbUnits;
 
-    /** Nothing in use. */
+    /** Creates an empty usage. */
     public ResourceUsage() {}
 
-    /** A copy of another usage. */
+    /** Creates a copy of another usage. */
     public ResourceUsage(ResourceUsage other) {
         cpuUnits = other.cpuUnits;
         gpuUnits = other.gpuUnits;
@@ -42,7 +42,7 @@
         add(job, 1);
     }
 
-    /** Adds that many tasks of the job; removes them if negative. */
+    /** Adds the number of tasks of the job; a negative number removes them. */
     public void add(Job job, int tasks) {
         cpuUnits += tasks * units(job.cpus());
         gpuUnits += tasks * units(job.gpus());
@@ -54,22 +54,22 @@
         add(job, -1);
     }
 
-    /** CPUs in use. */
+    /** Returns the CPUs in use. */
     public double cpus() {
         return cpuUnits / UNITS_PER_AMOUNT;
     }
 
-    /** GPUs in use. */
+    /** Returns the GPUs in use. */
     public double gpus() {
         return gpuUnits / UNITS_PER_AMOUNT;
     }
 
-    /** True if nothing is in use. */
+    /** Returns true if nothing is in use. */
     public boolean isEmpty() {
         return cpuUnits == 0 && gpuUnits == 0 && memoryGbUnits == 0;
     }
 
-    /** How many tasks of the job fit beside this use on a machine of the type. */
+    /** Returns how many more tasks of the job fit on a machine of the type that has this usage. */
     public int capacityFor(MachineType type, Job job) {
         long byCpus = countFitting(type.cpus(), cpuUnits, job.cpus());
         long byGpus = countFitting(type.gpus(), gpuUnits, job.gpus());
@@ -77,19 +77,19 @@
         return (int) Math.min(byCpus, Math.min(byGpus, byMemory));
     }
 
-    /** How many tasks of the job fit beside this use within a team's limits, of which 0 is none. */
+    /** Returns how many more tasks of the job a team with this usage may run within its limits; 0 means no limit. */
     public int capacityFor(Settings.TeamQuota team, Job job) {
         long byCpus = team.maxCpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxCpus(), cpuUnits, job.cpus());
         long byGpus = team.maxGpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxGpus(), gpuUnits, job.gpus());
         return (int) Math.min(byCpus, byGpus);
     }
 
-    /** How many tasks of the job fit beside this use into a share of so many CPUs. */
+    /** Returns how many more tasks of the job fit into a share of the given CPUs that has this usage. */
     public int capacityByCpus(double cpus, Job job) {
         return (int) countFitting(cpus, cpuUnits, job.cpus());
     }
 
-    /** How many tasks of the job fit beside this use into a share of so many GPUs. */
+    /** Returns how many more tasks of the job fit into a share of the given GPUs that has this usage. */
     public int capacityByGpus(double gpus, Job job) {
         return (int) countFitting(gpus, gpuUnits, job.gpus());
     }
--- a/src/main/java/dewlane/core/model/Resources.java
+++ b/src/main/java/dewlane/core/model/Resources.java
@@ -1,7 +1,7 @@
 package dewlane.core.model;
 
 /**
- * The resources that one task takes of its machine.
+ * The resources that one task uses on its machine.
  *
  * @param cpus number of CPUs, which may be a fraction
  * @param gpus number of GPUs, which may be a fraction; 0 for none
--- a/src/test/java/dewlane/core/controller/ControllerFencingTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerFencingTest.java
@@ -15,11 +15,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What one controller concludes from the fencing token and the incarnation in heartbeats, and under which it replies.
+ * Tests how a controller interprets the fencing token and the incarnation in heartbeats, and which fencing token its
+ * responses and commands carry.
  */
 class ControllerFencingTest extends ControllerFixture {
     @Test
-    void onlyHigherTokenOrLaterIncarnationProvesAttemptGone() {
+    void onlyHigherTokenOrLaterIncarnationProvesAttemptCannotRun() {
         receiveHeartbeat(60, 1, heartbeat(1, 1, FIRST_TOKEN));
         applyJob(job(1, 1));
         applySlice(1, 1, attempt(0, 1));
@@ -30,14 +31,14 @@
         assertEquals(
                 List.of(),
                 take(Effect.CommitTransaction.class),
-                "a heartbeat that lacks a launch still on its way proves nothing");
+                "a heartbeat without an attempt whose launch may be in flight proves nothing");
 
         receive(10, new Input.WatchEvents(List.of(), revision));
         effects.clear();
         receiveHeartbeat(3000, 3, heartbeat(2, 3, FIRST_TOKEN));
         tick(100);
         List<Effect.CommitTransaction> written = take(Effect.CommitTransaction.class);
-        assertEquals(1, written.size(), "the worker's later incarnation does");
+        assertEquals(1, written.size(), "a later incarnation of the worker proves that the attempt cannot run");
         assertTrue(writtenSlice(written.get(0).transaction()).attempts().stream()
                 .noneMatch(attempt -> attempt.number() == 1));
     }
@@ -56,7 +57,10 @@
         assertEquals(List.of(), reply.commands());
     }
 
-    /** Found by the test above once passes came later: the index lagged behind the replica. */
+    /**
+     * Guards against an index that lags behind the replica when scheduling cycles are delayed: the attempt must not be
+     * forgotten before its outcome is durable.
+     */
     @Test
     void outcomeThatIsNotYetDurableIsNotForgotten() {
         receiveHeartbeat(100, 1, heartbeat(1, 1, FIRST_TOKEN));
@@ -80,7 +84,10 @@
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
     }
 
-    /** A watch that fell behind has the state read anew, under the same map: no token may be used a second time. */
+    /**
+     * A watch whose revision was compacted has the state listed again, under the same partition map. No fencing token
+     * may be used a second time.
+     */
     @Test
     void tokensOnlyGrowAfterReloadOfState() {
         receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -27,12 +27,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 
-/** One controller core, n0, that has joined alone with one machine, m1, and the inputs that tests give it. */
+/** A controller core, n0, that has joined as the only member, and helpers that feed it inputs; the machine is m1. */
 public abstract class ControllerFixture {
     static final MachineType BOX = new MachineType("box", 4, 0, 16, 20, 1, 0.2, 0.1, 30, List.of("east"));
     static final String JOB = "wk-1";
     static final String MACHINE = "m1";
-    /** The fencing token that the machine gets first. */
+    /** The first fencing token that the machine receives. */
     public static final long FIRST_TOKEN = 1L << 20;
 
     public final Controller controller = new Controller(
@@ -72,33 +72,33 @@
         effects.clear();
     }
 
-    /** The revision of the latest change that the controller was shown. */
+    /** The revision of the latest change that the controller has received. */
     public long revision() {
         return revision;
     }
 
-    /** The partition map with n0 alone. */
+    /** A partition map with n0 as the only member. */
     static PartitionMap mapOfOne() {
         return new PartitionMap(1, List.of(new Member("n0", 1)), Map.of());
     }
 
-    /** The controller receives an input so long after the one before. */
+    /** Has the controller handle an input at the given time after the last one. */
     public void receive(long afterMs, Input input) {
         now += afterMs;
         effects.addAll(controller.handle(now, now, input));
     }
 
-    /** Time passes. */
+    /** Has the timer fire at the given time after the last input. */
     public void tick(long afterMs) {
         receive(afterMs, new Input.Tick());
     }
 
-    /** A worker sends a heartbeat and waits for the response to the request. */
+    /** Has the controller receive a heartbeat; its response carries the given request id. */
     public void receiveHeartbeat(long afterMs, long request, Heartbeat heartbeat) {
         receive(afterMs, new Input.HeartbeatReceived(request, heartbeat));
     }
 
-    /** The controller's watch shows that a key has changed. */
+    /** Has the controller's watch deliver a change of a key. */
     void applyChange(String key, StoredValue value) {
         revision++;
         receive(60, new Input.WatchEvents(List.of(new Input.KeyChange(key, value, revision)), revision));
@@ -108,7 +108,7 @@
         applyChange(StoreKeys.job(job.id()), new JobRecord(job, List.of(), 0));
     }
 
-    /** The only slice of the first job, all of whose tasks n0 has. */
+    /** Has the watch deliver the only slice of the first job, which n0 owns. */
     void applySlice(int tasks, int launches, Attempt... attempts) {
         applyChange(StoreKeys.slice(JOB, 0), slice(tasks, launches, attempts));
     }
@@ -117,12 +117,12 @@
         return new Slice("n0", 0, tasks, launches, new BitSet(), List.of(attempts));
     }
 
-    /** An attempt that was launched on the machine under its first token. */
+    /** An attempt that was launched on the machine under its first fencing token. */
     static Attempt attempt(int task, int number) {
         return new Attempt(task, number, MACHINE, 1, FIRST_TOKEN, 1);
     }
 
-    /** All effects of the kind since effects were last taken. */
+    /** Returns the effects of the given type, and clears all effects so far. */
     public <T extends Effect> List<T> take(Class<T> kind) {
         List<T> found =
                 effects.stream().filter(kind::isInstance).map(kind::cast).toList();
@@ -134,7 +134,7 @@
         return take(kind).get(0);
     }
 
-    /** The slice that a transaction writes. */
+    /** Returns the slice that a transaction writes. */
     static Slice writtenSlice(Transaction transaction) {
         return (Slice) transaction.writes().stream()
                 .filter(write -> write.key().startsWith(StoreKeys.SLICES))
@@ -143,12 +143,12 @@
                 .value();
     }
 
-    /** A heartbeat of the one machine, with the given tasks. */
+    /** A heartbeat of the machine with the given tasks. */
     public static Heartbeat heartbeat(long incarnation, long sequence, long token, TaskStatus... tasks) {
         return TestHeartbeats.of(incarnation, sequence, token, List.of(tasks));
     }
 
-    /** The machine reports, and shows by its next heartbeat that it got the reply. */
+    /** Has the machine send two heartbeats; the second shows that it received the response to the first. */
     void connectWorker() {
         receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         receiveHeartbeat(500, 2, heartbeat(1, 2, FIRST_TOKEN));
--- a/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
@@ -22,10 +22,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What one controller writes to launch tasks and to record their outcomes. */
+/** Tests the transactions by which a controller launches tasks and records their outcomes. */
 class ControllerLaunchTest extends ControllerFixture {
     @Test
-    void launchIsWrittenUnderItsGuardsBeforeItIsCommanded() {
+    void launchIsWrittenWithPreconditionsBeforeCommandIsSent() {
         connectWorker();
         applyJob(job(2, 1));
         applySlice(2, 0);
@@ -37,17 +37,17 @@
                 .map(Effect.SendCommands.class::cast)
                 .allMatch(command -> command.commands().isEmpty()));
         Transaction transaction = takeFirst(Effect.CommitTransaction.class).transaction();
-        List<String> guards = transaction.preconditions().stream()
+        List<String> preconditionKeys = transaction.preconditions().stream()
                 .map(Transaction.Precondition::key)
                 .toList();
         assertTrue(
-                guards.containsAll(List.of(
+                preconditionKeys.containsAll(List.of(
                         StoreKeys.job(JOB),
                         StoreKeys.slice(JOB, 0),
                         StoreKeys.PARTITION_MAP,
                         StoreKeys.decommission(MACHINE),
                         StoreKeys.teamUsage("blue"))),
-                guards.toString());
+                preconditionKeys.toString());
     }
 
     @Test
@@ -59,10 +59,10 @@
         tick(100);
 
         Transaction transaction = takeFirst(Effect.CommitTransaction.class).transaction();
-        assertEquals(1, writtenSlice(transaction).attempts().size(), "3 of 4 CPUs are taken by the first task");
+        assertEquals(1, writtenSlice(transaction).attempts().size(), "the first task uses 3 of the team's 4 CPUs");
     }
 
-    /** When the state is read anew all records vanish for a moment: no dependant starts for that. */
+    /** A reload of the state removes all records for a moment; that must not count as the end of a dependency. */
     @Test
     void reloadOfStateReleasesNoDependant() {
         connectWorker();
@@ -97,9 +97,7 @@
         assertFalse(written.contains(StoreKeys.slice("wk-2", 0)), "a dependant of another job was launched");
     }
 
-    /**
-     * Found in a day's writes: once the first outcomes of a job were written, each further one was a change of its own.
-     */
+    /** Guards against a write per outcome: after the first outcomes of a job, each one was written separately. */
     @Test
     void outcomesAfterFirstWriteAreBatchedAgain() {
         connectWorker();
@@ -118,24 +116,24 @@
         effects.clear();
 
         int writes = 0;
-        List<Transaction.Write> notYetShown = new ArrayList<>();
+        List<Transaction.Write> undelivered = new ArrayList<>();
         for (int ended = 1; ended < tasks; ended++) {
             receiveHeartbeat(400, 10 + ended, heartbeat(1, 10 + ended, FIRST_TOKEN, states(tasks, ended)));
-            // The write of the last round shows here only now, when the next outcome is in already.
-            notYetShown.forEach(write -> applyChange(write.key(), write.value()));
-            notYetShown.clear();
+            // The watch delivers the write of the last round only now, after the next outcome has arrived.
+            undelivered.forEach(write -> applyChange(write.key(), write.value()));
+            undelivered.clear();
             tick(100);
             for (Effect.CommitTransaction sent : take(Effect.CommitTransaction.class)) {
                 writes++;
                 receive(5, new Input.TransactionCompleted(sent.id(), Transaction.Status.COMMITTED, revision + 1));
-                notYetShown.addAll(sent.transaction().writes());
+                undelivered.addAll(sent.transaction().writes());
             }
         }
 
         assertTrue(writes >= 1 && writes <= tasks / 2, writes + " writes for " + (tasks - 1) + " outcomes over 3.5 s");
     }
 
-    /** The first tasks have ended, and the others run. */
+    /** Returns task states: the first {@code ended} tasks have completed, the others are running. */
     private static TaskStatus[] states(int tasks, int ended) {
         return IntStream.range(0, tasks)
                 .mapToObj(task -> task < ended
--- a/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
@@ -11,12 +11,12 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What one controller tells users, and what it reads before it does. */
+/** Tests a controller's responses to users, and the reads from the store that precede them. */
 class ControllerUserRepliesTest extends ControllerFixture {
     private static final String MALFORMED = "bottles must be an integer";
 
     @Test
-    void resubmissionIsKnownWhateverItsBodySays() {
+    void resubmissionIsRecognisedRegardlessOfItsBody() {
         applyJob(job(1, 1));
         effects.clear();
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void malformedSubmissionIsRejectedDuringStoreOutageUnlessItsJobMayBeKnown() {
+    void malformedSubmissionIsRejectedDuringStoreOutageUnlessJobMayBeKnown() {
         applyJob(job(1, 1));
         effects.clear();
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void lateReplyShowsNoConditionOlderThanFinalOne() {
+    void delayedResponseNeverShowsConditionBeforeFinalOne() {
         applyJob(job(1, 1));
         effects.clear();
 
@@ -60,9 +60,12 @@
                 JobCondition.CANCELLED, takeFirst(Effect.AnswerUser.class).job().condition());
     }
 
-    /** Found in a hunt: a read for each of hundreds of polls used up the request rate, and leases were lost with it. */
+    /**
+     * Guards against a read per status request: hundreds of requests used up the store's request rate, so that leases
+     * could not be renewed and expired.
+     */
     @Test
-    void pollsShareOneReadAndWaitForTheRevisionItNames() {
+    void statusRequestsShareOneReadAndWaitForItsRevision() {
         applyJob(job(1, 1));
         receive(10, new Input.GetJobStatus(5, JOB));
         effects.clear();
@@ -74,12 +77,12 @@
         tick(200);
         long reads =
                 effects.stream().filter(Effect.ReadRevision.class::isInstance).count();
-        assertEquals(1, reads, "one read for a hundred polls");
-        assertEquals(List.of(5L), takeAnswered(), "only what came before the read was sent is answered by it");
+        assertEquals(1, reads, "a hundred status requests share one read");
+        assertEquals(List.of(5L), takeAnswered(), "a read answers only requests that arrived before it was sent");
 
         effects.clear();
         receive(1, new Input.RevisionRead(revision + 1));
-        assertEquals(List.of(), takeAnswered(), "the replica may lack what others were told");
+        assertEquals(List.of(), takeAnswered(), "the replica may lack changes that users have already been told of");
 
         applyChange(StoreKeys.jobResult(JOB), new JobResult(true, now));
         List<Effect.AnswerUser> answers = take(Effect.AnswerUser.class);
@@ -93,7 +96,7 @@
         return take(Effect.AnswerUser.class).stream().map(Effect.AnswerUser::id).toList();
     }
 
-    /** A dependency may have been cancelled long ago: until that is known the user is told to come back. */
+    /** A dependency may have been cancelled earlier; until its result is read, the user is told to retry. */
     @Test
     void dependantIsNotCalledPendingBeforeOutcomeOfItsDependencyIsKnown() {
         applyJob(job("wk-2", 2, 1).withDependencies(List.of("wk-9")));
--- a/src/test/java/dewlane/core/controller/ForgetOrderTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetOrderTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A worker that was told to forget an attempt starts it anew when a copy of its launch arrives under a token that still
- * holds. So an attempt is forgotten under its launch's token only once no copy can arrive any more.
+ * A worker that has dropped the record of an attempt starts it again if another copy of its launch arrives with a
+ * fencing token that is still valid. So a forget may carry the token of the launch only once no copy of the launch can
+ * arrive; otherwise it is deferred or carries a higher token.
  */
 class ForgetOrderTest extends ControllerFixture {
     private static final WorkerCommand LAUNCH = new WorkerCommand(WorkerCommand.Action.LAUNCH, JOB, 0, 1, 0);
@@ -51,24 +52,24 @@
         assertEquals(FIRST_TOKEN, command.fencingToken());
     }
 
-    private void giveUpOnCommand() {
+    private void timeOutCommand() {
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, null));
     }
 
     @Test
-    void attemptIsNotForgottenWhileDirectLaunchIsUnderWay() {
+    void attemptIsNotForgottenWhileDirectLaunchIsInFlight() {
         launchDirectly();
-        assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH), "the reply to a heartbeat launches it too");
+        assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH), "the response to a heartbeat launches it too");
         replyTo(nextHeartbeat(FAILED));
         applyAttempts();
         Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
         assertFalse(
                 reply.fencingToken() == FIRST_TOKEN && reply.commands().contains(FORGET),
                 "forgotten while the command that launches it may still arrive");
-        giveUpOnCommand();
+        timeOutCommand();
         reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET), "the held back order follows");
-        assertTrue(reply.fencingToken() > FIRST_TOKEN, "and what was given up on is fenced off");
+        assertTrue(reply.commands().contains(FORGET), "the deferred forget is sent");
+        assertTrue(reply.fencingToken() > FIRST_TOKEN, "a higher token fences off the abandoned launch");
     }
 
     @Test
@@ -79,11 +80,11 @@
         applyAttempts();
         Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
         assertTrue(reply.commands().contains(FORGET));
-        assertEquals(FIRST_TOKEN, reply.fencingToken(), "no other launch is given up on for it");
+        assertEquals(FIRST_TOKEN, reply.fencingToken(), "the fence is not raised, which would invalidate other launches");
     }
 
     @Test
-    void attemptIsNotForgottenByCommandWhileReplyToHeartbeatIsUnderWay() {
+    void attemptIsNotForgottenByCommandWhileResponseIsInFlight() {
         launchDirectly();
         assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH));
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, nextHeartbeat(FAILED)));
@@ -94,20 +95,23 @@
         assertEquals(
                 List.of(new WorkerCommand(WorkerCommand.Action.LAUNCH, JOB, 1, 3, 0)),
                 command.commands(),
-                "the worker may be handed its reply up to 4 s after it was sent");
+                "the response may reach the worker up to 4 s after it was sent");
     }
 
-    /** One that goes on running was started by one of two copies; the other one still waits for its end. */
+    /**
+     * The launch was sent twice, and one copy started the attempt. The other copy, in the command that timed out, may
+     * still arrive after the attempt has ended.
+     */
     @Test
-    void attemptIsForgottenUnderHigherTokenHoweverLongAgoLaunchWasGivenUpOn() {
+    void attemptIsForgottenUnderHigherTokenHoweverLongAgoLaunchWasAbandoned() {
         launchDirectly();
         replyTo(nextHeartbeat());
-        giveUpOnCommand();
+        timeOutCommand();
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     FIRST_TOKEN,
                     replyTo(nextHeartbeat(RUNNING)).fencingToken(),
-                    "its copy harms nothing while it is held");
+                    "the other copy has no effect while the worker holds the attempt");
         }
         replyTo(nextHeartbeat(FAILED));
         applyAttempts();
--- a/src/test/java/dewlane/core/message/HandlerTableTest.java
+++ b/src/test/java/dewlane/core/message/HandlerTableTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which handler a message reaches, and what an incomplete table is told. */
+/** Tests the dispatch of messages to handlers, and the checks of duplicate and missing handlers. */
 class HandlerTableTest {
     private sealed interface Message {}
 
--- a/src/test/java/dewlane/core/model/JobBuilder.java
+++ b/src/test/java/dewlane/core/model/JobBuilder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds jobs for tests. What a test does not name is small and ordinary: one task of one CPU, for team blue. */
+/** Builds jobs for tests. By default a job has one task with one CPU and belongs to team blue. */
 public final class JobBuilder {
     private final String id;
     private String jobClass = "lot";
@@ -29,126 +29,126 @@
         this.id = id;
     }
 
-    /** Begins a job with the given id. */
+    /** Returns a builder for a job with the given id. */
     public static JobBuilder job(String id) {
         return new JobBuilder(id);
     }
 
-    /** The kind of job. */
+    /** Sets the job's class. */
     public JobBuilder jobClass(String value) {
         jobClass = value;
         return this;
     }
 
-    /** The team whose limit it counts against. */
+    /** Sets the team. */
     public JobBuilder team(String value) {
         team = value;
         return this;
     }
 
-    /** Its priority. */
+    /** Sets the priority. */
     public JobBuilder priority(Priority value) {
         priority = value;
         return this;
     }
 
-    /** The number of its tasks. */
+    /** Sets the number of tasks. */
     public JobBuilder tasks(int value) {
         tasks = value;
         return this;
     }
 
-    /** CPUs a task. */
+    /** Sets the CPUs per task. */
     public JobBuilder cpus(double value) {
         cpus = value;
         return this;
     }
 
-    /** GPUs a task. */
+    /** Sets the GPUs per task. */
     public JobBuilder gpus(double value) {
         gpus = value;
         return this;
     }
 
-    /** Memory a task, in GB. */
+    /** Sets the memory per task in GB. */
     public JobBuilder memoryGb(double value) {
         memoryGb = value;
         return this;
     }
 
-    /** The image of its tasks. */
+    /** Sets the name of the container image. */
     public JobBuilder image(String value) {
         image = value;
         return this;
     }
 
-    /** The size of the image, in GB. */
+    /** Sets the size of the container image in GB. */
     public JobBuilder imageGb(double value) {
         imageGb = value;
         return this;
     }
 
-    /** Allowed machine types, empty for any. */
+    /** Sets the allowed machine types, empty for any. */
     public JobBuilder types(List<String> value) {
         types = value;
         return this;
     }
 
-    /** The only allowed zone, or null. */
+    /** Sets the only allowed zone, or null for any. */
     public JobBuilder zone(String value) {
         zone = value;
         return this;
     }
 
-    /** True if all tasks must be in one zone. */
+    /** Sets whether all tasks must be in one zone. */
     public JobBuilder sameZone(boolean value) {
         sameZone = value;
         return this;
     }
 
-    /** True if tasks must be spread over zones. */
+    /** Sets whether tasks must be spread over zones. */
     public JobBuilder spreadZones(boolean value) {
         spreadZones = value;
         return this;
     }
 
-    /** True if it may use spot machines. */
+    /** Sets whether spot instances are allowed. */
     public JobBuilder spotAllowed(boolean value) {
         spotAllowed = value;
         return this;
     }
 
-    /** How long a task is expected to run, in seconds. */
+    /** Sets the expected run time of a task in seconds. */
     public JobBuilder expectedRunS(double value) {
         expectedRunS = value;
         return this;
     }
 
-    /** Seconds between checkpoints, 0 for none. */
+    /** Sets the seconds between checkpoints, 0 for none. */
     public JobBuilder checkpointIntervalS(double value) {
         checkpointIntervalS = value;
         return this;
     }
 
-    /** Seconds that saving takes. */
+    /** Sets the seconds that saving a checkpoint takes. */
     public JobBuilder checkpointDurationS(double value) {
         checkpointDurationS = value;
         return this;
     }
 
-    /** Seconds from submission, 0 for none. */
+    /** Sets the deadline in seconds from acceptance, 0 for none. */
     public JobBuilder deadlineS(double value) {
         deadlineS = value;
         return this;
     }
 
-    /** The time of day at which it was accepted, in milliseconds. */
+    /** Sets the wall-clock time in milliseconds at which the job was accepted. */
     public JobBuilder acceptedAtMs(long value) {
         acceptedAtMs = value;
         return this;
     }
 
-    /** The job with all that was named. */
+    /** Builds the job. */
     public Job build() {
         return Job.builder(id)
                 .ownership(new JobOwnership(team, jobClass, priority))
--- a/src/test/java/dewlane/core/model/TestHeartbeats.java
+++ b/src/test/java/dewlane/core/model/TestHeartbeats.java
@@ -3,7 +3,7 @@
 import dewlane.core.model.Heartbeat.TaskStatus;
 import java.util.List;
 
-/** Heartbeats of one machine, m1, for tests of single parts of a controller. */
+/** Heartbeats of a machine, m1, for unit tests. */
 public final class TestHeartbeats {
     private TestHeartbeats() {}
 
