--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -48,15 +48,15 @@
      * @return the effects to perform, in this order
      */
     public List<Effect> handle(long nowMs, long wallMs, Input input) {
-        context.startMessage(nowMs, wallMs);
+        context.beginInput(nowMs, wallMs);
         handlers.dispatch(input);
         scheduling.runIfDue();
         return context.takeEffects();
     }
 
     /** Enables or disables a debug log line per command to a worker, with the state that the command is based on. */
-    public void logCommands(boolean wanted) {
-        context.logCommands(wanted);
+    public void setCommandLogging(boolean wanted) {
+        context.setCommandLogging(wanted);
     }
 
     /** Returns the counters of this controller since its start, for the log. */
--- a/src/main/java/dewlane/core/controller/PeriodicTasks.java
+++ b/src/main/java/dewlane/core/controller/PeriodicTasks.java
@@ -5,9 +5,7 @@
 import dewlane.core.message.Input;
 import java.util.List;
 
-/**
- * Runs periodic tasks in a fixed order: some on every tick, the others about once a second.
- */
+/** Runs periodic tasks in a fixed order: some on every tick, the others about once a second. */
 final class PeriodicTasks {
     private static final long SLOW_INTERVAL_MS = 1000;
 
--- a/src/main/java/dewlane/core/controller/Readiness.java
+++ b/src/main/java/dewlane/core/controller/Readiness.java
@@ -38,6 +38,8 @@
 
     /** See {@link Controller#isHealthy()}. */
     boolean isHealthy() {
-        return isReady() && (storeConnectivity.silenceMs() < STORE_CONTACT_TIMEOUT_MS || !peers.anyReachesStore());
+        return isReady()
+                && (storeConnectivity.timeSinceLastContactMs() < STORE_CONTACT_TIMEOUT_MS
+                        || !peers.anyPeerReachesStore());
     }
 }
--- a/src/main/java/dewlane/core/controller/UserInputs.java
+++ b/src/main/java/dewlane/core/controller/UserInputHandlers.java
@@ -7,12 +7,12 @@
 import dewlane.core.message.Input;
 
 /** Handles requests of users. None requests a scheduling cycle, since their changes arrive by the store's watch. */
-final class UserInputs {
+final class UserInputHandlers {
     private final SubmissionHandler submissions;
     private final JobStatusHandler statuses;
     private final CancellationHandler cancellations;
 
-    UserInputs(SubmissionHandler submissions, JobStatusHandler statuses, CancellationHandler cancellations) {
+    UserInputHandlers(SubmissionHandler submissions, JobStatusHandler statuses, CancellationHandler cancellations) {
         this.submissions = submissions;
         this.statuses = statuses;
         this.cancellations = cancellations;
--- a/src/main/java/dewlane/core/controller/WorkerInputs.java
+++ b/src/main/java/dewlane/core/controller/WorkerInputHandlers.java
@@ -8,11 +8,11 @@
  * Handles inputs from workers: heartbeats and answers to direct commands. Either may free capacity or end attempts, so
  * each requests a scheduling cycle.
  */
-final class WorkerInputs {
+final class WorkerInputHandlers {
     private final HeartbeatHandler heartbeats;
     private final SchedulingTrigger scheduling;
 
-    WorkerInputs(HeartbeatHandler heartbeats, SchedulingTrigger scheduling) {
+    WorkerInputHandlers(HeartbeatHandler heartbeats, SchedulingTrigger scheduling) {
         this.heartbeats = heartbeats;
         this.scheduling = scheduling;
     }
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -36,7 +36,7 @@
      * @param nowMs monotonic time in milliseconds, see {@link #nowMs()}
      * @param wallMs wall-clock time in milliseconds, see {@link #wallClockMs()}
      */
-    public void startMessage(long nowMs, long wallMs) {
+    public void beginInput(long nowMs, long wallMs) {
         this.nowMs = nowMs;
         this.wallClockMs = wallMs;
     }
@@ -72,12 +72,12 @@
     }
 
     /** Enables or disables a log line per command. Disabled lines are not built, as building them is expensive. */
-    public void logCommands(boolean wanted) {
+    public void setCommandLogging(boolean wanted) {
         logsCommands = wanted;
     }
 
     /** Returns true if each command to a worker is logged. */
-    public boolean logsCommands() {
+    public boolean isCommandLoggingEnabled() {
         return logsCommands;
     }
 
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -112,10 +112,10 @@
      *
      * @param machine the name of the worker's machine
      * @param fencingToken the fencing token of the command
-     * @param delivered false if the command was never sent, so that it cannot arrive late
+     * @param mayHaveBeenSent false if the command was never sent, so that it cannot arrive late
      * @param heartbeat the heartbeat that the worker answered with, or null if there was no answer
      */
-    record CommandCompleted(String machine, long fencingToken, boolean delivered, Heartbeat heartbeat)
+    record CommandCompleted(String machine, long fencingToken, boolean mayHaveBeenSent, Heartbeat heartbeat)
             implements Input {}
 
     // Users
@@ -125,9 +125,9 @@
      *
      * @param jobId the job's id, or null if the body contains no valid id
      * @param job the job, or null if the body is malformed
-     * @param rejection why the body is malformed; null if it is well-formed
+     * @param bodyError why the body is malformed; null if it is well-formed
      */
-    record SubmitJob(long id, String jobId, Job job, String rejection) implements Input {}
+    record SubmitJob(long id, String jobId, Job job, String bodyError) implements Input {}
 
     /** A user requested the state of a job. */
     record GetJobStatus(long id, String job) implements Input {}
--- a/src/main/java/dewlane/core/model/MachineType.java
+++ b/src/main/java/dewlane/core/model/MachineType.java
@@ -11,7 +11,7 @@
  * @param memoryGb memory in GB
  * @param imageCacheGb space for container images in GB
  * @param imageFetchGbPerS rate at which images are fetched, in GB per second
- * @param price price per hour of an on-demand instance
+ * @param onDemandPrice price per hour of an on-demand instance
  * @param spotPrice current price per hour of a spot instance
  * @param bootS typical time in seconds from the request to the first heartbeat
  * @param zones the zones that offer the type
@@ -23,7 +23,7 @@
         double memoryGb,
         double imageCacheGb,
         double imageFetchGbPerS,
-        double price,
+        double onDemandPrice,
         double spotPrice,
         double bootS,
         List<String> zones) {
@@ -44,6 +44,6 @@
 
     /** Returns the price per hour of a spot or an on-demand instance. */
     public double price(boolean spot) {
-        return spot ? spotPrice : price;
+        return spot ? spotPrice : onDemandPrice;
     }
 }
--- a/src/test/java/dewlane/core/controller/ForgetOrderTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetOrderTest.java
@@ -80,7 +80,8 @@
         applyAttempts();
         Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
         assertTrue(reply.commands().contains(FORGET));
-        assertEquals(FIRST_TOKEN, reply.fencingToken(), "the fence is not raised, which would invalidate other launches");
+        assertEquals(
+                FIRST_TOKEN, reply.fencingToken(), "the fence is not raised, which would invalidate other launches");
     }
 
     @Test
