--- a/src/main/java/dewlane/core/controller/CloudInputHandlers.java
+++ b/src/main/java/dewlane/core/controller/CloudInputHandlers.java
@@ -5,7 +5,7 @@
 import dewlane.core.message.HandlerTable;
 import dewlane.core.message.Input;
 
-/** Handles the inputs from the cloud, which are answers to its requests. */
+/** Handles the inputs from the cloud, which are answers to requests of this controller. */
 final class CloudInputHandlers {
     private final MachineRegistry machines;
     private final Autoscaler autoscaler;
--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Returns true if the load balancer should send user requests to this controller. Returns false if this controller
-     * cannot reach the store while a peer can. If no controller reaches the store it stays true, since no other
-     * controller would serve users better.
+     * Returns true if the load balancer should send user requests to this controller: it is ready, and it reaches the
+     * store or no peer does. In a store outage for all controllers this stays true, since no other controller would
+     * serve users better.
      */
     public boolean isHealthy() {
         return readiness.isHealthy();
--- a/src/main/java/dewlane/core/controller/StoreInputHandlers.java
+++ b/src/main/java/dewlane/core/controller/StoreInputHandlers.java
@@ -10,8 +10,8 @@
 import dewlane.core.store.TransactionQueue;
 
 /**
- * Handles the results of single requests to the store. A result that shows that the store executed the request proves
- * that the store is reachable; a refusal proves nothing.
+ * Handles the results of individual requests to the store. A result that shows that the store executed the request
+ * proves that the store is reachable; a refusal proves nothing.
  */
 final class StoreInputHandlers {
     private final StoreConnectivity connectivity;
--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 
 /**
- * An event outside the core that the core handles. The completion of an {@link Effect} carries the id of that effect;
+ * An event that the I/O layer passes to the core. The completion of an {@link Effect} carries the id of that effect;
  * requests of workers and users carry an id that the I/O layer assigned, and their response carries the same id.
  */
 public sealed interface Input {
--- a/src/main/java/dewlane/core/model/Heartbeat.java
+++ b/src/main/java/dewlane/core/model/Heartbeat.java
@@ -53,7 +53,7 @@
         FETCHING,
         /** Running. */
         RUNNING,
-        /** Stopping, and saving a checkpoint. */
+        /** Told to stop, and saving a checkpoint before it exits. */
         SAVING,
         /** Exited; the exit reason says why. */
         EXITED
@@ -65,7 +65,7 @@
         DONE,
         /** Stopped by command. */
         STOPPED,
-        /** Failed. */
+        /** The task itself failed. */
         ERROR,
         /** Not started: the machine has not enough free resources. */
         NO_ROOM,
--- a/src/test/java/dewlane/core/controller/ControllerFencingTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerFencingTest.java
@@ -52,9 +52,9 @@
 
         receiveHeartbeat(3000, 2, heartbeat(1, 2, FIRST_TOKEN));
 
-        Effect.AnswerHeartbeat reply = takeFirst(Effect.AnswerHeartbeat.class);
-        assertTrue(reply.fencingToken() > FIRST_TOKEN);
-        assertEquals(List.of(), reply.commands());
+        Effect.AnswerHeartbeat response = takeFirst(Effect.AnswerHeartbeat.class);
+        assertTrue(response.fencingToken() > FIRST_TOKEN);
+        assertEquals(List.of(), response.commands());
     }
 
     /**
--- a/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void malformedSubmissionIsRejectedDuringStoreOutageUnlessJobMayBeKnown() {
+    void malformedSubmissionIsRejectedDuringStoreOutageUnlessItsJobMayBeKnown() {
         applyJob(job(1, 1));
         effects.clear();
 
--- a/src/test/java/dewlane/core/controller/ForgetOrderTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetOrderTest.java
@@ -32,7 +32,7 @@
         return heartbeat(1, ++sequence, FIRST_TOKEN, tasks);
     }
 
-    private Effect.AnswerHeartbeat replyTo(Heartbeat heartbeat) {
+    private Effect.AnswerHeartbeat responseTo(Heartbeat heartbeat) {
         effects.clear();
         receiveHeartbeat(300, 100 + sequence, heartbeat);
         return takeFirst(Effect.AnswerHeartbeat.class);
@@ -59,35 +59,36 @@
     @Test
     void attemptIsNotForgottenWhileDirectLaunchIsInFlight() {
         launchDirectly();
-        assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH), "the response to a heartbeat launches it too");
-        replyTo(nextHeartbeat(FAILED));
+        assertTrue(
+                responseTo(nextHeartbeat()).commands().contains(LAUNCH), "the response to a heartbeat launches it too");
+        responseTo(nextHeartbeat(FAILED));
         applyAttempts();
-        Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
+        Effect.AnswerHeartbeat response = responseTo(nextHeartbeat(FAILED));
         assertFalse(
-                reply.fencingToken() == FIRST_TOKEN && reply.commands().contains(FORGET),
+                response.fencingToken() == FIRST_TOKEN && response.commands().contains(FORGET),
                 "forgotten while the command that launches it may still arrive");
         timeOutCommand();
-        reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET), "the deferred forget is sent");
-        assertTrue(reply.fencingToken() > FIRST_TOKEN, "a higher token fences off the abandoned launch");
+        response = responseTo(nextHeartbeat(FAILED));
+        assertTrue(response.commands().contains(FORGET), "the deferred forget is sent");
+        assertTrue(response.fencingToken() > FIRST_TOKEN, "a higher token fences off the abandoned launch");
     }
 
     @Test
     void attemptIsForgottenUnderSameTokenOnceDirectLaunchIsAnswered() {
         launchDirectly();
-        replyTo(nextHeartbeat());
+        responseTo(nextHeartbeat());
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, nextHeartbeat(FAILED)));
         applyAttempts();
-        Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET));
+        Effect.AnswerHeartbeat response = responseTo(nextHeartbeat(FAILED));
+        assertTrue(response.commands().contains(FORGET));
         assertEquals(
-                FIRST_TOKEN, reply.fencingToken(), "the fence is not raised, which would invalidate other launches");
+                FIRST_TOKEN, response.fencingToken(), "the fence is not raised, which would invalidate other launches");
     }
 
     @Test
     void attemptIsNotForgottenByCommandWhileResponseIsInFlight() {
         launchDirectly();
-        assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH));
+        assertTrue(responseTo(nextHeartbeat()).commands().contains(LAUNCH));
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, nextHeartbeat(FAILED)));
         applyAttempts();
         effects.clear();
@@ -106,18 +107,18 @@
     @Test
     void attemptIsForgottenUnderHigherTokenHoweverLongAgoLaunchWasAbandoned() {
         launchDirectly();
-        replyTo(nextHeartbeat());
+        responseTo(nextHeartbeat());
         timeOutCommand();
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     FIRST_TOKEN,
-                    replyTo(nextHeartbeat(RUNNING)).fencingToken(),
+                    responseTo(nextHeartbeat(RUNNING)).fencingToken(),
                     "the other copy has no effect while the worker holds the attempt");
         }
-        replyTo(nextHeartbeat(FAILED));
+        responseTo(nextHeartbeat(FAILED));
         applyAttempts();
-        Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET));
-        assertTrue(reply.fencingToken() > FIRST_TOKEN);
+        Effect.AnswerHeartbeat response = responseTo(nextHeartbeat(FAILED));
+        assertTrue(response.commands().contains(FORGET));
+        assertTrue(response.fencingToken() > FIRST_TOKEN);
     }
 }
