--- a/src/test/java/dewlane/core/controller/ForgetOrderTest.java
+++ b/src/test/java/dewlane/core/controller/ForgetOrderTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A worker that was told to forget an attempt starts it anew when a copy of its launch arrives under a token that still
- * holds. So an attempt is forgotten under its launch's token only once no copy can arrive any more.
+ * A worker that has dropped the record of an attempt starts it again if another copy of its launch arrives with a
+ * fencing token that is still valid. So a forget may carry the token of the launch only once no copy of the launch can
+ * arrive; otherwise it is deferred or carries a higher token.
  */
 class ForgetOrderTest extends ControllerFixture {
     private static final WorkerCommand LAUNCH = new WorkerCommand(WorkerCommand.Action.LAUNCH, JOB, 0, 1, 0);
@@ -31,7 +32,7 @@
         return heartbeat(1, ++sequence, FIRST_TOKEN, tasks);
     }
 
-    private Effect.AnswerHeartbeat replyTo(Heartbeat heartbeat) {
+    private Effect.AnswerHeartbeat responseTo(Heartbeat heartbeat) {
         effects.clear();
         receiveHeartbeat(300, 100 + sequence, heartbeat);
         return takeFirst(Effect.AnswerHeartbeat.class);
@@ -51,41 +52,43 @@
         assertEquals(FIRST_TOKEN, command.fencingToken());
     }
 
-    private void giveUpOnCommand() {
+    private void timeOutCommand() {
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, null));
     }
 
     @Test
-    void attemptIsNotForgottenWhileDirectLaunchIsUnderWay() {
+    void attemptIsNotForgottenWhileDirectLaunchIsInFlight() {
         launchDirectly();
-        assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH), "the reply to a heartbeat launches it too");
-        replyTo(nextHeartbeat(FAILED));
+        assertTrue(
+                responseTo(nextHeartbeat()).commands().contains(LAUNCH), "the response to a heartbeat launches it too");
+        responseTo(nextHeartbeat(FAILED));
         applyAttempts();
-        Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
+        Effect.AnswerHeartbeat response = responseTo(nextHeartbeat(FAILED));
         assertFalse(
-                reply.fencingToken() == FIRST_TOKEN && reply.commands().contains(FORGET),
+                response.fencingToken() == FIRST_TOKEN && response.commands().contains(FORGET),
                 "forgotten while the command that launches it may still arrive");
-        giveUpOnCommand();
-        reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET), "the held back order follows");
-        assertTrue(reply.fencingToken() > FIRST_TOKEN, "and what was given up on is fenced off");
+        timeOutCommand();
+        response = responseTo(nextHeartbeat(FAILED));
+        assertTrue(response.commands().contains(FORGET), "the deferred forget is sent");
+        assertTrue(response.fencingToken() > FIRST_TOKEN, "a higher token fences off the abandoned launch");
     }
 
     @Test
     void attemptIsForgottenUnderSameTokenOnceDirectLaunchIsAnswered() {
         launchDirectly();
-        replyTo(nextHeartbeat());
+        responseTo(nextHeartbeat());
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, nextHeartbeat(FAILED)));
         applyAttempts();
-        Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET));
-        assertEquals(FIRST_TOKEN, reply.fencingToken(), "no other launch is given up on for it");
+        Effect.AnswerHeartbeat response = responseTo(nextHeartbeat(FAILED));
+        assertTrue(response.commands().contains(FORGET));
+        assertEquals(
+                FIRST_TOKEN, response.fencingToken(), "the fence is not raised, which would invalidate other launches");
     }
 
     @Test
-    void attemptIsNotForgottenByCommandWhileReplyToHeartbeatIsUnderWay() {
+    void attemptIsNotForgottenByCommandWhileResponseIsInFlight() {
         launchDirectly();
-        assertTrue(replyTo(nextHeartbeat()).commands().contains(LAUNCH));
+        assertTrue(responseTo(nextHeartbeat()).commands().contains(LAUNCH));
         receive(10, new Input.CommandCompleted(MACHINE, FIRST_TOKEN, true, nextHeartbeat(FAILED)));
         applyAttempts();
         effects.clear();
@@ -94,25 +97,28 @@
         assertEquals(
                 List.of(new WorkerCommand(WorkerCommand.Action.LAUNCH, JOB, 1, 3, 0)),
                 command.commands(),
-                "the worker may be handed its reply up to 4 s after it was sent");
+                "the response may reach the worker up to 4 s after it was sent");
     }
 
-    /** One that goes on running was started by one of two copies; the other one still waits for its end. */
+    /**
+     * The launch was sent twice, and one copy started the attempt. The other copy, in the command that timed out, may
+     * still arrive after the attempt has ended.
+     */
     @Test
-    void attemptIsForgottenUnderHigherTokenHoweverLongAgoLaunchWasGivenUpOn() {
+    void attemptIsForgottenUnderHigherTokenHoweverLongAgoLaunchWasAbandoned() {
         launchDirectly();
-        replyTo(nextHeartbeat());
-        giveUpOnCommand();
+        responseTo(nextHeartbeat());
+        timeOutCommand();
         for (int i = 0; i < 10; i++) {
             assertEquals(
                     FIRST_TOKEN,
-                    replyTo(nextHeartbeat(RUNNING)).fencingToken(),
-                    "its copy harms nothing while it is held");
+                    responseTo(nextHeartbeat(RUNNING)).fencingToken(),
+                    "the other copy has no effect while the worker holds the attempt");
         }
-        replyTo(nextHeartbeat(FAILED));
+        responseTo(nextHeartbeat(FAILED));
         applyAttempts();
-        Effect.AnswerHeartbeat reply = replyTo(nextHeartbeat(FAILED));
-        assertTrue(reply.commands().contains(FORGET));
-        assertTrue(reply.fencingToken() > FIRST_TOKEN);
+        Effect.AnswerHeartbeat response = responseTo(nextHeartbeat(FAILED));
+        assertTrue(response.commands().contains(FORGET));
+        assertTrue(response.fencingToken() > FIRST_TOKEN);
     }
 }
