--- a/src/test/java/dewlane/LayeringTest.java
+++ b/src/test/java/dewlane/LayeringTest.java
@@ -20,7 +20,7 @@
 @AnalyzeClasses(packages = "dewlane", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayeringTest {
     @ArchTest
-    static final ArchRule ARROWS_RUN_DOWN = layeredArchitecture()
+    static final ArchRule LAYERS_USE_ONLY_LOWER_LAYERS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("cli")
             .definedBy("dewlane.cli..")
@@ -40,11 +40,11 @@
             .mayOnlyBeAccessedByLayers("cli", "io", "wire");
 
     @ArchTest
-    static final ArchRule NO_CYCLE_OF_PACKAGES =
+    static final ArchRule NO_CYCLES_BETWEEN_PACKAGES =
             slices().matching("dewlane.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule NO_CYCLE_OF_SUBSYSTEMS =
+    static final ArchRule NO_CYCLES_BETWEEN_SUBSYSTEMS =
             slices().matching("dewlane.core.(*)..").should().beFreeOfCycles();
 
     /** The subsystems of the core, lowest first: each may use those below it. */
@@ -65,9 +65,9 @@
             "controller");
 
     @ArchTest
-    static final ArchRule SUBSYSTEMS_USE_LOWER_ONES = subsystemsUseLowerOnes();
+    static final ArchRule SUBSYSTEMS_USE_ONLY_LOWER_ONES = subsystemsUseOnlyLowerOnes();
 
-    private static ArchRule subsystemsUseLowerOnes() {
+    private static ArchRule subsystemsUseOnlyLowerOnes() {
         LayeredArchitecture layers = layeredArchitecture().consideringOnlyDependenciesInLayers();
         for (String subsystem : SUBSYSTEMS) {
             layers = layers.layer(subsystem).definedBy("dewlane.core." + subsystem + "..");
@@ -81,7 +81,7 @@
 
     /** Heartbeats are handled without a word of scheduling: what they prove is left for the next cycle. */
     @ArchTest
-    static final ArchRule SCHEDULING_DOES_NOT_SPEAK_TO_WORKERS = noClasses()
+    static final ArchRule SCHEDULING_DOES_NOT_USE_WORKER_COMMUNICATION = noClasses()
             .that()
             .resideInAPackage("dewlane.core.scheduling..")
             .should()
@@ -89,7 +89,7 @@
             .resideInAPackage("dewlane.core.worker..");
 
     @ArchTest
-    static final ArchRule EVERY_CLASS_OF_THE_CORE_IS_IN_A_SUBSYSTEM = classes()
+    static final ArchRule EVERY_CORE_CLASS_IS_IN_A_SUBSYSTEM = classes()
             .that()
             .resideInAPackage("dewlane.core..")
             .should()
@@ -127,7 +127,7 @@
             .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule LIBRARIES_OF_THE_PROTOCOLS_ARE_FOR_WIRE = noClasses()
+    static final ArchRule ONLY_WIRE_USES_SERIALIZATION_LIBRARIES = noClasses()
             .that()
             .resideInAnyPackage("dewlane.core..", "dewlane.io..")
             .should()
@@ -135,6 +135,6 @@
             .resideInAnyPackage("com.fasterxml.jackson..", "org.msgpack..");
 
     @ArchTest
-    static final ArchRule ONLY_THE_COMMAND_LINE_PRINTS =
+    static final ArchRule ONLY_CLI_USES_STANDARD_STREAMS =
             noClasses().that().resideOutsideOfPackage("dewlane.cli..").should(ACCESS_STANDARD_STREAMS);
 }
--- a/src/test/java/dewlane/WireWordsTest.java
+++ b/src/test/java/dewlane/ProtocolNamesTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 
 /** The protocols' own words are mapped to the field's terms in {@code dewlane.wire} and stand nowhere else. */
-class WireWordsTest {
+class ProtocolNamesTest {
     private static final Path SOURCES = Path.of("src/main/java/dewlane");
     private static final Path WIRE = SOURCES.resolve("wire");
     private static final Pattern STRING_LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
 
     /** Field names of the five protocols that are no ordinary words of the code. */
-    private static final Set<String> PROTOCOL_WORDS = Set.of(
+    private static final Set<String> PROTOCOL_NAMES = Set.of(
             "rack",
             "racks",
             "cask",
@@ -74,20 +74,20 @@
         }
     }
 
-    private static Set<String> protocolWordsIn(Path file) throws IOException {
+    private static Set<String> protocolNamesIn(Path file) throws IOException {
         Matcher literals = STRING_LITERAL.matcher(Files.readString(file));
         return literals.results()
                 .map(literal -> literal.group(1))
-                .filter(PROTOCOL_WORDS::contains)
+                .filter(PROTOCOL_NAMES::contains)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @Test
-    void noClassOutsideWireHasAWordOfAProtocol() throws IOException {
+    void protocolNamesOccurOnlyInWire() throws IOException {
         Set<String> found = new TreeSet<>();
         for (Path file : sources(SOURCES)) {
             if (!file.startsWith(WIRE)) {
-                protocolWordsIn(file).forEach(word -> found.add(file.getFileName() + ": " + word));
+                protocolNamesIn(file).forEach(name -> found.add(file.getFileName() + ": " + name));
             }
         }
         assertEquals(Set.of(), found);
@@ -95,12 +95,12 @@
 
     /** The list above is worth something only if its words are those that the protocols use. */
     @Test
-    void eachWordStandsInWire() throws IOException {
+    void eachListedNameOccursInWire() throws IOException {
         Set<String> used = new TreeSet<>();
         for (Path file : sources(WIRE)) {
-            used.addAll(protocolWordsIn(file));
+            used.addAll(protocolNamesIn(file));
         }
-        Set<String> unused = new TreeSet<>(PROTOCOL_WORDS);
+        Set<String> unused = new TreeSet<>(PROTOCOL_NAMES);
         unused.removeAll(used);
         assertTrue(unused.isEmpty(), "in no class of wire: " + unused);
     }
--- a/src/test/java/dewlane/sim/AnswerChecker.java
+++ b/src/test/java/dewlane/sim/AnswerChecker.java
@@ -27,7 +27,7 @@
         this.checker = checker;
     }
 
-    void cancellationRequested(String job) {
+    void onCancellationRequested(String job) {
         cancellationsRequested.add(job);
     }
 
@@ -44,10 +44,10 @@
         return finalConditions.get(job) == JobCondition.CANCELLED ? finalAt.get(job) : null;
     }
 
-    void conditionReported(String job, JobCondition condition, long askedAt) {
+    void onConditionReported(String job, JobCondition condition, long askedAt) {
         lastReported.put(job, finalConditions.getOrDefault(job, condition));
         if (condition == JobCondition.DONE && !hasAllTasksDone(job)) {
-            checker.violated("not_done", job + " was called done");
+            checker.fail("not_done", job + " was called done");
         }
         checkCancellationHasReason(job, condition);
         checkCancellationsPassedDown(job, condition, askedAt);
@@ -71,7 +71,7 @@
         }
         boolean askedLater = askedAt > finalAt.get(job) && askedAt != Long.MAX_VALUE;
         if (askedLater || isFinal(condition)) {
-            checker.violated("went_back", job + " was called " + known + ", then " + condition);
+            checker.fail("went_back", job + " was called " + known + ", then " + condition);
         }
     }
 
@@ -83,10 +83,10 @@
                 .anyMatch(dependency -> cancellationsRequested.contains(dependency)
                         && finalConditions.get(dependency) != JobCondition.DONE);
         if (!dependencyCancelled) {
-            checker.violated("went_back", job + " was called cancelled, but nobody asked");
+            checker.fail("went_back", job + " was called cancelled, but nobody asked");
         }
         if (checker.hasStarted(job)) {
-            checker.violated("cancelled_after_start", job + " had a task, so all that it awaited was done");
+            checker.fail("cancelled_after_start", job + " had a task, so all that it awaited was done");
         }
     }
 
@@ -98,7 +98,7 @@
         for (String dependency : transitiveDependencies(job)) {
             Long cancelledAt = cancelledAt(dependency);
             if (cancelledAt != null && askedAt - cancelledAt > cluster.settings.cancellationDeadlineS() * 1000) {
-                checker.violated(
+                checker.fail(
                         "orphaned",
                         job + " is called " + condition + ", " + dependency + " was cancelled at " + cancelledAt);
             }
--- a/src/test/java/dewlane/sim/ControllerFailoverTest.java
+++ b/src/test/java/dewlane/sim/ControllerFailoverTest.java
@@ -36,8 +36,10 @@
      */
     @ParameterizedTest
     @CsvSource({"2.5, 14, 44", "5, 31, 61"})
-    void crashesAndRollingRestartLoseNoTaskWhateverTheLease(double heartbeatS, double leaseS, double cancelS) {
-        SimCluster cluster = cluster(4, 12, new SimSettings().workerTimes(heartbeatS, leaseS, cancelS));
+    void crashesAndRollingRestartLoseNoTaskAtAnyLease(
+            double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {
+        SimCluster cluster =
+                cluster(4, 12, new SimSettings().workerTimes(heartbeatIntervalS, leaseS, cancellationDeadlineS));
         cluster.users.submit(job(1, 24, 2, 150));
         cluster.runUntil(25_000);
 
@@ -55,8 +57,8 @@
         cluster.store.refusedControllers.add(refused.name);
         cluster.users.cancelThrough(anotherController(cluster, refused), jobId(2));
         cluster.runUntil(111_000);
-        cluster.store.outage((long) (1000 * cancelS) + 10_000);
-        cluster.runUntil(111_000 + (long) (1000 * cancelS));
+        cluster.store.outage((long) (1000 * cancellationDeadlineS) + 10_000);
+        cluster.runUntil(111_000 + (long) (1000 * cancellationDeadlineS));
         assertEquals(0, runningTasks(cluster, jobId(2)));
         cluster.store.refusedControllers.clear();
 
@@ -180,7 +182,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void handOversThenCrashOfAllLoseNoTask(long seed) {
+    void ownershipTransfersThenCrashOfAllControllersLoseNoTask(long seed) {
         SimCluster cluster = clusterRunning(seed, 9, 25_000, job(1, 18, 2, 60));
 
         cluster.controllers.get("n0").crash(4500);
@@ -208,8 +210,8 @@
     @ValueSource(longs = {1, 2, 3})
     void leaderCrashDuringScaleOutWithDelayedWritesLosesNoJob(long seed) {
         SimCluster cluster = cluster(seed, 1);
-        cluster.cloud.fastestBootMs = 500;
-        cluster.cloud.slowestBootMs = 2000;
+        cluster.cloud.minBootMs = 500;
+        cluster.cloud.maxBootMs = 2000;
         cluster.store.delayedWriteRate = 0.3;
         submitInTurn(cluster, 600, 600, jobs(1, 8, i -> job(i, 6, 2, 15)));
         SimController first = leader(cluster);
--- a/src/test/java/dewlane/sim/ControllerFaults.java
+++ b/src/test/java/dewlane/sim/ControllerFaults.java
@@ -8,12 +8,12 @@
     private ControllerFaults() {}
 
     static void crash(FaultTarget target) {
-        crash(target.controller(), target.cluster().between(100, 9000));
+        crash(target.controller(), target.cluster().randomBetween(100, 9000));
     }
 
     static void crashAll(FaultTarget target) {
         target.forAllControllers(
-                controller -> crash(controller, target.cluster().between(100, 6000)));
+                controller -> crash(controller, target.cluster().randomBetween(100, 6000)));
     }
 
     /** The second time is in the middle of what the first return set off. */
@@ -25,12 +25,12 @@
     /** Back at once, and then again in the middle of what the first return set off. */
     static void crashAllTwice(FaultTarget target) {
         crashAllBriefly(target);
-        target.afterBetween(500, 1500, () -> crashAllBriefly(target));
+        target.afterRandomDelay(500, 1500, () -> crashAllBriefly(target));
     }
 
     private static void crashAllBriefly(FaultTarget target) {
         target.forAllControllers(
-                controller -> crash(controller, target.cluster().between(50, 400)));
+                controller -> crash(controller, target.cluster().randomBetween(50, 400)));
     }
 
     static void crashLeadersInTurn(FaultTarget target) {
@@ -38,14 +38,14 @@
             target.cluster()
                     .after(
                             i * BETWEEN_LEADERS_MS,
-                            () -> crash(target.leader(), target.cluster().between(200, 5000)));
+                            () -> crash(target.leader(), target.cluster().randomBetween(200, 5000)));
         }
     }
 
     static void crashAllForLongerThanLease(FaultTarget target) {
         long leaseMs = (long) (target.cluster().settings.workerLeaseS() * 1000);
         target.forAllControllers(
-                controller -> crash(controller, target.cluster().between(0, 3000) + leaseMs));
+                controller -> crash(controller, target.cluster().randomBetween(0, 3000) + leaseMs));
     }
 
     private static void crash(SimController controller, long backAfterMs) {
@@ -55,28 +55,28 @@
     }
 
     static void freeze(FaultTarget target) {
-        target.controller().freeze(target.cluster().between(1500, 40_000));
+        target.controller().freeze(target.cluster().randomBetween(1500, 40_000));
     }
 
     static void isolate(FaultTarget target) {
         target.controller().isolate();
-        target.afterBetween(5000, 45_000, () -> target.controller().endIsolation());
+        target.afterRandomDelay(5000, 45_000, () -> target.controller().endIsolation());
     }
 
-    static void loseStore(FaultTarget target) {
-        target.controller().cutFromStore = true;
-        target.afterBetween(2000, 25_000, () -> target.controller().cutFromStore = false);
+    static void disconnectFromStore(FaultTarget target) {
+        target.controller().disconnectedFromStore = true;
+        target.afterRandomDelay(2000, 25_000, () -> target.controller().disconnectedFromStore = false);
     }
 
-    static void loseWorkers(FaultTarget target) {
-        target.controller().cutFromWorkers = true;
-        target.afterBetween(2000, 25_000, () -> target.controller().cutFromWorkers = false);
+    static void disconnectFromWorkers(FaultTarget target) {
+        target.controller().disconnectedFromWorkers = true;
+        target.afterRandomDelay(2000, 25_000, () -> target.controller().disconnectedFromWorkers = false);
     }
 
     /** No controller reaches another. */
     static void partitionPeers(FaultTarget target) {
-        target.forAllControllers(controller -> controller.cutFromPeers = true);
-        target.afterBetween(
-                2000, 30_000, () -> target.forAllControllers(controller -> controller.cutFromPeers = false));
+        target.forAllControllers(controller -> controller.disconnectedFromPeers = true);
+        target.afterRandomDelay(
+                2000, 30_000, () -> target.forAllControllers(controller -> controller.disconnectedFromPeers = false));
     }
 }
--- a/src/test/java/dewlane/sim/ControllerRestartTest.java
+++ b/src/test/java/dewlane/sim/ControllerRestartTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void controllersBackAtOnceLoseNoTask() {
+    void controllersThatRestartAtOnceLoseNoTask() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
 
         cluster.crashAllControllers(200);
@@ -54,7 +54,7 @@
 
     /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
     @Test
-    void fencingTokensOfMachinesThatKeepTheirOwnerStay() {
+    void machinesThatKeepTheirOwnerKeepTheirFencingToken() {
         SimCluster cluster = clusterRunning(SEED, 9, 10_150, job(1, 18, 2, 30));
 
         cluster.controllers.get("n2").crash(20_000);
@@ -73,7 +73,7 @@
      * Seen on a grown deployment: each wandering worker of a dead controller made a map, and each map undid launches.
      */
     @Test
-    void controllerThatCrashesAndReturnsCostsTwoPartitionMaps() {
+    void controllerRestartChangesPartitionMapTwice() {
         SimCluster cluster = clusterRunning(SEED, 30, 25_000, job(1, 60, 2, 60));
 
         long epochBefore = partitionMap(cluster).epoch();
--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -83,7 +83,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void commandsOfDeposedLeaderArrivingAfterItsSuccessorsHarmNothing(long seed) {
+    void commandsOfFormerLeaderArrivingAfterThoseOfItsSuccessorHarmNothing(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.commands.delayRate = 0.5;
         submitInTurnAndCancelEachThird(cluster, 700, jobs(1, 12, i -> job(i, 4, 1, 8)), 2500);
@@ -91,7 +91,9 @@
             cluster.after(at, () -> leader(cluster).crash(2500));
         }
         cluster.runUntil(45_000);
-        assertTrue(cluster.commands.delayedPastSender > 0, cluster.commands.delayed + " delayed, none past its sender");
+        assertTrue(
+                cluster.commands.deliveredAfterSenderEnded > 0,
+                cluster.commands.delayed + " delayed, none past its sender");
 
         cluster.commands.delayRate = 0;
 
--- a/src/test/java/dewlane/sim/DependencyCancellationTest.java
+++ b/src/test/java/dewlane/sim/DependencyCancellationTest.java
@@ -1,6 +1,6 @@
 package dewlane.sim;
 
-import static dewlane.sim.DependencyFixtures.abortedInStore;
+import static dewlane.sim.DependencyFixtures.cancelledInStore;
 import static dewlane.sim.DependencyFixtures.controller;
 import static dewlane.sim.DependencyFixtures.doneInStore;
 import static dewlane.sim.DependencyFixtures.pollCondition;
@@ -45,13 +45,13 @@
 
         assertRecovers(cluster, 90_000);
         assertTrue(doneInStore(cluster, 4) && doneInStore(cluster, 6));
-        assertTrue(abortedInStore(cluster, 2) && abortedInStore(cluster, 3) && abortedInStore(cluster, 5));
+        assertTrue(cancelledInStore(cluster, 2) && cancelledInStore(cluster, 3) && cancelledInStore(cluster, 5));
     }
 
     /** The store is out from just after the confirmation to beyond the time that a cancellation may take. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void outageAfterConfirmationDoesNotKeepDependantsAlive(long seed) {
+    void outageAfterConfirmationDoesNotKeepDependantsFromBeingCancelled(long seed) {
         SimCluster cluster = cluster(seed, 9);
         submitThrough(controller(cluster, 0), job(1, 3, 1, 300));
         for (int i = 2; i < 8; i++) {
@@ -68,7 +68,7 @@
         cluster.every(200, () -> pollDependantInTurn(cluster));
         assertRecovers(cluster, 60_000);
         for (int i = 2; i < 8; i++) {
-            assertTrue(abortedInStore(cluster, i), jobId(i));
+            assertTrue(cancelledInStore(cluster, i), jobId(i));
         }
     }
 
@@ -97,7 +97,7 @@
         cluster.store.watchLagMs = 0;
         assertRecovers(cluster, 90_000);
         for (int i = 0; i < 6; i++) {
-            assertTrue(abortedInStore(cluster, 10 + i), jobId(10 + i));
+            assertTrue(cancelledInStore(cluster, 10 + i), jobId(10 + i));
         }
     }
 
@@ -114,6 +114,6 @@
         cluster.users.cancel(jobId(1));
 
         assertRecovers(cluster, 90_000);
-        assertTrue(abortedInStore(cluster, 1) && abortedInStore(cluster, 2));
+        assertTrue(cancelledInStore(cluster, 1) && cancelledInStore(cluster, 2));
     }
 }
--- a/src/test/java/dewlane/sim/DependencyFixtures.java
+++ b/src/test/java/dewlane/sim/DependencyFixtures.java
@@ -55,14 +55,14 @@
     }
 
     static boolean doneInStore(SimCluster cluster, int job) {
-        return finalRecord(cluster, job) instanceof StoredValue.JobResult result && !result.cancelled();
+        return jobResult(cluster, job) instanceof StoredValue.JobResult result && !result.cancelled();
     }
 
-    static boolean abortedInStore(SimCluster cluster, int job) {
-        return finalRecord(cluster, job) instanceof StoredValue.JobResult result && result.cancelled();
+    static boolean cancelledInStore(SimCluster cluster, int job) {
+        return jobResult(cluster, job) instanceof StoredValue.JobResult result && result.cancelled();
     }
 
-    private static StoredValue finalRecord(SimCluster cluster, int job) {
+    private static StoredValue jobResult(SimCluster cluster, int job) {
         return cluster.store.get(StoreKeys.jobResult(jobId(job)));
     }
 }
--- a/src/test/java/dewlane/sim/EffectPerformer.java
+++ b/src/test/java/dewlane/sim/EffectExecutor.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 
 /** Performs the effects of a controller's core on the simulated cluster, and passes replies on to those who wait. */
-final class EffectPerformer {
+final class EffectExecutor {
     private final SimController controller;
     private final SimCluster cluster;
     private final Map<Long, Consumer<Effect.AnswerUser>> userReplies = new HashMap<>();
     private final Map<Long, Consumer<HeartbeatReply>> heartbeatReplies = new HashMap<>();
 
-    EffectPerformer(SimController controller) {
+    EffectExecutor(SimController controller) {
         this.controller = controller;
         this.cluster = controller.cluster;
     }
@@ -23,23 +23,23 @@
         heartbeatReplies.clear();
     }
 
-    void onUserReply(long id, Consumer<Effect.AnswerUser> onReply) {
+    void expectUserReply(long id, Consumer<Effect.AnswerUser> onReply) {
         userReplies.put(id, onReply);
     }
 
-    void onHeartbeatReply(long id, Consumer<HeartbeatReply> onReply) {
+    void expectHeartbeatReply(long id, Consumer<HeartbeatReply> onReply) {
         heartbeatReplies.put(id, onReply);
     }
 
-    void perform(Effect effect) {
-        boolean performed =
-                performReply(effect) || performOnStore(effect) || performOnCloud(effect) || performOnOthers(effect);
-        if (!performed) {
+    void execute(Effect effect) {
+        boolean executed =
+                executeReply(effect) || executeOnStore(effect) || executeOnCloud(effect) || executeOnOthers(effect);
+        if (!executed) {
             throw new AssertionError("no such effect in the simulation: " + effect);
         }
     }
 
-    private boolean performReply(Effect effect) {
+    private boolean executeReply(Effect effect) {
         if (effect instanceof Effect.AnswerUser answer) {
             reply(userReplies.remove(answer.id()), answer);
         } else if (effect instanceof Effect.AnswerHeartbeat answer) {
@@ -64,13 +64,13 @@
         }
     }
 
-    private boolean performOnStore(Effect effect) {
+    private boolean executeOnStore(Effect effect) {
         SimStore store = cluster.store;
         if (effect instanceof Effect.CommitTransaction send) {
             store.commit(
                     controller,
                     send.id(),
-                    controller.runsVersion01 ? Version01View.written(send.transaction()) : send.transaction());
+                    controller.runsVersion01 ? Version01Schema.write(send.transaction()) : send.transaction());
         } else if (effect instanceof Effect.Watch watch) {
             store.watch(controller, watch.afterRevision());
         } else if (effect instanceof Effect.ReadValue read) {
@@ -90,23 +90,23 @@
         return true;
     }
 
-    private boolean performOnCloud(Effect effect) {
+    private boolean executeOnCloud(Effect effect) {
         SimCloud cloud = cluster.cloud;
         if (effect instanceof Effect.ListMachineTypes) {
-            cloud.catalog(controller);
+            cloud.listMachineTypes(controller);
         } else if (effect instanceof Effect.ListInstances) {
-            cloud.list(controller);
+            cloud.listInstances(controller);
         } else if (effect instanceof Effect.CreateInstances rent) {
-            cloud.rent(controller, rent);
+            cloud.createInstances(controller, rent);
         } else if (effect instanceof Effect.DeleteInstances delete) {
-            cloud.delete(controller, delete.machines());
+            cloud.deleteInstances(controller, delete.machines());
         } else {
             return false;
         }
         return true;
     }
 
-    private boolean performOnOthers(Effect effect) {
+    private boolean executeOnOthers(Effect effect) {
         if (effect instanceof Effect.SendCommands command) {
             cluster.commands.send(controller, command);
         } else if (effect instanceof Effect.BroadcastStatus tell) {
--- a/src/test/java/dewlane/sim/EnvironmentFaults.java
+++ b/src/test/java/dewlane/sim/EnvironmentFaults.java
@@ -11,7 +11,7 @@
         cluster.messageFaultRate = 0.2;
         cluster.after(5000, () -> {
             boolean storm = cluster.now() < RandomFaultsTest.STORM_MS;
-            cluster.messageFaultRate = storm ? SimCluster.USUAL_MESSAGE_FAULT_RATE : 0;
+            cluster.messageFaultRate = storm ? SimCluster.DEFAULT_MESSAGE_FAULT_RATE : 0;
         });
     }
 
@@ -23,7 +23,7 @@
                 .filter(worker -> cluster.chance(0.5))
                 .toList();
         failing.forEach(worker -> worker.failsTasks = true);
-        int ms = cluster.between(5000, 20_000);
+        int ms = cluster.randomBetween(5000, 20_000);
         cluster.after(ms, () -> cluster.commands.delayRate = 0);
         cluster.after(ms, () -> failing.forEach(worker -> worker.failsTasks = false));
     }
@@ -31,7 +31,7 @@
     static void cloudOutage(FaultTarget target) {
         SimCloud cloud = target.cluster().cloud;
         cloud.unavailable = true;
-        target.afterBetween(2000, 15_000, () -> cloud.unavailable = false);
+        target.afterRandomDelay(2000, 15_000, () -> cloud.unavailable = false);
     }
 
     /** For a while, users often cancel a job at the moment at which its last task ends. */
--- a/src/test/java/dewlane/sim/FaultTarget.java
+++ b/src/test/java/dewlane/sim/FaultTarget.java
@@ -29,8 +29,8 @@
     }
 
     /** Runs an action after a random time. */
-    void afterBetween(int lowMs, int highMs, Runnable action) {
-        cluster.after(cluster.between(lowMs, highMs), action);
+    void afterRandomDelay(int lowMs, int highMs, Runnable action) {
+        cluster.after(cluster.randomBetween(lowMs, highMs), action);
     }
 
     @Override
--- a/src/test/java/dewlane/sim/InvariantChecker.java
+++ b/src/test/java/dewlane/sim/InvariantChecker.java
@@ -23,7 +23,7 @@
     }
 
     /** A launch sent longer after a confirmation than a controller's view may lag is one it should not have sent. */
-    private static final long LONGEST_VIEW_LAG_MS = 3000;
+    private static final long MAX_REPLICA_LAG_MS = 3000;
 
     private final SimCluster cluster;
     private final AnswerChecker answers;
@@ -40,13 +40,13 @@
     }
 
     /** Fails the run; {@code what} begins with the job or machine that it is about. */
-    void violated(String invariant, String what) {
+    void fail(String invariant, String what) {
         String subject = what.split("[ /]")[0];
         throw new Violation("seed " + cluster.seed + " at " + cluster.now() + " ms: " + invariant + ": " + what + "\n"
                 + cluster.recentTrace(subject));
     }
 
-    void taskDone(String job, int task) {
+    void onTaskDone(String job, int task) {
         doneTasks.computeIfAbsent(job, id -> new HashSet<>()).add(task);
     }
 
@@ -66,7 +66,7 @@
         return startedJobs.contains(job);
     }
 
-    void taskStarted(SimWorker worker, SimAttempt attempt) {
+    void onTaskStarted(SimWorker worker, SimAttempt attempt) {
         taskStarts++;
         checkNotCancelled(worker, attempt);
         startedJobs.add(attempt.job);
@@ -74,7 +74,7 @@
         String task = attempt.job + "/" + attempt.task;
         for (String dependency : job.dependencies()) {
             if (!allTasksDone(dependency)) {
-                violated("too_early", task + " started before " + dependency + " was done");
+                fail("too_early", task + " started before " + dependency + " was done");
             }
         }
         placement.checkPlace(worker, attempt);
@@ -84,8 +84,8 @@
     /** A launch may still arrive after the cancellation of its job if it was on its way by then. */
     private void checkNotCancelled(SimWorker worker, SimAttempt attempt) {
         Long cancelledAt = answers.cancelledAt(attempt.job);
-        if (cancelledAt != null && attempt.launchSentAt - cancelledAt > LONGEST_VIEW_LAG_MS) {
-            violated(
+        if (cancelledAt != null && attempt.launchSentAt - cancelledAt > MAX_REPLICA_LAG_MS) {
+            fail(
                     "started_cancelled",
                     attempt.job + "/" + attempt.task + " on " + worker.name + ", launched "
                             + (attempt.launchSentAt - cancelledAt)
@@ -101,7 +101,7 @@
         for (SimWorker worker : cluster.workers()) {
             for (SimAttempt attempt : worker.attempts()) {
                 if (attempt.occupiesMachine() && hasRunTooLong(attempt)) {
-                    violated(
+                    fail(
                             "ran_cancelled",
                             attempt.job + "/" + attempt.task + " on " + worker.name + "\n"
                                     + cluster.recentTrace(worker.name)
@@ -116,13 +116,13 @@
         return cancelledAt != null && cluster.now() - cancelledAt > cluster.settings.cancellationDeadlineS() * 1000;
     }
 
-    void cancellationRequested(String job) {
-        answers.cancellationRequested(job);
+    void onCancellationRequested(String job) {
+        answers.onCancellationRequested(job);
     }
 
     /** A user was told the job's condition; the time at which they asked is {@link Long#MAX_VALUE} if unknown. */
-    void conditionReported(String job, JobCondition condition, long askedAt) {
-        answers.conditionReported(job, condition, askedAt);
+    void onConditionReported(String job, JobCondition condition, long askedAt) {
+        answers.onConditionReported(job, condition, askedAt);
     }
 
     JobCondition lastReportedCondition(String job) {
--- a/src/test/java/dewlane/sim/JobDependenciesTest.java
+++ b/src/test/java/dewlane/sim/JobDependenciesTest.java
@@ -1,6 +1,6 @@
 package dewlane.sim;
 
-import static dewlane.sim.DependencyFixtures.abortedInStore;
+import static dewlane.sim.DependencyFixtures.cancelledInStore;
 import static dewlane.sim.DependencyFixtures.controller;
 import static dewlane.sim.DependencyFixtures.dependent;
 import static dewlane.sim.DependencyFixtures.doneInStore;
@@ -62,15 +62,15 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void dependencyMayBeDoneLongAgoOrCancelled(long seed) {
+    void dependencyMayHaveEndedBeforeSubmission(long seed) {
         SimSettings settings =
-                new SimSettings().teams(SimSettings.WITHOUT_QUOTA, new Settings.TeamQuota("red", 0, 0, 0, 0));
+                new SimSettings().teams(SimSettings.TEAM_WITHOUT_LIMIT, new Settings.TeamQuota("red", 0, 0, 0, 0));
         SimCluster cluster = cluster(seed, 9, settings);
         assertEquals(201, submitThrough(controller(cluster, 0), smallJob(1)).status());
         assertEquals(201, submitThrough(controller(cluster, 0), smallJob(2)).status());
         cluster.users.cancelThrough(controller(cluster, 1), jobId(2));
         cluster.runUntil(40_000);
-        assertTrue(doneInStore(cluster, 1) && abortedInStore(cluster, 2));
+        assertTrue(doneInStore(cluster, 1) && cancelledInStore(cluster, 2));
 
         // No controller that starts anew knows of what is over.
         cluster.crashAllControllers(1000);
@@ -106,7 +106,7 @@
     /** Any controller may have accepted the dependency a moment ago, which this one's watch has not shown yet. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void dependencyAcceptedByAnotherControllerMomentAgoIsKnown(long seed) {
+    void dependencyJustAcceptedByAnotherControllerIsFound(long seed) {
         SimCluster cluster = cluster(seed, 9);
         cluster.store.watchLagMs = 900;
         Job first = job(1, 2, 1, 20);
@@ -133,7 +133,7 @@
         submitThrough(controller(cluster, 0), smallJob(1));
         submitThrough(controller(cluster, 1), smallJob(2, 1));
         submitThrough(controller(cluster, 2), smallJob(3, 2));
-        FirstOf crash = new FirstOf();
+        RunOnce crash = new RunOnce();
         cluster.every(10, () -> {
             if (doneInStore(cluster, 1)) {
                 crash.run(() -> crashAllOrOwner(cluster, seed % 2 == 0, jobId(2)));
@@ -141,12 +141,12 @@
         });
 
         assertRecovers(cluster, 120_000);
-        assertTrue(crash.isDecided() && doneInStore(cluster, 2) && doneInStore(cluster, 3));
+        assertTrue(crash.hasRun() && doneInStore(cluster, 2) && doneInStore(cluster, 3));
     }
 
     private static void crashAllOrOwner(SimCluster cluster, boolean all, String job) {
         if (all) {
-            cluster.controllers.values().forEach(controller -> controller.crash(cluster.between(200, 4000)));
+            cluster.controllers.values().forEach(controller -> controller.crash(cluster.randomBetween(200, 4000)));
         } else {
             String owner = Partitioner.ownerOf(partitionMap(cluster), StoreKeys.job(job));
             cluster.controllers.get(owner).crash(8000);
--- a/src/test/java/dewlane/sim/JobDistributionTest.java
+++ b/src/test/java/dewlane/sim/JobDistributionTest.java
@@ -34,7 +34,7 @@
 
     /** Found by the random runs: a demand of a small part of a machine was rounded down to none, for ever. */
     @Test
-    void smallestDemandThatNoMachineServesRentsOne() {
+    void smallestUnmetDemandCreatesMachine() {
         SimCluster cluster = cluster(SEED, 3);
         cluster.users.submit(JobBuilder.job(JOB)
                 .types(List.of("large"))
@@ -50,7 +50,7 @@
      * transaction may delete, and never ended.
      */
     @Test
-    void jobHandedOnManyTimesCanStillEnd() {
+    void jobWhoseTasksWereTransferredManyTimesCanStillEnd() {
         SimSettings settings = new SimSettings().storeLimits(StoreLimits.constant(150, 60, 16_384, 8));
         SimCluster cluster = cluster(SEED, 9, settings);
         cluster.cloud.capacity = 9;
@@ -77,7 +77,7 @@
      * waited.
      */
     @Test
-    void tasksWithoutRoomAnywhereAreSharedAmongPartitions() {
+    void tasksWithoutRoomAnywhereAreSpreadAcrossPartitions() {
         SimCluster cluster = cluster(SEED, 3);
         cluster.cloud.capacity = 3;
         cluster.users.submit(job(1, 12, 1, 300));
@@ -117,7 +117,7 @@
                 .expectedRunS(5)
                 .build();
         cluster.users.register(job);
-        cluster.checker.taskDone(JOB, 2);
+        cluster.checker.onTaskDone(JOB, 2);
         cluster.store.put(StoreKeys.job(JOB), new StoredValue.JobRecord(job.withAcceptedAt(1_000_000), List.of(), 0));
         cluster.store.put(StoreKeys.slice(JOB, 0), new StoredValue.Slice(ownerWithoutRoom, 0, 3, 1, done, List.of()));
         cluster.runUntil(90_000);
--- a/src/test/java/dewlane/sim/LargeClusterTest.java
+++ b/src/test/java/dewlane/sim/LargeClusterTest.java
@@ -30,14 +30,14 @@
     private static final int MAX_TRANSACTION_BYTES = 65_536;
     private static final double MAX_WRITES_PER_JOB = 20;
 
-    private static SimCluster cluster(double idleS, int machines) {
+    private static SimCluster cluster(double scaleInIdleS, int machines) {
         Settings settings = new SimSettings()
                 .controllers(CONTROLLERS)
                 .teams(new Settings.TeamQuota("blue", 600, 0, 3000, 0))
                 .workerTimes(5, 29, 59)
                 .storeLimits(StoreLimits.constant(150, 30, MAX_VALUE_BYTES, 16))
                 .cloud(4, 4)
-                .idleS(idleS)
+                .scaleInIdleS(scaleInIdleS)
                 .build();
         SimCluster cluster = SimCluster.withReliableLinks(SEED, settings);
         cluster.cloud.capacity = machines;
@@ -46,7 +46,7 @@
             String type = i % 3 == 0 ? "small" : "large";
             String zone = i % 2 == 0 ? "east" : "west";
             SimWorker worker = cluster.cloud.create(type, zone, i % 2 == 0);
-            cluster.after(cluster.between(0, 5000), worker::boot);
+            cluster.after(cluster.randomBetween(0, 5000), worker::boot);
         }
         return cluster;
     }
@@ -116,7 +116,7 @@
 
     /** Found by counting: what a controller alone with all machines told its peers was longer than they take. */
     @Test
-    void controllerAloneWithAllMachinesKeepsThemAndTellsItsPeersInPages() {
+    void singleControllerKeepsAllMachinesAndSendsItsStatusInPages() {
         SimCluster cluster = cluster(600, MACHINES);
         cluster.runUntil(SETTLED_MS);
 
@@ -132,7 +132,7 @@
 
     /** The same at 4,000 machines: none is lost, work runs, and what is counted a job stays as it is. */
     @Test
-    void fourThousandMachinesAreServedAlsoByOneControllerAlone() {
+    void fourThousandMachinesAreServedEvenBySingleController() {
         int machines = 4000;
         SimCluster cluster = cluster(900, machines);
         cluster.runUntil(SETTLED_MS);
--- a/src/test/java/dewlane/sim/MessageDelayTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -49,8 +49,8 @@
         cluster.users.submit(job(2, 6, 1, 4));
         for (int i = 0; i < old.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
-                worker.heartbeats.deliverCopy(old.get(i), controller, 500 + 1500L * i);
-                worker.heartbeats.deliverCopy(old.get(i), controller, 40_000 + 1500L * i);
+                worker.heartbeats.deliverDuplicate(old.get(i), controller, 500 + 1500L * i);
+                worker.heartbeats.deliverDuplicate(old.get(i), controller, 40_000 + 1500L * i);
             }
         }
 
@@ -59,7 +59,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void oldHeartbeatsAtEveryControllerAsLeaderBeginsRestartNoTask(long seed) {
+    void oldHeartbeatsAtEveryControllerDuringLeaderChangeRestartNoTask(long seed) {
         SimCluster cluster = clusterRunning(seed, 6, 16_000, job(1, 10, 1, 60));
 
         List<SimWorker> workers = workersRunning(cluster, JOB);
@@ -76,7 +76,7 @@
         for (int i = 0; i < workers.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
                 for (long afterMs : new long[] {1, 300, 1500}) {
-                    workers.get(i).heartbeats.deliverCopy(old.get(i), controller, afterMs);
+                    workers.get(i).heartbeats.deliverDuplicate(old.get(i), controller, afterMs);
                 }
             }
         }
--- a/src/test/java/dewlane/sim/NetworkPartitionTest.java
+++ b/src/test/java/dewlane/sim/NetworkPartitionTest.java
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void zoneWithWorkersAndControllerCutOffForLongerThanLeaseRecovers(long seed) {
+    void zoneDisconnectedWithItsControllerForLongerThanLeaseRecovers(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.bootMachines(6, "west");
         cluster.runUntil(15_000);
@@ -60,7 +60,7 @@
     /** What is launched by direct commands on a machine that cannot report is lost with its lease. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void workerThatOnlyCommandsReachGetsNoMoreLaunchesOnceItIsSilent(long seed) {
+    void workerWithBlockedHeartbeatsGetsNoMoreLaunchesOnceUnresponsive(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.cloud.capacity = 6;
         cluster.runUntil(12_000);
@@ -103,11 +103,11 @@
 
     /** Seen in a recorded incident: workers cut from their controller were sent back to it until their leases ended. */
     @Test
-    void workersCutFromTheirControllerMoveAndLoseNoTask() {
+    void workersDisconnectedFromTheirControllerAreTransferredAndLoseNoTask() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
         assertEquals(18, cluster.checker.taskStarts);
 
-        cluster.controllers.get("n0").cutFromWorkers = true;
+        cluster.controllers.get("n0").disconnectedFromWorkers = true;
         cluster.runUntil(200_000);
 
         assertEquals(18, cluster.checker.taskStarts, "every task ran on where it was");
@@ -117,24 +117,24 @@
 
     /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
     @Test
-    void controllerThatWasCutOffCondemnsNoMachineOnItsReturn() {
+    void controllerThatWasDisconnectedDecommissionsNoMachineOnItsReturn() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 80));
 
         SimController controller = cluster.controllers.get("n1");
-        controller.cutFromStore = true;
-        controller.cutFromWorkers = true;
+        controller.disconnectedFromStore = true;
+        controller.disconnectedFromWorkers = true;
         cluster.runUntil(60_000);
-        controller.cutFromStore = false;
-        controller.cutFromWorkers = false;
+        controller.disconnectedFromStore = false;
+        controller.disconnectedFromWorkers = false;
         cluster.runUntil(90_000);
 
-        assertNoMachineCondemned(cluster);
+        assertNoMachineDecommissioned(cluster);
         assertEquals(18, cluster.checker.taskStarts);
     }
 
     /** A controller alone stands still for longer than machines may be silent: what it slept through condemns none. */
     @Test
-    void controllerThatWasFrozenCondemnsNoMachineWhenItGoesOn() {
+    void controllerThatWasFrozenDecommissionsNoMachineWhenItResumes() {
         SimCluster cluster = cluster(SEED, 9);
         cluster.controllers.get("n1").crash(600_000);
         cluster.controllers.get("n2").crash(600_000);
@@ -146,7 +146,7 @@
         cluster.store.outage(45_000);
         cluster.controllers.get("n0").freeze(44_000);
         cluster.runUntil(200_000);
-        assertNoMachineCondemned(cluster);
+        assertNoMachineDecommissioned(cluster);
         for (int i = 1; i <= 9; i++) {
             assertTrue(cluster.cloud.machines.containsKey("vm-00000" + i), "machine " + i + " was not deleted");
         }
@@ -154,7 +154,7 @@
 
     /** A fault the users named: a controller loses the store and the other controllers, not its workers. */
     @Test
-    void isolatedControllerHandsItsWorkersOverAndCondemnsNoMachine() {
+    void isolatedControllerTransfersItsWorkersAndDecommissionsNoMachine() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
 
         SimController controller = cluster.controllers.get("n1");
@@ -167,10 +167,10 @@
         cluster.runUntil(160_000);
 
         assertEquals(36, cluster.checker.taskStarts, "no task was lost");
-        assertNoMachineCondemned(cluster);
+        assertNoMachineDecommissioned(cluster);
     }
 
-    private static void assertNoMachineCondemned(SimCluster cluster) {
+    private static void assertNoMachineDecommissioned(SimCluster cluster) {
         assertEquals(Map.of(), cluster.store.scan(StoreKeys.DECOMMISSIONS));
     }
 }
--- a/src/test/java/dewlane/sim/PlacementChecker.java
+++ b/src/test/java/dewlane/sim/PlacementChecker.java
@@ -26,7 +26,7 @@
                     continue;
                 }
                 if (other.task == attempt.task) {
-                    checker.violated(
+                    checker.fail(
                             "ran_twice",
                             task + " on " + worker.name + " #" + attempt.number + " and " + otherWorker.name + " #"
                                     + other.number);
@@ -34,13 +34,13 @@
                 boolean sameZone = otherWorker.zone.equals(worker.zone);
                 inSameZone += sameZone ? 1 : 0;
                 if (job.sameZone() && !sameZone) {
-                    checker.violated("wrong_place", task + " not in the zone of its job");
+                    checker.fail("wrong_place", task + " not in the zone of its job");
                 }
             }
         }
         boolean tooManyInZone = job.spreadZones() && inSameZone + 1 > (job.tasks() + 1) / 2;
         if (!job.allows(worker.type.name(), worker.zone, worker.spot) || tooManyInZone) {
-            checker.violated("wrong_place", task + " on " + worker.name);
+            checker.fail("wrong_place", task + " on " + worker.name);
         }
     }
 
@@ -55,7 +55,7 @@
             }
         }
         if (team.maxCpus() > 0 && used > team.maxCpus() + CPU_TOLERANCE) {
-            checker.violated("quota", attempt.job + "/" + attempt.task + " takes " + team.name() + " to " + used);
+            checker.fail("quota", attempt.job + "/" + attempt.task + " takes " + team.name() + " to " + used);
         }
     }
 }
--- a/src/test/java/dewlane/sim/RandomFaultsTest.java
+++ b/src/test/java/dewlane/sim/RandomFaultsTest.java
@@ -16,18 +16,18 @@
     private static final int RUNS_PER_GROUP = Integer.getInteger("dewlane.runs", 6);
     private static final int FIRST_SEED = 1000;
     private static final int FIRST_UPGRADE_SEED = 5000;
-    private static final int FIRST_GUARD_SEED = 100;
-    private static final int LAST_GUARD_SEED = 400;
+    private static final int FIRST_DISABLED_CHECK_SEED = 100;
+    private static final int LAST_DISABLED_CHECK_SEED = 400;
     static final long STORM_MS = 240_000;
     private static final long CALM_MS = 700_000;
     /** What hangs or is cut off at the end of the storm does so for up to a minute more. */
-    private static final long LONGEST_FAULT_MS = 60_000;
+    private static final long MAX_FAULT_MS = 60_000;
 
     private static final double DEPENDENCY_RATE = 0.4;
 
     /** The limits that the store shrinks to in an upgrade. */
     private static final StoreLimits SHRINKING_LIMITS =
-            new StoreLimits(SimSettings.USUAL_LIMITS, new StoreLimits.Limits(150, 45, 1536, 4));
+            new StoreLimits(SimSettings.DEFAULT_LIMITS, new StoreLimits.Limits(150, 45, 1536, 4));
 
     /** Blue's quota is lent launch by launch, green's is shared by the controllers, red has none. */
     private static Settings settings(int controllers, boolean upgrade) {
@@ -39,22 +39,22 @@
                         new Settings.TeamQuota("red", 0, 0, 0, 0))
                 .objectives(new Settings.ServiceLevelObjective("finished", null, 60))
                 .workerTimes(3, 20, 50)
-                .silentS(9)
-                .idleS(20)
-                .sharedCpus(4);
+                .machineTimeoutS(9)
+                .scaleInIdleS(20)
+                .minPartitionedShareCpus(4);
         return upgrade ? settings.storeLimits(SHRINKING_LIMITS).build() : settings.build();
     }
 
-    private static SimCluster run(long seed, int controllers, SimCluster.DisabledGuard disabledGuard) {
-        return run(seed, controllers, disabledGuard, false);
+    private static SimCluster run(long seed, int controllers, SimCluster.DisabledCheck disabledCheck) {
+        return run(seed, controllers, disabledCheck, false);
     }
 
     /**
      * Runs a storm of faults, then calm. In an upgrade all controllers begin as the version before and are replaced a
      * few at a time; once all are new, users ask for what is new, and soon the store's limits shrink.
      */
-    private static SimCluster run(long seed, int controllers, SimCluster.DisabledGuard disabledGuard, boolean upgrade) {
-        SimCluster cluster = new SimCluster(seed, settings(controllers, upgrade), disabledGuard);
+    private static SimCluster run(long seed, int controllers, SimCluster.DisabledCheck disabledCheck, boolean upgrade) {
+        SimCluster cluster = new SimCluster(seed, settings(controllers, upgrade), disabledCheck);
         RandomWorkload workload = new RandomWorkload(cluster);
         workload.dependencyRate = upgrade ? 0 : DEPENDENCY_RATE;
         startAtRandomTimes(cluster, upgrade);
@@ -78,7 +78,7 @@
         cluster.runUntil(STORM_MS);
         endFaults(cluster);
         cluster.users.pollUnfinishedJobs();
-        cluster.after(LONGEST_FAULT_MS, cluster.checker::watchForStarvation);
+        cluster.after(MAX_FAULT_MS, cluster.checker::watchForStarvation);
         cluster.runUntil(CALM_MS);
         return cluster;
     }
@@ -86,25 +86,25 @@
     private static void startAtRandomTimes(SimCluster cluster, boolean asVersion01) {
         for (String name : cluster.settings.peers()) {
             SimController controller = cluster.addController(name, asVersion01);
-            cluster.after(cluster.between(0, 800), controller::start);
+            cluster.after(cluster.randomBetween(0, 800), controller::start);
         }
         for (int i = 0; i < 4; i++) {
             String type = i % 2 == 0 ? "small" : "large";
             String zone = i < 2 ? "east" : "west";
             SimWorker worker = cluster.cloud.create(type, zone, i % 2 == 0);
-            cluster.after(cluster.between(0, 500), worker::boot);
+            cluster.after(cluster.randomBetween(0, 500), worker::boot);
         }
     }
 
     /** Controllers that end before their turn come back as they were. */
     private static void scheduleUpgrade(SimCluster cluster, RandomWorkload workload) {
-        long at = cluster.between(40_000, 70_000);
+        long at = cluster.randomBetween(40_000, 70_000);
         for (SimController controller : cluster.controllers.values()) {
-            cluster.after(at, () -> controller.upgrade(cluster.between(100, 6000)));
-            at += cluster.between(0, 9000);
+            cluster.after(at, () -> controller.upgrade(cluster.randomBetween(100, 6000)));
+            at += cluster.randomBetween(0, 9000);
         }
         cluster.after(at, () -> workload.dependencyRate = DEPENDENCY_RATE);
-        cluster.after(at + cluster.between(0, 30_000), cluster.store.limits::shrink);
+        cluster.after(at + cluster.randomBetween(0, 30_000), cluster.store.limits::shrink);
     }
 
     private static void endFaults(SimCluster cluster) {
@@ -120,7 +120,7 @@
     void randomFaultsBreakNoInvariantAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
             long seed = FIRST_SEED + (long) group * RUNS_PER_GROUP + i;
-            SimCluster cluster = run(seed, controllers, SimCluster.DisabledGuard.NONE);
+            SimCluster cluster = run(seed, controllers, SimCluster.DisabledCheck.NONE);
             int accepted = cluster.users.accepted().size();
             assertTrue(
                     cluster.checker.taskStarts > 50,
@@ -135,7 +135,7 @@
     void randomFaultsDuringRollingUpgradeBreakNoInvariantAndEveryJobEnds(int group, int controllers) {
         for (int i = 0; i < RUNS_PER_GROUP; i++) {
             long seed = FIRST_UPGRADE_SEED + (long) group * RUNS_PER_GROUP + i;
-            SimCluster cluster = run(seed, controllers, SimCluster.DisabledGuard.NONE, true);
+            SimCluster cluster = run(seed, controllers, SimCluster.DisabledCheck.NONE, true);
             assertTrue(
                     cluster.checker.taskStarts > 50,
                     "seed " + seed + ": only " + cluster.checker.taskStarts + " starts");
@@ -146,23 +146,23 @@
     /** The checker is worth something only if it sees an invariant broken once its guard is gone. */
     @ParameterizedTest
     @EnumSource(
-            value = SimCluster.DisabledGuard.class,
-            names = {"TEAM_GUARD", "SLICE_GUARD", "JOB_GUARD", "WORKER_TOKEN"})
-    void invariantCheckerFailsRunWithoutGuard(SimCluster.DisabledGuard disabledGuard) {
-        for (long seed = FIRST_GUARD_SEED; seed <= LAST_GUARD_SEED; seed++) {
+            value = SimCluster.DisabledCheck.class,
+            names = {"TEAM_PRECONDITION", "SLICE_PRECONDITION", "JOB_PRECONDITION", "FENCING_TOKEN"})
+    void invariantCheckerFailsRunWithDisabledCheck(SimCluster.DisabledCheck disabledCheck) {
+        for (long seed = FIRST_DISABLED_CHECK_SEED; seed <= LAST_DISABLED_CHECK_SEED; seed++) {
             try {
-                run(seed, 3, disabledGuard);
+                run(seed, 3, disabledCheck);
             } catch (InvariantChecker.Violation e) {
                 return;
             }
         }
-        throw new AssertionError("300 runs without " + disabledGuard + " broke no invariant");
+        throw new AssertionError("300 runs without " + disabledCheck + " broke no invariant");
     }
 
     @Test
     void sameSeedGivesSameRun() {
-        SimCluster one = run(77, 3, SimCluster.DisabledGuard.NONE);
-        SimCluster two = run(77, 3, SimCluster.DisabledGuard.NONE);
+        SimCluster one = run(77, 3, SimCluster.DisabledCheck.NONE);
+        SimCluster two = run(77, 3, SimCluster.DisabledCheck.NONE);
         assertEquals(one.checker.taskStarts, two.checker.taskStarts);
         assertEquals(one.users.accepted(), two.users.accepted());
     }
--- a/src/test/java/dewlane/sim/RandomWorkload.java
+++ b/src/test/java/dewlane/sim/RandomWorkload.java
@@ -28,7 +28,7 @@
         Job job = randomJob(id);
         cluster.users.submit(cluster.chance(dependencyRate) ? job.withDependencies(someAccepted()) : job);
         if (cluster.chance(0.25)) {
-            cluster.after(cluster.between(50, 25_000), () -> cluster.users.cancel(id));
+            cluster.after(cluster.randomBetween(50, 25_000), () -> cluster.users.cancel(id));
         }
     }
 
@@ -38,16 +38,16 @@
         return JobBuilder.job(id)
                 .team(team)
                 .priority(Priority.values()[cluster.random.nextInt(4)])
-                .tasks(cluster.between(1, 14))
-                .cpus(cluster.between(1, 2))
-                .memoryGb(cluster.between(1, 5))
+                .tasks(cluster.randomBetween(1, 14))
+                .cpus(cluster.randomBetween(1, 2))
+                .memoryGb(cluster.randomBetween(1, 5))
                 .image("image-" + cluster.random.nextInt(3))
                 .types(cluster.chance(0.2) ? List.of("large") : List.of())
                 .zone(cluster.chance(0.2) ? "east" : null)
                 .sameZone(oneZone)
                 .spreadZones(!oneZone && cluster.chance(0.15))
                 .spotAllowed(cluster.chance(0.7))
-                .expectedRunS(cluster.between(1, 12))
+                .expectedRunS(cluster.randomBetween(1, 12))
                 .checkpointIntervalS(cluster.chance(0.5) ? 5 : 0)
                 .checkpointDurationS(cluster.chance(0.5) ? 2 : 0)
                 .deadlineS(cluster.chance(dependencyRate) ? 60 : 0)
@@ -58,9 +58,9 @@
     private List<String> someAccepted() {
         List<String> accepted = cluster.users.accepted();
         Set<String> chosen = new LinkedHashSet<>();
-        for (int n = cluster.between(1, 4); n > 0 && !accepted.isEmpty(); n--) {
+        for (int n = cluster.randomBetween(1, 4); n > 0 && !accepted.isEmpty(); n--) {
             int from = cluster.chance(0.7) ? Math.max(0, accepted.size() - LATEST_JOBS) : 0;
-            chosen.add(accepted.get(cluster.between(from, accepted.size() - 1)));
+            chosen.add(accepted.get(cluster.randomBetween(from, accepted.size() - 1)));
         }
         return List.copyOf(chosen);
     }
@@ -112,7 +112,7 @@
         cluster.users.accepted().stream()
                 .filter(id -> cluster.checker.lastReportedCondition(id) == JobCondition.DONE)
                 .findAny()
-                .ifPresent(id -> controller.abort(id, answer -> {
+                .ifPresent(id -> controller.cancel(id, answer -> {
                     expectStatus(answer, 200, "cancelling what is done");
                     cluster.users.onAnswer(id, answer);
                 }));
@@ -120,7 +120,7 @@
 
     private void expectStatus(Effect.AnswerUser answer, int status, String request) {
         if (answer.status() != status && answer.status() != 503) {
-            cluster.checker.violated("accepted_odd", request + " was answered " + answer);
+            cluster.checker.fail("accepted_odd", request + " was answered " + answer);
         }
     }
 }
--- a/src/test/java/dewlane/sim/RollingUpgradeTest.java
+++ b/src/test/java/dewlane/sim/RollingUpgradeTest.java
@@ -30,7 +30,7 @@
 
     /** Three controllers of version 0.1, with machines that have settled. */
     private static SimCluster version01Cluster(long seed, int machines, StoreLimits.Limits nextLimits) {
-        SimSettings settings = new SimSettings().storeLimits(new StoreLimits(SimSettings.USUAL_LIMITS, nextLimits));
+        SimSettings settings = new SimSettings().storeLimits(new StoreLimits(SimSettings.DEFAULT_LIMITS, nextLimits));
         SimCluster cluster = SimCluster.withReliableLinks(seed, settings.build());
         cluster.cloud.capacity = machines;
         cluster.startControllers(true);
@@ -40,7 +40,7 @@
     }
 
     private static SimCluster version01Cluster(long seed, int machines) {
-        return version01Cluster(seed, machines, SimSettings.USUAL_LIMITS);
+        return version01Cluster(seed, machines, SimSettings.DEFAULT_LIMITS);
     }
 
     private static StoreLimits.Limits limits(int valueBytes, int txnOps) {
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -14,8 +14,8 @@
 final class SimCloud {
     private static final long REQUEST_TIMEOUT_MS = 5000;
     private static final long LIST_INTERVAL_MS = 1500;
-    private static final int SHORTEST_LIST_LAG_MS = 1000;
-    private static final int LONGEST_LIST_LAG_MS = 4000;
+    private static final int MIN_LIST_LAG_MS = 1000;
+    private static final int MAX_LIST_LAG_MS = 4000;
     /** Chance that a rented machine never comes up. */
     private static final double BOOT_FAILURE_RATE = 0.1;
 
@@ -25,7 +25,7 @@
             new MachineType("small", 4, 0, 16, 20, 1, 0.2, 0.06, 4, List.of("east", "west")),
             new MachineType("large", 8, 0, 32, 20, 1, 0.4, 0.1, 6, List.of("east", "west")));
     /** The machines of each rental request that was granted, so that a repeat of it rents no others. */
-    private final Map<String, List<String>> grantedRequests = new HashMap<>();
+    private final Map<String, List<String>> completedRequests = new HashMap<>();
 
     private List<CloudInstance> listed = List.of();
     private int nextName = 1;
@@ -33,16 +33,16 @@
     /** Machines that may be rented at once. */
     int capacity = 12;
     /** How long a machine takes to come up. */
-    int fastestBootMs = 2000;
+    int minBootMs = 2000;
 
-    int slowestBootMs = 9000;
+    int maxBootMs = 9000;
 
     SimCloud(SimCluster cluster) {
         this.cluster = cluster;
         cluster.every(LIST_INTERVAL_MS, () -> {
             List<CloudInstance> present =
-                    machines.values().stream().map(SimWorker::listed).toList();
-            cluster.after(cluster.between(SHORTEST_LIST_LAG_MS, LONGEST_LIST_LAG_MS), () -> listed = present);
+                    machines.values().stream().map(SimWorker::toCloudInstance).toList();
+            cluster.after(cluster.randomBetween(MIN_LIST_LAG_MS, MAX_LIST_LAG_MS), () -> listed = present);
         });
     }
 
@@ -60,38 +60,38 @@
                 .orElseThrow();
     }
 
-    void catalog(SimController controller) {
+    void listMachineTypes(SimController controller) {
         if (!unavailable) {
             controller.request(
                     () -> true, () -> new Input.MachineTypesListed(types), new Input.Tick(), REQUEST_TIMEOUT_MS);
         }
     }
 
-    void list(SimController controller) {
+    void listInstances(SimController controller) {
         if (!unavailable) {
             controller.request(
                     () -> true, () -> new Input.InstancesListed(listed), new Input.Tick(), REQUEST_TIMEOUT_MS);
         }
     }
 
-    void rent(SimController controller, Effect.CreateInstances request) {
+    void createInstances(SimController controller, Effect.CreateInstances request) {
         Input unknown = new Input.InstancesCreated(request.requestId(), Input.CreateStatus.UNKNOWN, List.of());
-        controller.request(() -> true, () -> unavailable ? unknown : grant(request), unknown, REQUEST_TIMEOUT_MS);
+        controller.request(() -> true, () -> unavailable ? unknown : createOnce(request), unknown, REQUEST_TIMEOUT_MS);
     }
 
-    private Input grant(Effect.CreateInstances request) {
-        List<String> names = grantedRequests.get(request.requestId());
+    private Input createOnce(Effect.CreateInstances request) {
+        List<String> names = completedRequests.get(request.requestId());
         if (names == null) {
-            names = rentUpToCapacity(request);
+            names = createUpToCapacity(request);
             if (names.isEmpty()) {
                 return new Input.InstancesCreated(request.requestId(), Input.CreateStatus.NO_CAPACITY, List.of());
             }
-            grantedRequests.put(request.requestId(), names);
+            completedRequests.put(request.requestId(), names);
         }
         return new Input.InstancesCreated(request.requestId(), Input.CreateStatus.CREATED, names);
     }
 
-    private List<String> rentUpToCapacity(Effect.CreateInstances request) {
+    private List<String> createUpToCapacity(Effect.CreateInstances request) {
         List<String> names = new ArrayList<>();
         long present =
                 machines.values().stream().filter(worker -> !worker.terminated).count();
@@ -99,13 +99,13 @@
             SimWorker worker = create(request.type(), request.zone(), request.spot());
             names.add(worker.name);
             if (!cluster.chance(BOOT_FAILURE_RATE)) {
-                cluster.after(cluster.between(fastestBootMs, slowestBootMs), worker::boot);
+                cluster.after(cluster.randomBetween(minBootMs, maxBootMs), worker::boot);
             }
         }
         return names;
     }
 
-    void delete(SimController controller, List<String> names) {
+    void deleteInstances(SimController controller, List<String> names) {
         controller.request(
                 () -> true,
                 () -> {
--- a/src/test/java/dewlane/sim/SimCluster.java
+++ b/src/test/java/dewlane/sim/SimCluster.java
@@ -16,23 +16,23 @@
  */
 final class SimCluster {
     /** Guards that a test removes to show that the checker sees what they guard against. */
-    enum DisabledGuard {
+    enum DisabledCheck {
         NONE,
-        TEAM_GUARD,
-        SLICE_GUARD,
-        JOB_GUARD,
-        WORKER_TOKEN
+        TEAM_PRECONDITION,
+        SLICE_PRECONDITION,
+        JOB_PRECONDITION,
+        FENCING_TOKEN
     }
 
     private record Event(long at, long order, Runnable action) {}
 
-    static final double USUAL_MESSAGE_FAULT_RATE = 0.02;
-    private static final int SHORTEST_MESSAGE_DELAY_MS = 2000;
-    private static final int LONGEST_MESSAGE_DELAY_MS = 90_000;
+    static final double DEFAULT_MESSAGE_FAULT_RATE = 0.02;
+    private static final int MIN_MESSAGE_DELAY_MS = 2000;
+    private static final int MAX_MESSAGE_DELAY_MS = 90_000;
     private static final int TRACE_LINES_IN_DESCRIPTION = 40;
 
     final long seed;
-    final DisabledGuard disabledGuard;
+    final DisabledCheck disabledCheck;
     final SplittableRandom random;
     final Settings settings;
     final InvariantChecker checker;
@@ -47,13 +47,13 @@
     private long order;
     private long now;
     /** Chance that a message is lost or late; 0 once the faults are over. */
-    double messageFaultRate = USUAL_MESSAGE_FAULT_RATE;
+    double messageFaultRate = DEFAULT_MESSAGE_FAULT_RATE;
     /** How long a message takes at most beyond the usual. */
     int extraLinkLatencyMs;
 
-    SimCluster(long seed, Settings settings, DisabledGuard disabledGuard) {
+    SimCluster(long seed, Settings settings, DisabledCheck disabledCheck) {
         this.seed = seed;
-        this.disabledGuard = disabledGuard;
+        this.disabledCheck = disabledCheck;
         this.random = new SplittableRandom(seed);
         this.settings = settings;
         this.checker = new InvariantChecker(this);
@@ -65,7 +65,7 @@
 
     /** A cluster in which no message is lost or late. */
     static SimCluster withReliableLinks(long seed, Settings settings) {
-        SimCluster cluster = new SimCluster(seed, settings, DisabledGuard.NONE);
+        SimCluster cluster = new SimCluster(seed, settings, DisabledCheck.NONE);
         cluster.messageFaultRate = 0;
         return cluster;
     }
@@ -140,21 +140,21 @@
         return random.nextDouble() < probability;
     }
 
-    int between(int low, int high) {
+    int randomBetween(int low, int high) {
         return low + random.nextInt(high - low + 1);
     }
 
     /** A random latency of at most so long, or none. */
-    int latency(int longestMs) {
-        return longestMs == 0 ? 0 : between(longestMs / 3, longestMs);
+    int randomLatency(int longestMs) {
+        return longestMs == 0 ? 0 : randomBetween(longestMs / 3, longestMs);
     }
 
     /** One way of a message: quick mostly, and with faults lost or minutes late. */
     void deliver(Runnable action) {
         if (!chance(messageFaultRate)) {
-            after(between(1, 8) + latency(extraLinkLatencyMs), action);
+            after(randomBetween(1, 8) + randomLatency(extraLinkLatencyMs), action);
         } else if (chance(0.5)) {
-            after(between(SHORTEST_MESSAGE_DELAY_MS, LONGEST_MESSAGE_DELAY_MS), action);
+            after(randomBetween(MIN_MESSAGE_DELAY_MS, MAX_MESSAGE_DELAY_MS), action);
         }
     }
 
--- a/src/test/java/dewlane/sim/SimCommandNetwork.java
+++ b/src/test/java/dewlane/sim/SimCommandNetwork.java
@@ -9,8 +9,8 @@
 /** The way of direct commands from controllers to workers, on which a share of them may be delayed. */
 final class SimCommandNetwork {
     private static final long REPLY_TIMEOUT_MS = 2500;
-    private static final int SHORTEST_DELAY_MS = 2000;
-    private static final int LONGEST_DELAY_MS = 16_000;
+    private static final int MIN_DELAY_MS = 2000;
+    private static final int MAX_DELAY_MS = 16_000;
 
     private final SimCluster cluster;
     private final List<Effect.SendCommands> inFlight = new ArrayList<>();
@@ -19,7 +19,7 @@
     /** Commands that were delayed so far, and those of them that came after their sender had ended. */
     int delayed;
 
-    int delayedPastSender;
+    int deliveredAfterSenderEnded;
 
     SimCommandNetwork(SimCluster cluster) {
         this.cluster = cluster;
@@ -42,9 +42,9 @@
             return;
         }
         int incarnation = sender.incarnation;
-        FirstOf replyOrTimeout = new FirstOf();
+        RunOnce replyOrTimeout = new RunOnce();
         cluster.after(REPLY_TIMEOUT_MS, () -> replyOrTimeout.run(() -> sender.receive(incarnation, timeout)));
-        if (sender.cutFromWorkers) {
+        if (sender.disconnectedFromWorkers) {
             return;
         }
         if (delayRate > 0 && cluster.chance(delayRate)) {
@@ -59,19 +59,19 @@
         long sentAt = cluster.now();
         delayed++;
         inFlight.add(command);
-        cluster.after(cluster.between(SHORTEST_DELAY_MS, LONGEST_DELAY_MS), () -> {
+        cluster.after(cluster.randomBetween(MIN_DELAY_MS, MAX_DELAY_MS), () -> {
             inFlight.remove(command);
-            delayedPastSender += sender.incarnation == incarnation ? 0 : 1;
+            deliveredAfterSenderEnded += sender.incarnation == incarnation ? 0 : 1;
             worker.deliverCommand(sender.name, () -> worker.execute(command, sentAt), () -> {});
         });
     }
 
     private void sendInTime(
-            SimController sender, SimWorker worker, Effect.SendCommands command, FirstOf replyOrTimeout) {
+            SimController sender, SimWorker worker, Effect.SendCommands command, RunOnce replyOrTimeout) {
         int incarnation = sender.incarnation;
         long sentAt = cluster.now();
         Runnable reply = () -> cluster.deliver(() -> {
-            if (!sender.cutFromWorkers) {
+            if (!sender.disconnectedFromWorkers) {
                 replyOrTimeout.run(() -> sender.receive(
                         incarnation,
                         new Input.CommandCompleted(
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -37,13 +37,13 @@
     /** Runs under version 0.1's view of what is stored; its logic is the present one. */
     boolean runsVersion01;
 
-    boolean cutFromStore;
-    boolean cutFromWorkers;
-    boolean cutFromPeers;
+    boolean disconnectedFromStore;
+    boolean disconnectedFromWorkers;
+    boolean disconnectedFromPeers;
     private Controller core;
-    private final EffectPerformer performer;
+    private final EffectExecutor effectExecutor;
     private final Deque<Effect> effects = new ArrayDeque<>();
-    private boolean performingEffects;
+    private boolean executingEffects;
     private long nextRequestId = 1;
     private long frozenUntil;
     /** What came while the process stood still; it finds all of it at once. */
@@ -52,13 +52,13 @@
     SimController(SimCluster cluster, String name) {
         this.cluster = cluster;
         this.name = name;
-        this.performer = new EffectPerformer(this);
+        this.effectExecutor = new EffectExecutor(this);
     }
 
     void start() {
         incarnation++;
         alive = true;
-        performer.reset();
+        effectExecutor.reset();
         effects.clear();
         inputsWhileFrozen.clear();
         frozenUntil = 0;
@@ -121,13 +121,13 @@
 
     /** Loses the store and its peers, while workers and users still reach it. */
     void isolate() {
-        cutFromStore = true;
-        cutFromPeers = true;
+        disconnectedFromStore = true;
+        disconnectedFromPeers = true;
     }
 
     void endIsolation() {
-        cutFromStore = false;
-        cutFromPeers = false;
+        disconnectedFromStore = false;
+        disconnectedFromPeers = false;
     }
 
     /** How many jobs a pass looked at on average. */
@@ -136,7 +136,7 @@
     }
 
     boolean storeReachable() {
-        return !cutFromStore;
+        return !disconnectedFromStore;
     }
 
     /** Has the core handle an input, unless the incarnation it is meant for is over, and performs what comes of it. */
@@ -148,16 +148,16 @@
             inputsWhileFrozen.add(input);
             return;
         }
-        Input read = runsVersion01 ? Version01View.read(input) : input;
+        Input read = runsVersion01 ? Version01Schema.read(input) : input;
         effects.addAll(core.handle(cluster.now(), WALL_CLOCK_OFFSET_MS + cluster.now(), read));
-        if (performingEffects) {
+        if (executingEffects) {
             return;
         }
-        performingEffects = true;
+        executingEffects = true;
         while (!effects.isEmpty()) {
-            performer.perform(effects.poll());
+            effectExecutor.execute(effects.poll());
         }
-        performingEffects = false;
+        executingEffects = false;
     }
 
     /** A request and its reply; if either is lost, {@code onTimeout} is received once the time is up. */
@@ -173,14 +173,14 @@
     private void request(
             BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs, int extraLatencyMs) {
         int sender = incarnation;
-        FirstOf replyOrTimeout = new FirstOf();
+        RunOnce replyOrTimeout = new RunOnce();
         cluster.after(timeoutMs, () -> replyOrTimeout.run(() -> receive(sender, onTimeout)));
         if (!reachable.getAsBoolean()) {
             return;
         }
         cluster.deliver(() -> {
             Input reply = service.get();
-            cluster.after(cluster.latency(extraLatencyMs), () -> {
+            cluster.after(cluster.randomLatency(extraLatencyMs), () -> {
                 if (reachable.getAsBoolean()) {
                     cluster.deliver(() -> replyOrTimeout.run(() -> receive(sender, reply)));
                 }
@@ -189,30 +189,30 @@
     }
 
     void submit(Job job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.SubmitJob(id, job.id(), job, null), onReply);
+        sendUserRequest(id -> new Input.SubmitJob(id, job.id(), job, null), onReply);
     }
 
     void submitMalformed(String job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.SubmitJob(id, job, null, "a field is missing"), onReply);
+        sendUserRequest(id -> new Input.SubmitJob(id, job, null, "a field is missing"), onReply);
     }
 
     void poll(String job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.GetJobStatus(id, job), onReply);
+        sendUserRequest(id -> new Input.GetJobStatus(id, job), onReply);
     }
 
-    void abort(String job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.CancelJob(id, job), onReply);
+    void cancel(String job, Consumer<Effect.AnswerUser> onReply) {
+        sendUserRequest(id -> new Input.CancelJob(id, job), onReply);
     }
 
-    private void ask(LongFunction<Input> input, Consumer<Effect.AnswerUser> onReply) {
+    private void sendUserRequest(LongFunction<Input> input, Consumer<Effect.AnswerUser> onReply) {
         long id = nextRequestId++;
-        performer.onUserReply(id, onReply);
+        effectExecutor.expectUserReply(id, onReply);
         receive(incarnation, input.apply(id));
     }
 
-    void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatReply> onReply) {
+    void receiveHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatReply> onReply) {
         long id = nextRequestId++;
-        performer.onHeartbeatReply(id, onReply);
+        effectExecutor.expectHeartbeatReply(id, onReply);
         receive(incarnation, new Input.HeartbeatReceived(id, heartbeat));
     }
 
@@ -221,7 +221,7 @@
         pages.forEach(this::checkPageSize);
         for (SimController peer : cluster.controllers.values()) {
             int recipient = peer.incarnation;
-            if (peer != this && !cutFromPeers && !peer.cutFromPeers) {
+            if (peer != this && !disconnectedFromPeers && !peer.disconnectedFromPeers) {
                 pages.forEach(
                         page -> cluster.deliver(() -> peer.receive(recipient, new Input.PeerStatusReceived(page))));
             }
--- a/src/test/java/dewlane/sim/SimHeartbeats.java
+++ b/src/test/java/dewlane/sim/SimHeartbeats.java
@@ -7,13 +7,13 @@
 
 /** The heartbeats of a worker: to which controller and when they go, and what becomes of them on their way. */
 final class SimHeartbeats {
-    /** Chance that a copy of a heartbeat comes late, to any controller, while messages have faults. */
-    private static final double COPY_RATE = 0.02;
+    /** Chance that a duplicate of a heartbeat comes late, to any controller, while messages have faults. */
+    private static final double DUPLICATE_RATE = 0.02;
 
     private static final long REPLY_TIMEOUT_MS = 4000;
     private static final long RETRY_MS = 1000;
-    private static final long LONGEST_MS_AFTER_CHANGE = 500;
-    private static final int LONGEST_MS_AFTER_REDIRECT = 500;
+    private static final long MAX_DELAY_AFTER_CHANGE_MS = 500;
+    private static final int MAX_DELAY_AFTER_REDIRECT_MS = 500;
 
     private final SimWorker worker;
     private final SimCluster cluster;
@@ -34,13 +34,13 @@
         return target;
     }
 
-    void forgetTarget() {
+    void clearTarget() {
         target = null;
     }
 
     /** Something changed on the worker that its controller should know soon. */
-    void hasten() {
-        nextAt = Math.min(nextAt, cluster.now() + LONGEST_MS_AFTER_CHANGE);
+    void sendSoon() {
+        nextAt = Math.min(nextAt, cluster.now() + MAX_DELAY_AFTER_CHANGE_MS);
     }
 
     Heartbeat next(long incarnation, long fencingToken) {
@@ -69,7 +69,7 @@
     }
 
     private void send() {
-        nextAt = cluster.now() + (long) (cluster.settings.heartbeatIntervalS() * cluster.between(750, 1250));
+        nextAt = cluster.now() + (long) (cluster.settings.heartbeatIntervalS() * cluster.randomBetween(750, 1250));
         if (target == null) {
             target = cluster.randomController().name;
         }
@@ -77,7 +77,7 @@
         Heartbeat heartbeat = worker.nextHeartbeat();
         long sentAt = cluster.now();
         long incarnation = worker.incarnation();
-        FirstOf replyOrTimeout = new FirstOf();
+        RunOnce replyOrTimeout = new RunOnce();
         awaitsReply = true;
         cluster.after(
                 REPLY_TIMEOUT_MS,
@@ -88,7 +88,7 @@
         transmit(heartbeat, controller, reply -> {
             long repliedAt = cluster.now();
             cluster.deliver(() -> {
-                if (worker.hearsReplyOf(controller)) {
+                if (worker.receivesReplyFrom(controller)) {
                     replyOrTimeout.run(() -> {
                         awaitsReply = false;
                         handle(reply, incarnation, sentAt, repliedAt);
@@ -103,7 +103,7 @@
                 && reply.redirectTo() != null
                 && !reply.redirectTo().equals(target)) {
             target = reply.redirectTo();
-            nextAt = cluster.now() + cluster.between(0, LONGEST_MS_AFTER_REDIRECT);
+            nextAt = cluster.now() + cluster.randomBetween(0, MAX_DELAY_AFTER_REDIRECT_MS);
         } else if (reply.isAccepted()) {
             worker.execute(reply, incarnation, sentAt, repliedAt);
         } else {
@@ -118,7 +118,7 @@
         nextAt = cluster.now() + RETRY_MS;
     }
 
-    /** A heartbeat goes its way to a controller, if it gets there, and sometimes a copy comes late. */
+    /** A heartbeat goes its way to a controller, if it gets there, and sometimes a duplicate comes late. */
     private void transmit(Heartbeat heartbeat, SimController to, Consumer<HeartbeatReply> onReply) {
         if (withheld != null) {
             withheld.add(heartbeat);
@@ -127,13 +127,15 @@
         if (!reaches(to)) {
             return;
         }
-        if (cluster.messageFaultRate > 0 && cluster.chance(COPY_RATE)) {
-            deliverCopy(
-                    heartbeat, cluster.chance(0.5) ? to : cluster.randomController(), cluster.between(1000, 90_000));
+        if (cluster.messageFaultRate > 0 && cluster.chance(DUPLICATE_RATE)) {
+            deliverDuplicate(
+                    heartbeat,
+                    cluster.chance(0.5) ? to : cluster.randomController(),
+                    cluster.randomBetween(1000, 90_000));
         }
         cluster.deliver(() -> {
             if (to.alive) {
-                to.heartbeat(heartbeat, onReply);
+                to.receiveHeartbeat(heartbeat, onReply);
             }
         });
     }
@@ -141,7 +143,7 @@
     private boolean reaches(SimController controller) {
         return !worker.disconnected
                 && !worker.outboundBlocked
-                && !controller.cutFromWorkers
+                && !controller.disconnectedFromWorkers
                 && !worker.blockedControllers.contains(controller.name)
                 && controller.alive;
     }
@@ -155,15 +157,15 @@
     int release(SimController to) {
         List<Heartbeat> late = withheld;
         withheld = null;
-        late.forEach(heartbeat -> deliverCopy(heartbeat, to, 1));
+        late.forEach(heartbeat -> deliverDuplicate(heartbeat, to, 1));
         return late.size();
     }
 
-    /** A copy of a heartbeat that comes late; its reply reaches nobody. */
-    void deliverCopy(Heartbeat copy, SimController to, long afterMs) {
+    /** A duplicate of a heartbeat that comes late; its reply reaches nobody. */
+    void deliverDuplicate(Heartbeat duplicate, SimController to, long afterMs) {
         cluster.after(afterMs, () -> {
             if (to.alive) {
-                to.heartbeat(copy, reply -> {});
+                to.receiveHeartbeat(duplicate, reply -> {});
             }
         });
     }
--- a/src/test/java/dewlane/sim/SimLeases.java
+++ b/src/test/java/dewlane/sim/SimLeases.java
@@ -7,7 +7,7 @@
 /** The leases of the store, each with the time at which it ends unless it is renewed. */
 final class SimLeases {
     private final SimCluster cluster;
-    private final Map<Long, Long> endsAt = new HashMap<>();
+    private final Map<Long, Long> expiresAt = new HashMap<>();
     private long nextLease = 1;
 
     SimLeases(SimCluster cluster) {
@@ -16,30 +16,30 @@
 
     long grant(long ttlMs) {
         long lease = nextLease++;
-        endsAt.put(lease, cluster.now() + ttlMs);
+        expiresAt.put(lease, cluster.now() + ttlMs);
         return lease;
     }
 
     /** False if the lease has ended. */
     boolean renew(long lease, long ttlMs) {
-        return endsAt.computeIfPresent(lease, (id, end) -> cluster.now() + ttlMs) != null;
+        return expiresAt.computeIfPresent(lease, (id, end) -> cluster.now() + ttlMs) != null;
     }
 
-    boolean holds(long lease) {
-        return endsAt.containsKey(lease);
+    boolean isValid(long lease) {
+        return expiresAt.containsKey(lease);
     }
 
     void extendAll(long ms) {
-        endsAt.replaceAll((lease, end) -> end + ms);
+        expiresAt.replaceAll((lease, end) -> end + ms);
     }
 
     /** Removes the leases that are over, and returns them. */
     List<Long> removeExpired() {
-        List<Long> expired = endsAt.entrySet().stream()
+        List<Long> expired = expiresAt.entrySet().stream()
                 .filter(entry -> entry.getValue() < cluster.now())
                 .map(Map.Entry::getKey)
                 .toList();
-        expired.forEach(endsAt::remove);
+        expired.forEach(expiresAt::remove);
         return expired;
     }
 }
--- a/src/test/java/dewlane/sim/SimSettings.java
+++ b/src/test/java/dewlane/sim/SimSettings.java
@@ -9,24 +9,24 @@
 
 /** Builds the settings of a simulated cluster. What a test does not name is as in the usual small cluster. */
 final class SimSettings {
-    static final StoreLimits.Limits USUAL_LIMITS = new StoreLimits.Limits(150, 60, 16_384, 16);
-    static final Settings.TeamQuota WITHOUT_QUOTA = new Settings.TeamQuota("blue", 0, 0, 0, 0);
+    static final StoreLimits.Limits DEFAULT_LIMITS = new StoreLimits.Limits(150, 60, 16_384, 16);
+    static final Settings.TeamQuota TEAM_WITHOUT_LIMIT = new Settings.TeamQuota("blue", 0, 0, 0, 0);
 
     private static final long MEMBER_TTL_MS = 3000;
-    private static final double BOOT_PATIENCE = 4;
+    private static final double BOOT_TIMEOUT_FACTOR = 4;
 
     private int controllers = 3;
-    private List<Settings.TeamQuota> teams = List.of(WITHOUT_QUOTA);
+    private List<Settings.TeamQuota> teams = List.of(TEAM_WITHOUT_LIMIT);
     private List<Settings.ServiceLevelObjective> objectives = List.of();
-    private double heartbeatS = 3;
+    private double heartbeatIntervalS = 3;
     private double leaseS = 30;
-    private double cancelS = 60;
-    private StoreLimits limits = new StoreLimits(USUAL_LIMITS, USUAL_LIMITS);
+    private double cancellationDeadlineS = 60;
+    private StoreLimits limits = new StoreLimits(DEFAULT_LIMITS, DEFAULT_LIMITS);
     private double cloudRequestsPerS = 10;
     private double listLagS = 3;
-    private double silentS = 12;
-    private double idleS = 300;
-    private double sharedCpus = 256;
+    private double machineTimeoutS = 12;
+    private double scaleInIdleS = 300;
+    private double minPartitionedShareCpus = 256;
 
     /** The number of controllers. */
     SimSettings controllers(int value) {
@@ -48,9 +48,9 @@
 
     /** How often workers report, how long their leases last and how long a cancellation may take. */
     SimSettings workerTimes(double heartbeat, double lease, double cancel) {
-        heartbeatS = heartbeat;
+        heartbeatIntervalS = heartbeat;
         leaseS = lease;
-        cancelS = cancel;
+        cancellationDeadlineS = cancel;
         return this;
     }
 
@@ -68,20 +68,20 @@
     }
 
     /** Silence after which a machine is deleted. */
-    SimSettings silentS(double value) {
-        silentS = value;
+    SimSettings machineTimeoutS(double value) {
+        machineTimeoutS = value;
         return this;
     }
 
     /** How long a machine must be idle before it is returned. */
-    SimSettings idleS(double value) {
-        idleS = value;
+    SimSettings scaleInIdleS(double value) {
+        scaleInIdleS = value;
         return this;
     }
 
     /** A quota of at least so many CPUs a controller is divided among them; a smaller one is lent launch by launch. */
-    SimSettings sharedCpus(double value) {
-        sharedCpus = value;
+    SimSettings minPartitionedShareCpus(double value) {
+        minPartitionedShareCpus = value;
         return this;
     }
 
@@ -94,13 +94,14 @@
                 teamsByName,
                 objectives,
                 List.of("east", "west"),
-                heartbeatS,
+                heartbeatIntervalS,
                 leaseS,
-                cancelS,
+                cancellationDeadlineS,
                 limits,
                 cloudRequestsPerS,
                 listLagS,
-                new Settings.Tuning(MEMBER_TTL_MS, silentS, idleS, BOOT_PATIENCE, sharedCpus));
+                new Settings.Tuning(
+                        MEMBER_TTL_MS, machineTimeoutS, scaleInIdleS, BOOT_TIMEOUT_FACTOR, minPartitionedShareCpus));
     }
 
     private static List<String> names(int count) {
--- a/src/test/java/dewlane/sim/SimStore.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -23,9 +23,9 @@
     private static final long LIST_TIMEOUT_MS = 3000;
     private static final long REQUEST_TIMEOUT_MS = 1500;
     private static final long RENEWAL_TIMEOUT_MS = 1000;
-    private static final long LEASE_CHECK_MS = 50;
-    private static final int SHORTEST_WRITE_DELAY_MS = 2000;
-    private static final int LONGEST_WRITE_DELAY_MS = 12_000;
+    private static final long LEASE_CHECK_INTERVAL_MS = 50;
+    private static final int MIN_WRITE_DELAY_MS = 2000;
+    private static final int MAX_WRITE_DELAY_MS = 12_000;
 
     private final SimCluster cluster;
     private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
@@ -61,7 +61,7 @@
         this.limits = new SimStoreLimits(cluster);
         this.leases = new SimLeases(cluster);
         this.watches = new SimWatches(cluster, this);
-        cluster.every(LEASE_CHECK_MS, this::expireLeases);
+        cluster.every(LEASE_CHECK_INTERVAL_MS, this::expireLeases);
     }
 
     StoredValue get(String key) {
@@ -166,7 +166,7 @@
     void commit(SimController controller, long id, Transaction transaction) {
         limits.check(controller, transaction);
         if (delayedWriteRate > 0 && cluster.chance(delayedWriteRate) && controller.storeReachable()) {
-            commitLate(id, transaction);
+            commitDelayed(id, transaction);
             receiveUnknownResult(controller, id);
         } else if (lostReplyRate > 0 && cluster.chance(lostReplyRate) && controller.storeReachable()) {
             commitWithoutReply(controller, id, transaction);
@@ -181,8 +181,8 @@
         }
     }
 
-    private void commitLate(long id, Transaction transaction) {
-        cluster.after(cluster.between(SHORTEST_WRITE_DELAY_MS, LONGEST_WRITE_DELAY_MS), () -> {
+    private void commitDelayed(long id, Transaction transaction) {
+        cluster.after(cluster.randomBetween(MIN_WRITE_DELAY_MS, MAX_WRITE_DELAY_MS), () -> {
             if (!unavailable) {
                 delayedWrites++;
                 delayedWritesCommitted += isCommitted(apply(id, transaction)) ? 1 : 0;
@@ -210,13 +210,13 @@
     }
 
     private Input.TransactionCompleted apply(long id, Transaction transaction) {
-        if (!writeBucket.take(transaction.writes().size(), limits.now().writesPerS(), cluster.now())) {
+        if (!writeBucket.take(transaction.writes().size(), limits.current().writesPerS(), cluster.now())) {
             return new Input.TransactionCompleted(id, Transaction.Status.RATE_LIMITED, 0);
         }
-        if (limits.exceededBy(transaction) || namesEndedLease(transaction)) {
+        if (limits.exceededBy(transaction) || usesExpiredLease(transaction)) {
             return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
         }
-        if (!guardsHold(transaction)) {
+        if (!preconditionsHold(transaction)) {
             return new Input.TransactionCompleted(id, Transaction.Status.CONFLICT, revision);
         }
         usage.count(transaction);
@@ -228,24 +228,24 @@
         return new Input.TransactionCompleted(id, Transaction.Status.COMMITTED, revision);
     }
 
-    private boolean namesEndedLease(Transaction transaction) {
-        return transaction.writes().stream().anyMatch(write -> write.lease() != 0 && !leases.holds(write.lease()));
+    private boolean usesExpiredLease(Transaction transaction) {
+        return transaction.writes().stream().anyMatch(write -> write.lease() != 0 && !leases.isValid(write.lease()));
     }
 
-    private boolean guardsHold(Transaction transaction) {
+    private boolean preconditionsHold(Transaction transaction) {
         return transaction.preconditions().stream().allMatch(guard -> {
             VersionedValue stored = keys.get(guard.key());
             long version = stored == null ? 0 : stored.version;
-            return version == guard.version() || isGuardDisabled(guard.key());
+            return version == guard.version() || isPreconditionDisabled(guard.key());
         });
     }
 
     /** The conditions that a test has removed. */
-    private boolean isGuardDisabled(String key) {
-        return switch (cluster.disabledGuard) {
-            case TEAM_GUARD -> key.startsWith(StoreKeys.TEAM_USAGES);
-            case SLICE_GUARD -> key.startsWith(StoreKeys.SLICES);
-            case JOB_GUARD -> key.startsWith(StoreKeys.JOBS);
+    private boolean isPreconditionDisabled(String key) {
+        return switch (cluster.disabledCheck) {
+            case TEAM_PRECONDITION -> key.startsWith(StoreKeys.TEAM_USAGES);
+            case SLICE_PRECONDITION -> key.startsWith(StoreKeys.SLICES);
+            case JOB_PRECONDITION -> key.startsWith(StoreKeys.JOBS);
             default -> false;
         };
     }
--- a/src/test/java/dewlane/sim/SimStoreLimits.java
+++ b/src/test/java/dewlane/sim/SimStoreLimits.java
@@ -10,32 +10,32 @@
 final class SimStoreLimits {
     private static final int MAX_TRANSACTION_BYTES = 65_536;
     /** The store takes so many times as many conditions as changes. */
-    private static final int GUARDS_PER_CHANGE = 4;
+    private static final int PRECONDITIONS_PER_WRITE = 4;
 
     private final SimCluster cluster;
-    private StoreLimits.Limits now;
+    private StoreLimits.Limits current;
     /** Transactions that were larger than the limits in force. */
     int exceeded;
 
     SimStoreLimits(SimCluster cluster) {
         this.cluster = cluster;
-        this.now = cluster.settings.store().current();
+        this.current = cluster.settings.store().current();
     }
 
-    StoreLimits.Limits now() {
-        return now;
+    StoreLimits.Limits current() {
+        return current;
     }
 
     /** From now on the limits are those that the settings name as the next ones. */
     void shrink() {
-        now = cluster.settings.store().next();
+        current = cluster.settings.store().next();
     }
 
     /** True, and counted, if the transaction is larger than the limits in force. */
     boolean exceededBy(Transaction transaction) {
-        boolean tooLarge = hasMoreThan(now.maxTransactionWrites(), transaction)
+        boolean tooLarge = hasMoreThan(current.maxTransactionWrites(), transaction)
                 || bytes(transaction) > MAX_TRANSACTION_BYTES
-                || transaction.writes().stream().anyMatch(write -> bytes(write.value()) > now.maxValueBytes());
+                || transaction.writes().stream().anyMatch(write -> bytes(write.value()) > current.maxValueBytes());
         exceeded += tooLarge ? 1 : 0;
         return tooLarge;
     }
@@ -66,7 +66,7 @@
 
     private static boolean hasMoreThan(int changes, Transaction transaction) {
         return transaction.writes().size() > changes
-                || transaction.preconditions().size() > GUARDS_PER_CHANGE * changes;
+                || transaction.preconditions().size() > PRECONDITIONS_PER_WRITE * changes;
     }
 
     private static int bytes(Transaction transaction) {
--- a/src/test/java/dewlane/sim/SimTaskExecutor.java
+++ b/src/test/java/dewlane/sim/SimTaskExecutor.java
@@ -16,7 +16,7 @@
  */
 final class SimTaskExecutor {
     private static final double CPU_TOLERANCE = 1e-9;
-    private static final int LONGEST_FETCH_MS = 1500;
+    private static final int MAX_FETCH_MS = 1500;
     private static final long FAILING_TASK_MS = 200;
 
     private final SimWorker worker;
@@ -66,7 +66,7 @@
                 continue;
             }
             switch (attempt.phase) {
-                case FETCHING -> begin(attempt);
+                case FETCHING -> start(attempt);
                 case RUNNING -> exit(attempt, worker.failsTasks ? ExitReason.ERROR : ExitReason.DONE);
                 case SAVING -> exit(attempt, ExitReason.STOPPED);
                 default -> {}
@@ -74,7 +74,7 @@
         }
     }
 
-    private void begin(SimAttempt attempt) {
+    private void start(SimAttempt attempt) {
         if (cluster.checker.isTaskDone(attempt.job, attempt.task)) {
             exit(attempt, ExitReason.DONE);
             return;
@@ -82,22 +82,22 @@
         attempt.phase = Phase.RUNNING;
         attempt.phaseEndsAt = cluster.now() + (worker.failsTasks ? FAILING_TASK_MS : randomRunMs(attempt));
         cluster.trace("start " + attempt + " on " + worker.name);
-        cluster.checker.taskStarted(worker, attempt);
-        worker.heartbeats.hasten();
+        cluster.checker.onTaskStarted(worker, attempt);
+        worker.heartbeats.sendSoon();
     }
 
     private long randomRunMs(SimAttempt attempt) {
-        return (long) (cluster.users.job(attempt.job).expectedRunS() * cluster.between(500, 1500));
+        return (long) (cluster.users.job(attempt.job).expectedRunS() * cluster.randomBetween(500, 1500));
     }
 
     private void exit(SimAttempt attempt, ExitReason end) {
         attempt.exit(end);
         cluster.trace("exit " + attempt + " on " + worker.name + " " + end);
         if (end == ExitReason.DONE) {
-            cluster.checker.taskDone(attempt.job, attempt.task);
+            cluster.checker.onTaskDone(attempt.job, attempt.task);
             cluster.users.onTaskDone(attempt.job);
         }
-        worker.heartbeats.hasten();
+        worker.heartbeats.sendSoon();
     }
 
     void execute(WorkerCommand order, long sentAt) {
@@ -120,12 +120,12 @@
                 }
             }
         }
-        worker.heartbeats.hasten();
+        worker.heartbeats.sendSoon();
     }
 
     private void launch(WorkerCommand order, String key, long sentAt) {
         if (forgotten.contains(key)) {
-            cluster.checker.violated("launched_again", key + " on " + worker.name + ", which was told to forget it");
+            cluster.checker.fail("launched_again", key + " on " + worker.name + ", which was told to forget it");
         }
         SimAttempt attempt = new SimAttempt(order.job(), order.task(), order.attempt(), sentAt);
         boolean busy = attempts.values().stream()
@@ -137,7 +137,7 @@
         } else if (!fits) {
             attempt.exit(ExitReason.NO_ROOM);
         } else {
-            attempt.phaseEndsAt = cluster.now() + cluster.between(0, LONGEST_FETCH_MS);
+            attempt.phaseEndsAt = cluster.now() + cluster.randomBetween(0, MAX_FETCH_MS);
         }
     }
 
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -17,7 +17,7 @@
     private static final long REPLY_TIMEOUT_MS = 5000;
     private static final long RETRY_AFTER_REFUSAL_MS = 1000;
     private static final long POLL_INTERVAL_MS = 5000;
-    private static final long LONGEST_SILENCE_MS = 75_000;
+    private static final long MAX_ANSWER_GAP_MS = 75_000;
     static final String UNKNOWN_JOB = "wk-999999";
     private static final double UNKNOWN_JOB_POLL_RATE = 0.1;
     /** Stands for a question that was asked at no known time. */
@@ -91,8 +91,8 @@
                 cancel(id, retries + 1);
             }
         });
-        cluster.checker.cancellationRequested(id);
-        exchange(controller, (to, onReply) -> to.abort(id, onReply), answer -> {
+        cluster.checker.onCancellationRequested(id);
+        exchange(controller, (to, onReply) -> to.cancel(id, onReply), answer -> {
             confirmed[0] = answer.status() == 200;
             onAnswer(id, answer);
         });
@@ -110,8 +110,8 @@
 
     /** Cancels through the given controller, once. */
     void cancelThrough(SimController controller, String id) {
-        cluster.checker.cancellationRequested(id);
-        controller.abort(id, answer -> onAnswer(id, answer));
+        cluster.checker.onCancellationRequested(id);
+        controller.cancel(id, answer -> onAnswer(id, answer));
     }
 
     /** Asks the given controller about a job, once. */
@@ -139,7 +139,7 @@
                 .filter(id -> !isFinished(id) && isOnMachines(id))
                 .limit(count)
                 .toList();
-        chosen.forEach(id -> cluster.after(cluster.between(0, 200), () -> cancel(id)));
+        chosen.forEach(id -> cluster.after(cluster.randomBetween(0, 200), () -> cancel(id)));
         return chosen;
     }
 
@@ -163,7 +163,7 @@
         if (controller != null && cluster.chance(UNKNOWN_JOB_POLL_RATE)) {
             controller.poll(UNKNOWN_JOB, answer -> {
                 if (answer.status() == 200) {
-                    cluster.checker.violated("invented", UNKNOWN_JOB);
+                    cluster.checker.fail("invented", UNKNOWN_JOB);
                 }
             });
         }
@@ -185,8 +185,8 @@
     }
 
     private void pollUnfinishedJob(String id, long from) {
-        if (cluster.now() - Math.max(from, answeredAt.get(id)) > LONGEST_SILENCE_MS) {
-            cluster.checker.violated("forgotten", id + " got no answer for 75 s");
+        if (cluster.now() - Math.max(from, answeredAt.get(id)) > MAX_ANSWER_GAP_MS) {
+            cluster.checker.fail("forgotten", id + " got no answer for 75 s");
         }
         SimController controller = randomLiveController();
         if (controller != null) {
@@ -204,7 +204,7 @@
 
     private void onPollAnswer(String id, Effect.AnswerUser answer, long askedAt, boolean known) {
         if (answer.status() == 404 && known) {
-            cluster.checker.violated("forgotten", id + " accepted before " + askedAt);
+            cluster.checker.fail("forgotten", id + " accepted before " + askedAt);
         }
         onAnswer(id, answer, askedAt);
     }
@@ -225,6 +225,6 @@
             accepted.add(id);
         }
         answeredAt.put(id, cluster.now());
-        cluster.checker.conditionReported(id, answer.job().condition(), askedAt);
+        cluster.checker.onConditionReported(id, answer.job().condition(), askedAt);
     }
 }
--- a/src/test/java/dewlane/sim/SimWatches.java
+++ b/src/test/java/dewlane/sim/SimWatches.java
@@ -72,6 +72,7 @@
     private void answer(Watch watch) {
         Input changes = new Input.WatchEvents(store.changesAfter(watch.since), store.revision());
         cluster.after(
-                cluster.between(1, 6) + store.watchLagMs, () -> watch.controller.receive(watch.incarnation, changes));
+                cluster.randomBetween(1, 6) + store.watchLagMs,
+                () -> watch.controller.receive(watch.incarnation, changes));
     }
 }
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -44,7 +44,7 @@
     /** The machine stands still until this time. */
     long frozenUntil;
 
-    private final long rentedAt;
+    private final long createdAt;
     /** Commands that arrived while the machine stood still or was disconnected. */
     private final List<Runnable> pendingCommands = new ArrayList<>();
 
@@ -58,7 +58,7 @@
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.rentedAt = cluster.now();
+        this.createdAt = cluster.now();
         this.executor = new SimTaskExecutor(this);
         this.heartbeats = new SimHeartbeats(this);
     }
@@ -121,7 +121,7 @@
         executor.clearAttempts();
     }
 
-    CloudInstance listed() {
+    CloudInstance toCloudInstance() {
         return new CloudInstance(
                 name,
                 name + ":1",
@@ -129,7 +129,7 @@
                 zone,
                 spot,
                 booted ? CloudInstance.State.RUNNING : CloudInstance.State.STARTING,
-                (cluster.now() - rentedAt) / 1000.0);
+                (cluster.now() - createdAt) / 1000.0);
     }
 
     /** The worker's next report, which counts as sent. */
@@ -159,7 +159,7 @@
         executor.reset();
         incarnation++;
         leaseStart = cluster.now();
-        heartbeats.forgetTarget();
+        heartbeats.clearTarget();
     }
 
     private void runPendingCommands() {
@@ -188,17 +188,17 @@
     }
 
     /** True if a reply of the controller to a heartbeat gets through to the worker. */
-    boolean hearsReplyOf(SimController controller) {
+    boolean receivesReplyFrom(SimController controller) {
         return !terminated
                 && !disconnected
                 && !inboundBlocked
                 && !controller.name.equals(inboundBlockedFrom)
-                && !controller.cutFromWorkers
+                && !controller.disconnectedFromWorkers
                 && isResponsive();
     }
 
     void execute(Effect.SendCommands command, long sentAt) {
-        if (terminated || isFencedOff(command.fencingToken()) || command.incarnation() != incarnation) {
+        if (terminated || isTokenStale(command.fencingToken()) || command.incarnation() != incarnation) {
             return;
         }
         accept(command.fencingToken(), command.commands(), sentAt);
@@ -206,21 +206,21 @@
 
     /** Renews the lease and carries out the orders of a reply to a heartbeat of the given incarnation. */
     void execute(HeartbeatReply reply, long heartbeatIncarnation, long heartbeatSentAt, long repliedAt) {
-        if (isFencedOff(reply.token()) || heartbeatIncarnation != incarnation) {
+        if (isTokenStale(reply.token()) || heartbeatIncarnation != incarnation) {
             return;
         }
         leaseStart = Math.max(leaseStart, heartbeatSentAt);
         accept(reply.token(), reply.orders(), repliedAt);
     }
 
-    private boolean isFencedOff(long token) {
-        return token < fencingToken && cluster.disabledGuard != SimCluster.DisabledGuard.WORKER_TOKEN;
+    private boolean isTokenStale(long token) {
+        return token < fencingToken && cluster.disabledCheck != SimCluster.DisabledCheck.FENCING_TOKEN;
     }
 
     private void accept(long token, List<WorkerCommand> orders, long sentAt) {
         if (token > fencingToken) {
             fencingToken = token;
-            heartbeats.hasten();
+            heartbeats.sendSoon();
         }
         orders.forEach(order -> executor.execute(order, sentAt));
     }
--- a/src/test/java/dewlane/sim/StarvationChecker.java
+++ b/src/test/java/dewlane/sim/StarvationChecker.java
@@ -13,18 +13,18 @@
  */
 final class StarvationChecker {
     private static final long INTERVAL_MS = 1000;
-    private static final long LONGEST_WAIT_MS = 90_000;
+    private static final long MAX_WAIT_MS = 90_000;
     private static final double CPU_TOLERANCE = 1e-9;
 
     private final SimCluster cluster;
     private final InvariantChecker checker;
     /** By job and machine, since when the job waits while that machine has room for it. */
-    private final Map<String, Map<String, Long>> waitsBesideRoomSince;
+    private final Map<String, Map<String, Long>> waitingDespiteRoomSince;
 
     StarvationChecker(SimCluster cluster, InvariantChecker checker) {
         this.cluster = cluster;
         this.checker = checker;
-        this.waitsBesideRoomSince = new HashMap<>();
+        this.waitingDespiteRoomSince = new HashMap<>();
     }
 
     void start() {
@@ -34,18 +34,18 @@
     private void check(String id) {
         Job job = cluster.users.job(id);
         boolean waits = !cluster.users.isFinished(id) && !job.hasZoneConstraint() && waits(job) && isUnderQuota(job);
-        Map<String, Long> besideRoomSince = waitsBesideRoomSince.computeIfAbsent(id, key -> new HashMap<>());
-        besideRoomSince.keySet().removeIf(name -> !waits || !cluster.cloud.machines.containsKey(name));
+        Map<String, Long> despiteRoomSince = waitingDespiteRoomSince.computeIfAbsent(id, key -> new HashMap<>());
+        despiteRoomSince.keySet().removeIf(name -> !waits || !cluster.cloud.machines.containsKey(name));
         Collection<SimWorker> workers = waits ? cluster.workers() : List.of();
         for (SimWorker worker : workers) {
             if (!worker.hasRoom(job)) {
-                besideRoomSince.remove(worker.name);
+                despiteRoomSince.remove(worker.name);
                 continue;
             }
-            long since = besideRoomSince.computeIfAbsent(worker.name, key -> cluster.now());
-            if (cluster.now() - since > LONGEST_WAIT_MS) {
+            long since = despiteRoomSince.computeIfAbsent(worker.name, key -> cluster.now());
+            if (cluster.now() - since > MAX_WAIT_MS) {
                 String owner = Partitioner.ownerOf(SimFixtures.partitionMap(cluster), worker.name);
-                checker.violated(
+                checker.fail(
                         "left_waiting",
                         id + " waits beside room on " + worker.name + " of " + owner + "\n"
                                 + cluster.recentTrace(worker.name) + cluster.describeJob(id));
--- a/src/test/java/dewlane/sim/StoreFaults.java
+++ b/src/test/java/dewlane/sim/StoreFaults.java
@@ -5,26 +5,26 @@
     private StoreFaults() {}
 
     static void outage(FaultTarget target) {
-        target.cluster().store.outage(target.cluster().between(1000, 12_000));
+        target.cluster().store.outage(target.cluster().randomBetween(1000, 12_000));
     }
 
     static void refuseController(FaultTarget target) {
         SimStore store = target.cluster().store;
         String name = target.controller().name;
         store.refusedControllers.add(name);
-        target.afterBetween(2000, 25_000, () -> store.refusedControllers.remove(name));
+        target.afterRandomDelay(2000, 25_000, () -> store.refusedControllers.remove(name));
     }
 
     static void slow(FaultTarget target) {
         SimStore store = target.cluster().store;
-        store.extraLatencyMs = target.cluster().between(200, 1200);
-        target.afterBetween(5000, 30_000, () -> store.extraLatencyMs = 0);
+        store.extraLatencyMs = target.cluster().randomBetween(200, 1200);
+        target.afterRandomDelay(5000, 30_000, () -> store.extraLatencyMs = 0);
     }
 
     static void delayWrites(FaultTarget target) {
         SimStore store = target.cluster().store;
         store.delayedWriteRate = 0.3;
-        target.afterBetween(5000, 25_000, () -> store.delayedWriteRate = 0);
+        target.afterRandomDelay(5000, 25_000, () -> store.delayedWriteRate = 0);
     }
 
     /**
@@ -34,10 +34,10 @@
     static void refuseLeaderThenOutage(FaultTarget target) {
         SimCluster cluster = target.cluster();
         String leader = target.leader().name;
-        long cancelMs = (long) (cluster.settings.cancellationDeadlineS() * 1000);
+        long cancellationDeadlineMs = (long) (cluster.settings.cancellationDeadlineS() * 1000);
         cluster.store.refusedControllers.add(leader);
-        target.afterBetween(100, 1500, () -> cluster.users.cancelRunning(3));
-        cluster.after(2000, () -> cluster.store.outage(cancelMs + cluster.between(2000, 12_000)));
+        target.afterRandomDelay(100, 1500, () -> cluster.users.cancelRunning(3));
+        cluster.after(2000, () -> cluster.store.outage(cancellationDeadlineMs + cluster.randomBetween(2000, 12_000)));
         cluster.after(14_000, () -> cluster.store.refusedControllers.remove(leader));
     }
 }
--- a/src/test/java/dewlane/sim/StoreOutageTest.java
+++ b/src/test/java/dewlane/sim/StoreOutageTest.java
@@ -28,7 +28,7 @@
     private static final String JOB = jobId(1);
 
     /** Whether the leader, which the store refuses, learns of the cancellation from its peers. */
-    private enum Leader {
+    private enum LeaderNotice {
         INFORMED,
         /**
          * The controller that confirms ends at once, so that the leader, which still hears a peer, has no word of it.
@@ -37,7 +37,8 @@
     }
 
     /** Returns when the cancellation was confirmed. */
-    private static long cancelWhileLeaderIsRefusedThenOutage(SimCluster cluster, long cancelAfterMs, Leader informed) {
+    private static long cancelWhileLeaderIsRefusedThenOutage(
+            SimCluster cluster, long cancelAfterMs, LeaderNotice notice) {
         SimController leader = leader(cluster);
         cluster.store.refusedControllers.add(leader.name);
         cluster.runFor(cancelAfterMs);
@@ -46,18 +47,18 @@
         for (int step = 0; step < 200 && cluster.checker.lastReportedCondition(JOB) != JobCondition.CANCELLED; step++) {
             cluster.runFor(5);
         }
-        if (informed == Leader.UNINFORMED) {
+        if (notice == LeaderNotice.UNINFORMED) {
             confirming.crash(50_000);
         }
         cluster.runFor(700);
         assertEquals(
                 JobCondition.CANCELLED, cluster.checker.lastReportedCondition(JOB), "another controller confirmed it");
         long confirmedAt = cluster.now();
-        cluster.store.outage(cancelMs(cluster) + 12_000);
+        cluster.store.outage(cancellationDeadlineMs(cluster) + 12_000);
         return confirmedAt;
     }
 
-    private static long cancelMs(SimCluster cluster) {
+    private static long cancellationDeadlineMs(SimCluster cluster) {
         return (long) (cluster.settings.cancellationDeadlineS() * 1000);
     }
 
@@ -69,7 +70,7 @@
         assertEquals(18, runningTasks(cluster, JOB));
         SimController leader = leader(cluster);
 
-        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 300 * seed, Leader.UNINFORMED);
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 300 * seed, LeaderNotice.UNINFORMED);
 
         assertTrue(
                 cluster.workers().stream()
@@ -78,7 +79,7 @@
                 "tasks run on machines that report to the one that was refused");
         cluster.runUntil(confirmedAt + 10_000);
         assertTrue(runningTasks(cluster, JOB) > 0, "it cannot know yet");
-        cluster.runUntil(confirmedAt + cancelMs(cluster));
+        cluster.runUntil(confirmedAt + cancellationDeadlineMs(cluster));
         assertEquals(0, runningTasks(cluster, JOB));
         cluster.store.refusedControllers.clear();
         assertRecovers(cluster, 200_000);
@@ -86,10 +87,10 @@
 
     /** While peers still hear one another, the owner stops the tasks at once, and those of other jobs go on. */
     @Test
-    void outageAfterCancellationThatPeersToldEndsOnlyCancelledTasksAtOnce() {
+    void outageAfterCancellationReportedByPeersStopsOnlyCancelledTasksAtOnce() {
         SimCluster cluster = clusterRunning(6, 9, 25_000, job(1, 10, 2, 400), job(2, 8, 2, 50));
 
-        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, Leader.INFORMED);
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, LeaderNotice.INFORMED);
 
         cluster.runUntil(confirmedAt + 4000);
         assertEquals(0, runningTasks(cluster, JOB));
@@ -106,7 +107,7 @@
         List<SimWorker> frozen = workersRunning(cluster, JOB).subList(0, 4);
         frozen.forEach(worker -> worker.frozenUntil = 500_000);
 
-        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, Leader.INFORMED);
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, LeaderNotice.INFORMED);
 
         cluster.runUntil(confirmedAt + 50_000);
         assertTrue(cluster.store.unavailable, "still out");
@@ -119,7 +120,7 @@
     /** What was recorded before the outage and did not arrive is not sent again on what its controller knew then. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void launchIsNotSentAgainOnViewThatLacksItsCancellation(long seed) {
+    void launchIsNotResentFromReplicaThatLacksItsCancellation(long seed) {
         SimCluster cluster = cluster(seed, 9);
         cluster.users.submit(job(1, 18, 2, 60));
         cluster.workers().forEach(worker -> worker.inboundBlocked = true);
@@ -127,7 +128,7 @@
         assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were written");
         assertEquals(0, cluster.checker.taskStarts, "and none arrived");
 
-        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 0, Leader.UNINFORMED);
+        long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 0, LeaderNotice.UNINFORMED);
 
         cluster.runUntil(confirmedAt + 5000);
         cluster.workers().forEach(worker -> worker.inboundBlocked = false);
--- a/src/test/java/dewlane/sim/SubmissionLoadTest.java
+++ b/src/test/java/dewlane/sim/SubmissionLoadTest.java
@@ -80,7 +80,7 @@
             Job job = job(i, Priority.values()[i % 4], 1, 1, 4);
             cluster.after(250L * i, () -> cluster.users.submit(job));
             if (i % 4 == 0) {
-                cluster.after(250L * i + cluster.between(50, 8000), () -> cluster.users.cancel(job.id()));
+                cluster.after(250L * i + cluster.randomBetween(50, 8000), () -> cluster.users.cancel(job.id()));
             }
         }
         cluster.after(60_000, () -> leader(cluster).crash(5000));
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -39,7 +39,7 @@
 
     /** A fault the users named: heartbeats arrive, replies and commands do not. Being heard is not being reachable. */
     @Test
-    void workerThatDoesNotHearItsControllerGetsNoLaunchFromItAndMovesToAnother() {
+    void workerUnreachableFromItsControllerGetsNoLaunchFromItAndIsTransferred() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 1, 2, 90));
 
         SimWorker worker = cluster.workers().stream()
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void workersThatAllStopHearingForMomentAreKeptAndLoseNoTask() {
+    void workersThatAreAllBrieflyUnreachableAreKeptAndLoseNoTask() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 12, 2, 60));
 
         cluster.workers().forEach(worker -> worker.inboundBlocked = true);
@@ -104,7 +104,7 @@
 
     /** A fault the users named: copies of heartbeats come late, to any controller. */
     @Test
-    void lateHeartbeatCopyBringsNoMachineBackAndMovesNone() {
+    void lateDuplicateHeartbeatRestoresNoTerminatedMachineAndTransfersNone() {
         SimCluster cluster = cluster(SEED, 6);
         SimWorker gone = cluster.workers().iterator().next();
         List<Heartbeat> copies = List.of(gone.nextHeartbeat(), gone.nextHeartbeat(), gone.nextHeartbeat());
@@ -118,7 +118,7 @@
         Set<String> recordsBefore = cluster.store.scan(StoreKeys.DECOMMISSIONS).keySet();
         for (int i = 0; i < copies.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
-                gone.heartbeats.deliverCopy(copies.get(i), controller, 1 + 4000L * i);
+                gone.heartbeats.deliverDuplicate(copies.get(i), controller, 1 + 4000L * i);
             }
         }
         cluster.users.submit(job(1, 14, 2, 5));
--- a/src/test/java/dewlane/sim/Version01View.java
+++ b/src/test/java/dewlane/sim/Version01Schema.java
@@ -13,8 +13,8 @@
  * Stored data as version 0.1 sees it: that version refuses keys that it does not know, drops fields that it does not
  * know, and so loses them when it rewrites a value.
  */
-final class Version01View {
-    private Version01View() {}
+final class Version01Schema {
+    private Version01Schema() {}
 
     /** An input as that version reads it. */
     static Input read(Input input) {
@@ -42,7 +42,7 @@
     }
 
     /** A transaction as that version writes it. */
-    static Transaction written(Transaction transaction) {
+    static Transaction write(Transaction transaction) {
         List<Transaction.Write> writes = transaction.writes().stream()
                 .map(write -> new Transaction.Write(write.key(), withoutNewFields(write.value()), write.lease()))
                 .toList();
--- a/src/test/java/dewlane/sim/WorkerFaults.java
+++ b/src/test/java/dewlane/sim/WorkerFaults.java
@@ -12,7 +12,7 @@
     }
 
     static void freeze(FaultTarget target) {
-        int ms = target.cluster().between(2000, 40_000);
+        int ms = target.cluster().randomBetween(2000, 40_000);
         target.worker().ifPresent(worker -> freezeOnce(worker, ms));
     }
 
@@ -33,7 +33,7 @@
 
     private static void disconnect(FaultTarget target, SimWorker worker, int shortestMs) {
         worker.disconnected = true;
-        target.afterBetween(shortestMs, 40_000, () -> worker.disconnected = false);
+        target.afterRandomDelay(shortestMs, 40_000, () -> worker.disconnected = false);
     }
 
     static void failTasks(FaultTarget target) {
@@ -51,7 +51,7 @@
             } else {
                 worker.inboundBlockedFrom = target.controller().name;
             }
-            target.afterBetween(2000, 60_000, () -> {
+            target.afterRandomDelay(2000, 60_000, () -> {
                 worker.inboundBlocked = false;
                 worker.inboundBlockedFrom = null;
             });
@@ -61,14 +61,14 @@
     static void blockOutbound(FaultTarget target) {
         target.worker().ifPresent(worker -> {
             worker.outboundBlocked = true;
-            target.afterBetween(5000, 50_000, () -> worker.outboundBlocked = false);
+            target.afterRandomDelay(5000, 50_000, () -> worker.outboundBlocked = false);
         });
     }
 
     static void deliverOldHeartbeats(FaultTarget target) {
         target.worker()
-                .ifPresent(worker -> target.forAllControllers(controller -> worker.heartbeats.deliverCopy(
-                        worker.nextHeartbeat(), controller, target.cluster().between(500, 80_000))));
+                .ifPresent(worker -> target.forAllControllers(controller -> worker.heartbeats.deliverDuplicate(
+                        worker.nextHeartbeat(), controller, target.cluster().randomBetween(500, 80_000))));
     }
 
     /** Jobs are cancelled at once, and some of their machines stand still. */
@@ -78,7 +78,7 @@
             target.runningWorkers().stream()
                     .filter(worker -> worker.runningTasks(job) > 0)
                     .findFirst()
-                    .ifPresent(worker -> freezeOnce(worker, cluster.between(5000, 40_000)));
+                    .ifPresent(worker -> freezeOnce(worker, cluster.randomBetween(5000, 40_000)));
         }
     }
 
@@ -91,7 +91,7 @@
             if (worker.zone.equals(zone) && cluster.chance(0.5)) {
                 switch (how) {
                     case 0 -> worker.terminate();
-                    case 1 -> freezeOnce(worker, cluster.between(5000, 40_000));
+                    case 1 -> freezeOnce(worker, cluster.randomBetween(5000, 40_000));
                     default -> disconnect(target, worker, 5000);
                 }
             }
