--- a/src/test/java/dewlane/sim/ControllerFaults.java
+++ b/src/test/java/dewlane/sim/ControllerFaults.java
@@ -3,7 +3,7 @@
 /** Faults of controllers: they end, stand still, or cannot reach the store, workers or each other. */
 final class ControllerFaults {
     private static final int LEADERS_TO_CRASH = 8;
-    private static final long BETWEEN_LEADERS_MS = 4000;
+    private static final long LEADER_CRASH_INTERVAL_MS = 4000;
 
     private ControllerFaults() {}
 
@@ -37,7 +37,7 @@
         for (int i = 0; i < LEADERS_TO_CRASH; i++) {
             target.cluster()
                     .after(
-                            i * BETWEEN_LEADERS_MS,
+                            i * LEADER_CRASH_INTERVAL_MS,
                             () -> crash(target.leader(), target.cluster().randomBetween(200, 5000)));
         }
     }
--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -29,7 +29,7 @@
      */
     @Test
     void attemptsForgottenBeforeTheirDelayedLaunchArrivesAreNotLaunchedAgain() {
-        int met = 0;
+        int forgottenBeforeLaunch = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimCluster cluster = cluster(seed, 9);
             cluster.commands.delayRate = 0.9;
@@ -38,12 +38,14 @@
             cluster.runUntil(50_000);
             cluster.commands.delayRate = 0;
             cluster.workers().forEach(worker -> worker.failsTasks = false);
-            met += cluster.workers().stream()
+            forgottenBeforeLaunch += cluster.workers().stream()
                     .mapToInt(worker -> worker.executor.forgottenBeforeDelayedLaunch)
                     .sum();
             assertRecovers(cluster, 200_000);
         }
-        assertTrue(met >= SEEDS, met + " attempts were forgotten while a command that launches them was delayed");
+        assertTrue(
+                forgottenBeforeLaunch >= SEEDS,
+                forgottenBeforeLaunch + " attempts were forgotten while a command that launches them was delayed");
     }
 
     private static void failTasksOnChangingWorkers(SimCluster cluster) {
--- a/src/test/java/dewlane/sim/EffectExecutor.java
+++ b/src/test/java/dewlane/sim/EffectExecutor.java
@@ -66,11 +66,11 @@
 
     private boolean executeOnStore(Effect effect) {
         SimStore store = cluster.store;
-        if (effect instanceof Effect.CommitTransaction send) {
+        if (effect instanceof Effect.CommitTransaction commit) {
             store.commit(
                     controller,
-                    send.id(),
-                    controller.runsVersion01 ? Version01Schema.write(send.transaction()) : send.transaction());
+                    commit.id(),
+                    controller.runsVersion01 ? Version01Schema.write(commit.transaction()) : commit.transaction());
         } else if (effect instanceof Effect.Watch watch) {
             store.watch(controller, watch.afterRevision());
         } else if (effect instanceof Effect.ReadValue read) {
@@ -81,9 +81,9 @@
             store.list(controller);
         } else if (effect instanceof Effect.GrantLease grant) {
             store.grantLease(controller, grant.ttlMs());
-        } else if (effect instanceof Effect.RenewLease touch) {
+        } else if (effect instanceof Effect.RenewLease renewal) {
             store.renewLease(
-                    controller, touch.lease(), cluster.settings.tuning().memberLeaseTtlMs());
+                    controller, renewal.lease(), cluster.settings.tuning().memberLeaseTtlMs());
         } else {
             return false;
         }
@@ -96,8 +96,8 @@
             cloud.listMachineTypes(controller);
         } else if (effect instanceof Effect.ListInstances) {
             cloud.listInstances(controller);
-        } else if (effect instanceof Effect.CreateInstances rent) {
-            cloud.createInstances(controller, rent);
+        } else if (effect instanceof Effect.CreateInstances create) {
+            cloud.createInstances(controller, create);
         } else if (effect instanceof Effect.DeleteInstances delete) {
             cloud.deleteInstances(controller, delete.machines());
         } else {
@@ -109,8 +109,8 @@
     private boolean executeOnOthers(Effect effect) {
         if (effect instanceof Effect.SendCommands command) {
             cluster.commands.send(controller, command);
-        } else if (effect instanceof Effect.BroadcastStatus tell) {
-            controller.broadcast(tell.pages());
+        } else if (effect instanceof Effect.BroadcastStatus broadcast) {
+            controller.broadcast(broadcast.pages());
         } else if (effect instanceof Effect.Log log) {
             cluster.trace(controller.name + " " + log.text());
         } else {
--- a/src/test/java/dewlane/sim/EnvironmentFaults.java
+++ b/src/test/java/dewlane/sim/EnvironmentFaults.java
@@ -10,8 +10,8 @@
         SimCluster cluster = target.cluster();
         cluster.messageFaultRate = 0.2;
         cluster.after(5000, () -> {
-            boolean storm = cluster.now() < RandomFaultsTest.STORM_MS;
-            cluster.messageFaultRate = storm ? SimCluster.DEFAULT_MESSAGE_FAULT_RATE : 0;
+            boolean inFaultPhase = cluster.now() < RandomFaultsTest.FAULT_PHASE_END_MS;
+            cluster.messageFaultRate = inFaultPhase ? SimCluster.DEFAULT_MESSAGE_FAULT_RATE : 0;
         });
     }
 
--- a/src/test/java/dewlane/sim/HeartbeatReply.java
+++ b/src/test/java/dewlane/sim/HeartbeatReply.java
@@ -8,16 +8,16 @@
  *
  * @param status the status of the HTTP response
  * @param token the fencing token under which the orders hold, if the heartbeat was accepted
- * @param orders what the worker is to do, if the heartbeat was accepted
+ * @param commands what the worker is to do, if the heartbeat was accepted
  * @param redirectTo the controller to report to instead, if there is one
  */
-record HeartbeatReply(int status, long token, List<WorkerCommand> orders, String redirectTo) {
+record HeartbeatReply(int status, long token, List<WorkerCommand> commands, String redirectTo) {
     private static final int ACCEPTED = 200;
     private static final int MISDIRECTED = 421;
     private static final int UNAVAILABLE = 503;
 
-    static HeartbeatReply accepted(long token, List<WorkerCommand> orders) {
-        return new HeartbeatReply(ACCEPTED, token, orders, null);
+    static HeartbeatReply accepted(long token, List<WorkerCommand> commands) {
+        return new HeartbeatReply(ACCEPTED, token, commands, null);
     }
 
     static HeartbeatReply redirect(String controller) {
--- a/src/test/java/dewlane/sim/InvariantChecker.java
+++ b/src/test/java/dewlane/sim/InvariantChecker.java
@@ -77,7 +77,7 @@
                 fail("too_early", task + " started before " + dependency + " was done");
             }
         }
-        placement.checkPlace(worker, attempt);
+        placement.checkPlacement(worker, attempt);
         placement.checkQuota(attempt);
     }
 
--- a/src/test/java/dewlane/sim/JobDistributionTest.java
+++ b/src/test/java/dewlane/sim/JobDistributionTest.java
@@ -89,7 +89,8 @@
             cluster.users.submit(job(i, 10, 1, 300));
             cluster.runFor(1000);
             StoredValue.JobRecord record = (StoredValue.JobRecord) cluster.store.get(StoreKeys.job(jobId(i)));
-            record.assignments().forEach(deal -> waiting.merge(deal.owner(), deal.count(), Integer::sum));
+            record.assignments()
+                    .forEach(assignment -> waiting.merge(assignment.owner(), assignment.count(), Integer::sum));
         }
 
         assertEquals(Map.of("n0", 30, "n1", 30, "n2", 30), waiting);
--- a/src/test/java/dewlane/sim/PlacementChecker.java
+++ b/src/test/java/dewlane/sim/PlacementChecker.java
@@ -16,7 +16,7 @@
     }
 
     /** No task is on two machines, and all are where their job allows them beside each other. */
-    void checkPlace(SimWorker worker, SimAttempt attempt) {
+    void checkPlacement(SimWorker worker, SimAttempt attempt) {
         Job job = cluster.users.job(attempt.job);
         String task = attempt.job + "/" + attempt.task;
         int inSameZone = 0;
--- a/src/test/java/dewlane/sim/RandomFaultsTest.java
+++ b/src/test/java/dewlane/sim/RandomFaultsTest.java
@@ -18,8 +18,8 @@
     private static final int FIRST_UPGRADE_SEED = 5000;
     private static final int FIRST_DISABLED_CHECK_SEED = 100;
     private static final int LAST_DISABLED_CHECK_SEED = 400;
-    static final long STORM_MS = 240_000;
-    private static final long CALM_MS = 700_000;
+    static final long FAULT_PHASE_END_MS = 240_000;
+    private static final long RUN_END_MS = 700_000;
     /** What hangs or is cut off at the end of the storm does so for up to a minute more. */
     private static final long MAX_FAULT_MS = 60_000;
 
@@ -62,24 +62,24 @@
             scheduleUpgrade(cluster, workload);
         }
         cluster.every(2600, () -> {
-            if (cluster.now() < STORM_MS) {
+            if (cluster.now() < FAULT_PHASE_END_MS) {
                 workload.submitRandomJob();
             }
         });
         cluster.every(400, cluster.users::pollRandomJob);
         cluster.every(3000, workload::sendUnusualRequest);
         cluster.every(5000, () -> {
-            if (cluster.now() < STORM_MS) {
+            if (cluster.now() < FAULT_PHASE_END_MS) {
                 // Two at once, as faults are seldom alone.
                 FaultInjector.inject(cluster);
                 FaultInjector.inject(cluster);
             }
         });
-        cluster.runUntil(STORM_MS);
+        cluster.runUntil(FAULT_PHASE_END_MS);
         endFaults(cluster);
         cluster.users.pollUnfinishedJobs();
         cluster.after(MAX_FAULT_MS, cluster.checker::watchForStarvation);
-        cluster.runUntil(CALM_MS);
+        cluster.runUntil(RUN_END_MS);
         return cluster;
     }
 
--- a/src/test/java/dewlane/sim/RandomWorkload.java
+++ b/src/test/java/dewlane/sim/RandomWorkload.java
@@ -12,7 +12,7 @@
 /** Random jobs of three teams, and requests that users should not send. */
 final class RandomWorkload {
     private static final int FIRST_UNUSUAL_JOB = 900_000;
-    private static final int LATEST_JOBS = 6;
+    private static final int RECENT_JOBS = 6;
 
     private final SimCluster cluster;
     private int nextJob = 1;
@@ -26,7 +26,7 @@
     void submitRandomJob() {
         String id = SimFixtures.jobId(nextJob++);
         Job job = randomJob(id);
-        cluster.users.submit(cluster.chance(dependencyRate) ? job.withDependencies(someAccepted()) : job);
+        cluster.users.submit(cluster.chance(dependencyRate) ? job.withDependencies(randomDependencies()) : job);
         if (cluster.chance(0.25)) {
             cluster.after(cluster.randomBetween(50, 25_000), () -> cluster.users.cancel(id));
         }
@@ -55,11 +55,11 @@
     }
 
     /** A few accepted jobs, mostly late ones, in whatever state they are. */
-    private List<String> someAccepted() {
+    private List<String> randomDependencies() {
         List<String> accepted = cluster.users.accepted();
         Set<String> chosen = new LinkedHashSet<>();
         for (int n = cluster.randomBetween(1, 4); n > 0 && !accepted.isEmpty(); n--) {
-            int from = cluster.chance(0.7) ? Math.max(0, accepted.size() - LATEST_JOBS) : 0;
+            int from = cluster.chance(0.7) ? Math.max(0, accepted.size() - RECENT_JOBS) : 0;
             chosen.add(accepted.get(cluster.randomBetween(from, accepted.size() - 1)));
         }
         return List.copyOf(chosen);
--- a/src/test/java/dewlane/sim/SimAttempt.java
+++ b/src/test/java/dewlane/sim/SimAttempt.java
@@ -24,9 +24,9 @@
         this.launchSentAt = launchSentAt;
     }
 
-    void exit(ExitReason how) {
+    void exit(ExitReason reason) {
         phase = Phase.EXITED;
-        end = how;
+        end = reason;
     }
 
     boolean hasExited() {
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -40,9 +40,9 @@
     SimCloud(SimCluster cluster) {
         this.cluster = cluster;
         cluster.every(LIST_INTERVAL_MS, () -> {
-            List<CloudInstance> present =
+            List<CloudInstance> snapshot =
                     machines.values().stream().map(SimWorker::toCloudInstance).toList();
-            cluster.after(cluster.randomBetween(MIN_LIST_LAG_MS, MAX_LIST_LAG_MS), () -> listed = present);
+            cluster.after(cluster.randomBetween(MIN_LIST_LAG_MS, MAX_LIST_LAG_MS), () -> listed = snapshot);
         });
     }
 
--- a/src/test/java/dewlane/sim/SimCommandNetwork.java
+++ b/src/test/java/dewlane/sim/SimCommandNetwork.java
@@ -26,9 +26,9 @@
     }
 
     /** True if a delayed command to the machine that launches the order's attempt is still on its way. */
-    boolean hasLaunchInFlight(String machine, WorkerCommand order) {
-        WorkerCommand launch =
-                new WorkerCommand(WorkerCommand.Action.LAUNCH, order.job(), order.task(), order.attempt(), 0);
+    boolean hasLaunchInFlight(String machine, WorkerCommand forgetCommand) {
+        WorkerCommand launch = new WorkerCommand(
+                WorkerCommand.Action.LAUNCH, forgetCommand.job(), forgetCommand.task(), forgetCommand.attempt(), 0);
         return inFlight.stream()
                 .anyMatch(command ->
                         command.machine().equals(machine) && command.commands().contains(launch));
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -85,12 +85,12 @@
                 shared.tuning());
     }
 
-    private void tick(int recipient) {
-        if (incarnation == recipient && alive) {
+    private void tick(int recipientIncarnation) {
+        if (incarnation == recipientIncarnation && alive) {
             if (cluster.now() >= frozenUntil) {
-                receive(recipient, new Input.Tick());
+                receive(recipientIncarnation, new Input.Tick());
             }
-            cluster.after(TICK_MS, () -> tick(recipient));
+            cluster.after(TICK_MS, () -> tick(recipientIncarnation));
         }
     }
 
@@ -111,10 +111,12 @@
     void freeze(long ms) {
         cluster.trace("freeze " + name);
         frozenUntil = cluster.now() + ms;
-        int recipient = incarnation;
+        int recipientIncarnation = incarnation;
         cluster.after(ms, () -> {
-            while (!inputsWhileFrozen.isEmpty() && incarnation == recipient && cluster.now() >= frozenUntil) {
-                receive(recipient, inputsWhileFrozen.poll());
+            while (!inputsWhileFrozen.isEmpty()
+                    && incarnation == recipientIncarnation
+                    && cluster.now() >= frozenUntil) {
+                receive(recipientIncarnation, inputsWhileFrozen.poll());
             }
         });
     }
@@ -140,8 +142,8 @@
     }
 
     /** Has the core handle an input, unless the incarnation it is meant for is over, and performs what comes of it. */
-    void receive(int recipient, Input input) {
-        if (!alive || incarnation != recipient) {
+    void receive(int recipientIncarnation, Input input) {
+        if (!alive || incarnation != recipientIncarnation) {
             return;
         }
         if (cluster.now() < frozenUntil) {
@@ -172,9 +174,9 @@
 
     private void request(
             BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs, int extraLatencyMs) {
-        int sender = incarnation;
+        int senderIncarnation = incarnation;
         RunOnce replyOrTimeout = new RunOnce();
-        cluster.after(timeoutMs, () -> replyOrTimeout.run(() -> receive(sender, onTimeout)));
+        cluster.after(timeoutMs, () -> replyOrTimeout.run(() -> receive(senderIncarnation, onTimeout)));
         if (!reachable.getAsBoolean()) {
             return;
         }
@@ -182,7 +184,7 @@
             Input reply = service.get();
             cluster.after(cluster.randomLatency(extraLatencyMs), () -> {
                 if (reachable.getAsBoolean()) {
-                    cluster.deliver(() -> replyOrTimeout.run(() -> receive(sender, reply)));
+                    cluster.deliver(() -> replyOrTimeout.run(() -> receive(senderIncarnation, reply)));
                 }
             });
         });
@@ -220,10 +222,10 @@
     void broadcast(List<PeerStatus> pages) {
         pages.forEach(this::checkPageSize);
         for (SimController peer : cluster.controllers.values()) {
-            int recipient = peer.incarnation;
+            int recipientIncarnation = peer.incarnation;
             if (peer != this && !disconnectedFromPeers && !peer.disconnectedFromPeers) {
-                pages.forEach(
-                        page -> cluster.deliver(() -> peer.receive(recipient, new Input.PeerStatusReceived(page))));
+                pages.forEach(page ->
+                        cluster.deliver(() -> peer.receive(recipientIncarnation, new Input.PeerStatusReceived(page))));
             }
         }
     }
--- a/src/test/java/dewlane/sim/SimFixtures.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -91,9 +91,9 @@
         return name == null ? null : cluster.controllers.get(name);
     }
 
-    static SimController anotherController(SimCluster cluster, SimController than) {
+    static SimController anotherController(SimCluster cluster, SimController excluded) {
         return cluster.controllers.values().stream()
-                .filter(controller -> controller != than && controller.alive)
+                .filter(controller -> controller != excluded && controller.alive)
                 .findFirst()
                 .orElseThrow();
     }
--- a/src/test/java/dewlane/sim/SimStore.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -199,10 +199,11 @@
     }
 
     private void receiveUnknownResult(SimController controller, long id) {
-        int sender = controller.incarnation;
+        int senderIncarnation = controller.incarnation;
         cluster.after(
                 REQUEST_TIMEOUT_MS,
-                () -> controller.receive(sender, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
+                () -> controller.receive(
+                        senderIncarnation, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
     }
 
     private static boolean isCommitted(Input.TransactionCompleted result) {
@@ -233,10 +234,10 @@
     }
 
     private boolean preconditionsHold(Transaction transaction) {
-        return transaction.preconditions().stream().allMatch(guard -> {
-            VersionedValue stored = keys.get(guard.key());
+        return transaction.preconditions().stream().allMatch(precondition -> {
+            VersionedValue stored = keys.get(precondition.key());
             long version = stored == null ? 0 : stored.version;
-            return version == guard.version() || isPreconditionDisabled(guard.key());
+            return version == precondition.version() || isPreconditionDisabled(precondition.key());
         });
     }
 
--- a/src/test/java/dewlane/sim/SimStoreUsage.java
+++ b/src/test/java/dewlane/sim/SimStoreUsage.java
@@ -28,9 +28,9 @@
         largestTransactionBytes =
                 Math.max(largestTransactionBytes, StoreProtocol.transactionRequest(transaction).length);
         for (Transaction.Write write : transaction.writes()) {
-            boolean ofMachineRecord = write.key().startsWith(StoreKeys.DECOMMISSIONS);
-            decommissionWrites += ofMachineRecord ? 1 : 0;
-            writes += ofMachineRecord ? 0 : 1;
+            boolean isDecommissionRecord = write.key().startsWith(StoreKeys.DECOMMISSIONS);
+            decommissionWrites += isDecommissionRecord ? 1 : 0;
+            writes += isDecommissionRecord ? 0 : 1;
             if (write.value() != null) {
                 largestValueBytes = Math.max(largestValueBytes, StoredValueCodec.encode(write.value()).length);
             }
--- a/src/test/java/dewlane/sim/SimTaskExecutor.java
+++ b/src/test/java/dewlane/sim/SimTaskExecutor.java
@@ -100,37 +100,38 @@
         worker.heartbeats.sendSoon();
     }
 
-    void execute(WorkerCommand order, long sentAt) {
-        String key = order.job() + "/" + order.task() + "#" + order.attempt();
+    void execute(WorkerCommand command, long sentAt) {
+        String key = command.job() + "/" + command.task() + "#" + command.attempt();
         SimAttempt attempt = attempts.get(key);
-        switch (order.action()) {
+        switch (command.action()) {
             case LAUNCH -> {
                 if (attempt == null) {
-                    launch(order, key, sentAt);
+                    launch(command, key, sentAt);
                 }
             }
             case STOP -> {
                 if (attempt != null && !attempt.hasExited()) {
-                    stop(attempt, order.graceS());
+                    stop(attempt, command.graceS());
                 }
             }
             case FORGET -> {
                 if (attempt != null && attempt.hasExited()) {
-                    forget(order, key);
+                    forget(command, key);
                 }
             }
         }
         worker.heartbeats.sendSoon();
     }
 
-    private void launch(WorkerCommand order, String key, long sentAt) {
+    private void launch(WorkerCommand command, String key, long sentAt) {
         if (forgotten.contains(key)) {
             cluster.checker.fail("launched_again", key + " on " + worker.name + ", which was told to forget it");
         }
-        SimAttempt attempt = new SimAttempt(order.job(), order.task(), order.attempt(), sentAt);
+        SimAttempt attempt = new SimAttempt(command.job(), command.task(), command.attempt(), sentAt);
         boolean busy = attempts.values().stream()
-                .anyMatch(other -> !other.hasExited() && other.job.equals(order.job()) && other.task == order.task());
-        boolean fits = fits(cluster.users.job(order.job()));
+                .anyMatch(
+                        other -> !other.hasExited() && other.job.equals(command.job()) && other.task == command.task());
+        boolean fits = fits(cluster.users.job(command.job()));
         attempts.put(key, attempt);
         if (busy) {
             attempt.exit(ExitReason.BUSY);
@@ -152,9 +153,9 @@
         }
     }
 
-    private void forget(WorkerCommand order, String key) {
+    private void forget(WorkerCommand command, String key) {
         attempts.remove(key);
         forgotten.add(key);
-        forgottenBeforeDelayedLaunch += cluster.commands.hasLaunchInFlight(worker.name, order) ? 1 : 0;
+        forgottenBeforeDelayedLaunch += cluster.commands.hasLaunchInFlight(worker.name, command) ? 1 : 0;
     }
 }
--- a/src/test/java/dewlane/sim/SimWatches.java
+++ b/src/test/java/dewlane/sim/SimWatches.java
@@ -12,7 +12,7 @@
     private static final long BLOCK_MS = 1000;
 
     private static final long TIMEOUT_MS = 2500;
-    private static final long OPENING_MS = 60;
+    private static final long OPEN_DELAY_MS = 60;
 
     private final SimCluster cluster;
     private final SimStore store;
@@ -25,7 +25,7 @@
 
     void open(SimController controller, long since) {
         int incarnation = controller.incarnation;
-        cluster.after(OPENING_MS, () -> {
+        cluster.after(OPEN_DELAY_MS, () -> {
             if (controller.incarnation == incarnation) {
                 Watch watch = new Watch(controller, incarnation, since, cluster.now());
                 watches.add(watch);
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -176,14 +176,14 @@
         if (inboundBlocked || sender.equals(inboundBlockedFrom) || blockedControllers.contains(sender)) {
             return;
         }
-        Runnable both = () -> {
+        Runnable commandAndReply = () -> {
             command.run();
             reply.run();
         };
         if (disconnected || !isResponsive()) {
-            pendingCommands.add(both);
+            pendingCommands.add(commandAndReply);
         } else {
-            both.run();
+            commandAndReply.run();
         }
     }
 
@@ -210,19 +210,19 @@
             return;
         }
         leaseStart = Math.max(leaseStart, heartbeatSentAt);
-        accept(reply.token(), reply.orders(), repliedAt);
+        accept(reply.token(), reply.commands(), repliedAt);
     }
 
     private boolean isTokenStale(long token) {
         return token < fencingToken && cluster.disabledCheck != SimCluster.DisabledCheck.FENCING_TOKEN;
     }
 
-    private void accept(long token, List<WorkerCommand> orders, long sentAt) {
+    private void accept(long token, List<WorkerCommand> commands, long sentAt) {
         if (token > fencingToken) {
             fencingToken = token;
             heartbeats.sendSoon();
         }
-        orders.forEach(order -> executor.execute(order, sentAt));
+        commands.forEach(command -> executor.execute(command, sentAt));
     }
 
     @Override
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -106,19 +106,20 @@
     @Test
     void lateDuplicateHeartbeatRestoresNoTerminatedMachineAndTransfersNone() {
         SimCluster cluster = cluster(SEED, 6);
-        SimWorker gone = cluster.workers().iterator().next();
-        List<Heartbeat> copies = List.of(gone.nextHeartbeat(), gone.nextHeartbeat(), gone.nextHeartbeat());
-        cluster.cloud.machines.remove(gone.name);
-        gone.terminate();
+        SimWorker terminated = cluster.workers().iterator().next();
+        List<Heartbeat> duplicates =
+                List.of(terminated.nextHeartbeat(), terminated.nextHeartbeat(), terminated.nextHeartbeat());
+        cluster.cloud.machines.remove(terminated.name);
+        terminated.terminate();
         cluster.runUntil(50_000);
 
         cluster.crashAllControllers(300);
         cluster.runUntil(60_000);
         StoredValue.PartitionMap mapBefore = partitionMap(cluster);
         Set<String> recordsBefore = cluster.store.scan(StoreKeys.DECOMMISSIONS).keySet();
-        for (int i = 0; i < copies.size(); i++) {
+        for (int i = 0; i < duplicates.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
-                gone.heartbeats.deliverDuplicate(copies.get(i), controller, 1 + 4000L * i);
+                terminated.heartbeats.deliverDuplicate(duplicates.get(i), controller, 1 + 4000L * i);
             }
         }
         cluster.users.submit(job(1, 14, 2, 5));
@@ -128,7 +129,7 @@
         records.keySet().removeAll(recordsBefore);
 
         assertEquals(Map.of(), records, "none was condemned");
-        assertFalse(cluster.recentTrace("wk-000001/").contains("on " + gone.name));
+        assertFalse(cluster.recentTrace("wk-000001/").contains("on " + terminated.name));
         assertEquals(14, cluster.checker.taskStarts, "nothing was launched on what is gone");
     }
 }
--- a/src/test/java/dewlane/sim/WorkerFaults.java
+++ b/src/test/java/dewlane/sim/WorkerFaults.java
@@ -31,9 +31,9 @@
         target.worker().ifPresent(worker -> disconnect(target, worker, 2000));
     }
 
-    private static void disconnect(FaultTarget target, SimWorker worker, int shortestMs) {
+    private static void disconnect(FaultTarget target, SimWorker worker, int minMs) {
         worker.disconnected = true;
-        target.afterRandomDelay(shortestMs, 40_000, () -> worker.disconnected = false);
+        target.afterRandomDelay(minMs, 40_000, () -> worker.disconnected = false);
     }
 
     static void failTasks(FaultTarget target) {
@@ -86,10 +86,10 @@
     static void loseHalfOfZone(FaultTarget target) {
         SimCluster cluster = target.cluster();
         String zone = cluster.chance(0.5) ? "east" : "west";
-        int how = cluster.random.nextInt(3);
+        int faultKind = cluster.random.nextInt(3);
         for (SimWorker worker : target.runningWorkers()) {
             if (worker.zone.equals(zone) && cluster.chance(0.5)) {
-                switch (how) {
+                switch (faultKind) {
                     case 0 -> worker.terminate();
                     case 1 -> freezeOnce(worker, cluster.randomBetween(5000, 40_000));
                     default -> disconnect(target, worker, 5000);
