--- a/src/test/java/dewlane/sim/AnswerConsistencyTest.java
+++ b/src/test/java/dewlane/sim/AnswerConsistencyTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Users ask several controllers about a job within milliseconds of its changes. The checker holds each job to the one
- * final state that a user was told first.
+ * Users poll several controllers for a job within milliseconds of its state changes. All answers must agree on one
+ * final state; {@link AnswerChecker} fails the run if a later answer contradicts the first final one.
  */
 class AnswerConsistencyTest {
     private static final long STEP_MS = 7;
 
-    /** Polls the job at every controller several times within milliseconds, and repeats its submission there. */
+    /** Polls every controller for the job several times within milliseconds, and repeats its submission there. */
     private static void pollEverywhere(SimCluster cluster, String job) {
         for (int round = 0; round < 4; round++) {
             for (SimController controller : cluster.controllers.values()) {
@@ -34,7 +34,10 @@
         }
     }
 
-    /** The watches lag, so that only the read barrier keeps them from an older state. */
+    /**
+     * The watches lag, so that only the read barrier (reading the store's revision before answering) prevents answers
+     * from an older state.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void pollsAtAllControllersWithLaggingWatchesNeverGoBack(long seed) {
@@ -114,7 +117,9 @@
                 .filter(result -> ((StoredValue.JobResult) result).cancelled())
                 .count();
 
-        assertTrue(cancelled > 0 && cancelled < 30, cancelled + " of 30 were cancelled before their end was written");
+        assertTrue(
+                cancelled > 0 && cancelled < 30,
+                cancelled + " of 30 jobs were cancelled before their completion was recorded");
     }
 
     private static void pollAndResubmitCompletedJobs(SimCluster cluster) {
--- a/src/test/java/dewlane/sim/ControllerFailoverTest.java
+++ b/src/test/java/dewlane/sim/ControllerFailoverTest.java
@@ -26,13 +26,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers end, together or in turn, while something else fails or work is under way. */
+/**
+ * Controllers crash, together or one after the other, while other parts fail or tasks are being launched and cancelled.
+ */
 class ControllerFailoverTest {
     private static final String JOB = jobId(1);
 
     /**
-     * The times of the deployments with the shortest and the longest lease: what is lost follows from them, not from
-     * seconds in the code.
+     * Runs with the times of the deployments with the shortest and the longest worker lease: timeouts in the code must
+     * follow from these settings, and must not be fixed numbers of seconds.
      */
     @ParameterizedTest
     @CsvSource({"2.5, 14, 44", "5, 31, 61"})
@@ -104,9 +106,9 @@
             leader(cluster).crash(2000);
         }
 
-        assertTrue(starts >= 4, "they ran one after the other: " + starts);
+        assertTrue(starts >= 4, "tasks ran one after the other, starts: " + starts);
         assertRecovers(cluster, 200_000);
-        assertEquals(6, cluster.checker.taskStarts, "and each once");
+        assertEquals(6, cluster.checker.taskStarts, "each task started once");
     }
 
     @ParameterizedTest
@@ -121,7 +123,7 @@
         workers.get(3).inboundBlocked = true;
         leader(cluster).crash(8000);
         cluster.runUntil(33_000);
-        assertTrue(partitionMap(cluster).members().size() < 3, "it has been taken out of the map");
+        assertTrue(partitionMap(cluster).members().size() < 3, "the leader was evicted from the partition map");
         workers.get(1).disconnected = false;
         workers.get(3).inboundBlocked = false;
         cluster.runUntil(80_000);
@@ -129,8 +131,8 @@
         workers.get(2).inboundBlocked = false;
 
         assertRecovers(cluster, 300_000);
-        assertTrue(cluster.checker.taskStarts > 18, "what could not be reached in time was begun again");
-        assertTrue(workers.stream().skip(4).noneMatch(worker -> worker.terminated), "and the others lost nothing");
+        assertTrue(cluster.checker.taskStarts > 18, "tasks of machines that stayed unreachable were restarted");
+        assertTrue(workers.stream().skip(4).noneMatch(worker -> worker.terminated), "no other machine was deleted");
     }
 
     @ParameterizedTest
@@ -143,13 +145,13 @@
         cluster.crashAllControllers(36_000);
         cluster.runUntil(56_000);
 
-        assertEquals(0, runningTasks(cluster, JOB), "their leases have ended");
+        assertEquals(0, runningTasks(cluster, JOB), "the worker leases have expired");
         assertNotNull(cluster.store.get(StoreKeys.job(JOB)));
         assertRecovers(cluster, 300_000);
-        assertTrue(cluster.checker.taskStarts >= 24, "every task was begun again");
+        assertTrue(cluster.checker.taskStarts >= 24, "every task was restarted");
     }
 
-    /** A quota that is lent launch by launch, and one that the controllers share. */
+    /** Runs with a quota that is too small to be divided among the controllers, and with one that is divided. */
     @ParameterizedTest
     @ValueSource(doubles = {12, 1200})
     void leaderCrashWhileWorkersAreDisconnectedKeepsTeamWithinQuota(double quotaCpus) {
@@ -164,7 +166,7 @@
         cluster.runUntil(40_000);
 
         long running = runningTasks(cluster, JOB) + runningTasks(cluster, jobId(2)) + runningTasks(cluster, jobId(3));
-        assertTrue(running * 2 > quotaCpus * 0.95, running + " tasks are as many as the quota allows");
+        assertTrue(running * 2 > quotaCpus * 0.95, running + " tasks run, fewer than the quota allows");
         List<SimWorker> workers = workersRunning(cluster, JOB);
         List<SimWorker> lost = workers.subList(0, Math.max(1, workers.size() / 3));
         lost.forEach(worker -> worker.disconnected = true);
@@ -173,7 +175,9 @@
         cluster.users.cancel(JOB);
         cluster.runUntil(52_000);
         assertEquals(JobCondition.CANCELLED, cluster.checker.lastReportedCondition(JOB));
-        assertTrue(lost.stream().anyMatch(worker -> worker.runningTasks(JOB) > 0), "what cannot be asked still runs");
+        assertTrue(
+                lost.stream().anyMatch(worker -> worker.runningTasks(JOB) > 0),
+                "cancelled tasks still run on disconnected workers");
         cluster.runUntil(65_000);
         lost.forEach(worker -> worker.disconnected = false);
 
@@ -205,7 +209,7 @@
         assertTrue(epoch > 8, "epoch " + epoch);
     }
 
-    /** Machines that boot at once get work while writes are delayed and the leader ends. */
+    /** Machines that boot within 2 s get tasks while writes are delayed and the leader crashes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void leaderCrashDuringScaleOutWithDelayedWritesLosesNoJob(long seed) {
@@ -220,9 +224,9 @@
 
         int machines = cluster.workers().size();
         assertTrue(machines > 3, machines + " machines");
-        assertNotEquals(first, leader(cluster), "another leads");
+        assertNotEquals(first, leader(cluster), "another controller leads");
         cluster.runUntil(40_000);
-        assertTrue(cluster.store.delayedWrites > 5, cluster.store.delayedWrites + " writes were carried out late");
+        assertTrue(cluster.store.delayedWrites > 5, cluster.store.delayedWrites + " writes were delayed");
         cluster.store.delayedWriteRate = 0;
 
         assertRecovers(cluster, 300_000);
@@ -244,7 +248,7 @@
             cluster.after(400L * i, () -> cluster.users.cancel(job));
         }
         cluster.runUntil(30_000);
-        assertTrue(partitionMap(cluster).epoch() >= epoch + 2, "the partition was taken over and given back");
+        assertTrue(partitionMap(cluster).epoch() >= epoch + 2, "ownership was transferred and transferred back");
         for (int i = 1; i <= 8; i++) {
             assertEquals(JobCondition.CANCELLED, cluster.checker.lastReportedCondition(jobId(i)));
         }
--- a/src/test/java/dewlane/sim/ControllerRestartTest.java
+++ b/src/test/java/dewlane/sim/ControllerRestartTest.java
@@ -13,11 +13,14 @@
 import dewlane.core.schema.StoredValue;
 import org.junit.jupiter.api.Test;
 
-/** What a controller's end and return cost: found once each, and played again from the start. */
+/**
+ * Regression tests for what a controller's crash and restart cost: accepted jobs, running tasks, fencing tokens and
+ * changes of the partition map.
+ */
 class ControllerRestartTest {
     private static final long SEED = 5;
     private static final String JOB = jobId(1);
-    /** A fencing token holds the epoch of the partition map above so many bits. */
+    /** A fencing token holds the epoch of the partition map in the bits from this one upward. */
     private static final int TOKEN_EPOCH_SHIFT = 20;
 
     @Test
@@ -52,7 +55,10 @@
         assertFinished(cluster, JOB);
     }
 
-    /** A map that changes elsewhere fences off no launch: at scale each crash undid every launch under way. */
+    /**
+     * A change of the partition map must not change the fencing tokens of machines that keep their owner. When it did,
+     * each crash in a large cluster invalidated every launch in flight.
+     */
     @Test
     void machinesThatKeepTheirOwnerKeepTheirFencingToken() {
         SimCluster cluster = clusterRunning(SEED, 9, 10_150, job(1, 18, 2, 30));
@@ -61,16 +67,17 @@
         cluster.runUntil(200_000);
         StoredValue.PartitionMap map = partitionMap(cluster);
 
-        assertTrue(map.epoch() >= 5, "n2 left and came back");
+        assertTrue(map.epoch() >= 5, "n2 was evicted and rejoined");
         assertTrue(
                 cluster.workers().stream()
                         .anyMatch(worker -> worker.fencingToken() >> TOKEN_EPOCH_SHIFT < map.epoch() - 1),
-                "some kept their token");
+                "some machines kept their fencing token");
         assertFinished(cluster, JOB);
     }
 
     /**
-     * Seen on a grown deployment: each wandering worker of a dead controller made a map, and each map undid launches.
+     * Workers of a crashed controller move to others one by one. When each move changed the partition map, every change
+     * invalidated launches in flight; a crash and a restart may change the map only once each.
      */
     @Test
     void controllerRestartChangesPartitionMapTwice() {
--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -18,14 +18,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Direct commands from controllers to workers are delayed for seconds, while what they are about goes on. */
+/** Direct commands arrive at workers seconds late, after their attempts, jobs or senders have changed state. */
 class DelayedCommandsTest {
     private static final int SEEDS = 20;
     private static final String JOB = jobId(1);
 
     /**
-     * As in the incident: a machine's tasks fail within half a second of a launch that came with the reply to a
-     * heartbeat, so that attempts end before the command that launches them as well arrives.
+     * An attempt is launched both by a direct command and by the reply to a heartbeat. The reply arrives first, the
+     * task fails within half a second, and the worker forgets the attempt. The delayed command must not launch the
+     * attempt again.
      */
     @Test
     void attemptsForgottenBeforeTheirDelayedLaunchArrivesAreNotLaunchedAgain() {
@@ -56,7 +57,9 @@
         });
     }
 
-    /** Launches that reach frozen workers are carried out when those go on, unless their job is cancelled meanwhile. */
+    /**
+     * Launches that arrive at frozen workers are executed when these resume, unless the job was cancelled meanwhile.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void launchesDelayedByFrozenWorkersStartOnceUnlessCancelledMeanwhile(long seed) {
@@ -68,8 +71,8 @@
 
         cluster.workers().forEach(worker -> worker.frozenUntil = cluster.now() + 6000);
         cluster.runUntil(13_000);
-        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were written");
-        assertEquals(0, cluster.checker.taskStarts, "and none arrived");
+        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were recorded");
+        assertEquals(0, cluster.checker.taskStarts, "no launch was executed yet");
         if (cancelled) {
             cluster.users.cancel(JOB);
         }
@@ -79,7 +82,7 @@
         }
         assertRecovers(cluster, 200_000);
         if (!cancelled) {
-            assertEquals(6, cluster.checker.taskStarts, "each delayed launch began once");
+            assertEquals(6, cluster.checker.taskStarts, "each delayed launch started its task once");
         }
     }
 
@@ -95,7 +98,7 @@
         cluster.runUntil(45_000);
         assertTrue(
                 cluster.commands.deliveredAfterSenderEnded > 0,
-                cluster.commands.delayed + " delayed, none past its sender");
+                cluster.commands.delayed + " commands delayed, none of them arrived after its sender had ended");
 
         cluster.commands.delayRate = 0;
 
--- a/src/test/java/dewlane/sim/DependencyCancellationTest.java
+++ b/src/test/java/dewlane/sim/DependencyCancellationTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The cancellation of a job cancels all that depends on it, whatever fails or races with it. */
+/** The cancellation of a job cancels all its dependants, also during faults and concurrent submissions. */
 class DependencyCancellationTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -48,7 +48,7 @@
         assertTrue(cancelledInStore(cluster, 2) && cancelledInStore(cluster, 3) && cancelledInStore(cluster, 5));
     }
 
-    /** The store is out from just after the confirmation to beyond the time that a cancellation may take. */
+    /** The store is unavailable from just after the confirmation until after the cancellation deadline. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void outageAfterConfirmationDoesNotKeepDependantsFromBeingCancelled(long seed) {
@@ -79,7 +79,10 @@
                 .forEach(controller -> cluster.users.pollThrough(controller, job));
     }
 
-    /** A submission races the cancellation of its dependency; whichever is first, both are told the same in the end. */
+    /**
+     * Jobs are submitted while their dependency is being cancelled. Whichever is committed first, these jobs end as
+     * cancelled.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void submissionThatRacesCancellationOfItsDependencyIsCancelledToo(long seed) {
--- a/src/test/java/dewlane/sim/DependencyFixtures.java
+++ b/src/test/java/dewlane/sim/DependencyFixtures.java
@@ -13,19 +13,19 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
-/** What tests of jobs with dependencies share. */
+/** Helpers for tests of jobs with dependencies. */
 final class DependencyFixtures {
     private static final long REPLY_MS = 3000;
 
     private DependencyFixtures() {}
 
-    /** The job, made to depend on those with the given numbers. */
+    /** Returns the job with dependencies on the jobs of the given numbers. */
     static Job dependent(Job job, int... dependencies) {
         return job.withDependencies(
                 IntStream.of(dependencies).mapToObj(SimFixtures::jobId).toList());
     }
 
-    /** Two short tasks of one CPU. */
+    /** Returns a job of two short tasks of one CPU each. */
     static Job smallJob(int number, int... dependencies) {
         return dependent(job(number, 2, 1, 4), dependencies);
     }
@@ -34,13 +34,13 @@
         return cluster.controllers.get("n" + number);
     }
 
-    /** Submits a job through a controller, once, and waits for the answer. */
+    /** Submits a job to a controller, without retries, and returns the answer. */
     static Effect.AnswerUser submitThrough(SimController controller, Job job) {
         controller.cluster.users.register(job);
         return awaitAnswer(controller.cluster, onReply -> controller.submit(job, onReply));
     }
 
-    /** Asks a controller about a job, once, and waits for the answer; null if that names no condition. */
+    /** Polls a controller once for a job, and returns the condition in its answer, or null if it has none. */
     static JobCondition pollCondition(SimController controller, String job) {
         Effect.AnswerUser answer = awaitAnswer(controller.cluster, onReply -> controller.poll(job, onReply));
         return answer.job() == null ? null : answer.job().condition();
--- a/src/test/java/dewlane/sim/JobDependenciesTest.java
+++ b/src/test/java/dewlane/sim/JobDependenciesTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs that depend on others: which submissions are accepted, and when they start. */
+/** Jobs with dependencies: which submissions are accepted, and when the jobs start. */
 class JobDependenciesTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -57,7 +57,7 @@
 
         assertRecovers(cluster, 150_000);
         assertEquals(jobs.size(), cluster.users.accepted().size());
-        assertEquals(2 * jobs.size(), cluster.checker.taskStarts, "each task ran once");
+        assertEquals(2 * jobs.size(), cluster.checker.taskStarts, "each task started once");
     }
 
     @ParameterizedTest
@@ -72,7 +72,7 @@
         cluster.runUntil(40_000);
         assertTrue(doneInStore(cluster, 1) && cancelledInStore(cluster, 2));
 
-        // No controller that starts anew knows of what is over.
+        // After a restart no controller has ended jobs in memory.
         cluster.crashAllControllers(1000);
         cluster.runUntil(60_000);
 
@@ -93,7 +93,7 @@
         assertEquals(503, submitThrough(controller(cluster, 0), smallJob(4, 1)).status());
         cluster.runFor(10_000);
 
-        // One that was accepted stays known whatever a repeat of it names.
+        // An accepted job stays accepted, even if a repeated submission names other dependencies.
         assertEquals(201, submitThrough(controller(cluster, 1), smallJob(5)).status());
         cluster.runFor(20_000);
         cluster.crashAllControllers(500);
@@ -103,7 +103,7 @@
         assertNull(cluster.store.get(StoreKeys.job(jobId(2))));
     }
 
-    /** Any controller may have accepted the dependency a moment ago, which this one's watch has not shown yet. */
+    /** Another controller has just accepted the dependency, and the watch has not delivered it to this one yet. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void dependencyJustAcceptedByAnotherControllerIsFound(long seed) {
@@ -125,7 +125,10 @@
         assertRecovers(cluster, 60_000);
     }
 
-    /** The owner, or all controllers, end between the last outcome and the start of what it releases. */
+    /**
+     * The owner or all controllers crash after the last task of a dependency has ended, and before the dependant
+     * starts.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void controllersThatCrashBeforeReleasingDependantLoseNothing(long seed) {
@@ -154,8 +157,8 @@
     }
 
     /**
-     * While it waits, a job takes no part of its team's quota and preempts nobody; its start is counted from its
-     * release.
+     * While it waits for dependencies, a job uses none of its team's quota and preempts no task; its waiting time
+     * counts from the end of its last dependency.
      */
     @Test
     void waitingJobUsesNoQuotaAndPreemptsNobody() {
@@ -172,11 +175,14 @@
         int startsBefore = cluster.checker.taskStarts;
         cluster.runFor(25_000);
 
-        assertEquals(startsBefore, cluster.checker.taskStarts, "nothing was stopped or started for those that wait");
+        assertEquals(startsBefore, cluster.checker.taskStarts, "no task was started or preempted for waiting jobs");
         assertRecovers(cluster, 700_000);
     }
 
-    /** A job of low priority that urgent work needs goes before other work of its own priority that came first. */
+    /**
+     * A job of low priority that an urgent job depends on is scheduled before other jobs of its own priority that were
+     * submitted first.
+     */
     @Test
     void dependencyOfUrgentJobIsTreatedAsUrgent() {
         SimCluster cluster = cluster(10, 9);
@@ -186,7 +192,7 @@
         submitThrough(controller(cluster, 1), dependent(job(3, Priority.CRITICAL, 1, 4, 2), 2));
         cluster.runFor(60_000);
 
-        assertTrue(doneInStore(cluster, 2) && doneInStore(cluster, 3), "the pipeline went first");
+        assertTrue(doneInStore(cluster, 2) && doneInStore(cluster, 3), "the pipeline was scheduled first");
         assertFalse(doneInStore(cluster, 1));
     }
 
--- a/src/test/java/dewlane/sim/JobDistributionTest.java
+++ b/src/test/java/dewlane/sim/JobDistributionTest.java
@@ -27,12 +27,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Where waiting tasks go: among partitions, machines and zones, and before which other work. */
+/** Where pending tasks are placed: in which partition, machine and zone, and by preempting which other tasks. */
 class JobDistributionTest {
     private static final long SEED = 5;
     private static final String JOB = jobId(1);
 
-    /** Found by the random runs: a demand of a small part of a machine was rounded down to none, for ever. */
+    /**
+     * Unmet demand for a small part of a machine must create a machine. It was once rounded down to none, and the job
+     * never ran.
+     */
     @Test
     void smallestUnmetDemandCreatesMachine() {
         SimCluster cluster = cluster(SEED, 3);
@@ -46,8 +49,8 @@
     }
 
     /**
-     * Found in a day's log: each hand-over of waiting tasks made a slice, until a job had more of them than one
-     * transaction may delete, and never ended.
+     * Each transfer of pending tasks to another partition used to split off a slice, until a job had more slices than
+     * one transaction may delete and so never completed.
      */
     @Test
     void jobWhoseTasksWereTransferredManyTimesCanStillEnd() {
@@ -73,8 +76,8 @@
     }
 
     /**
-     * Found by a score that fell: with room nowhere, all partitions looked alike, and the first got all work that
-     * waited.
+     * Without free capacity anywhere all partitions rank the same. Pending tasks must then be spread evenly; the first
+     * partition once got all of them.
      */
     @Test
     void tasksWithoutRoomAnywhereAreSpreadAcrossPartitions() {
@@ -96,7 +99,10 @@
         assertEquals(Map.of("n0", 30, "n1", 30, "n2", 30), waiting);
     }
 
-    /** Found by the random runs: tasks waiting before others that were done stayed with a partition without room. */
+    /**
+     * Pending tasks whose numbers precede those of done tasks of the same slice used to stay in a partition that had no
+     * room for them.
+     */
     @Test
     void tasksWaitingBeforeDoneOnesFindRoomInAnotherPartition() {
         SimCluster cluster = cluster(SEED, 3);
@@ -136,7 +142,7 @@
             cluster.users.submit(job(i, Priority.IDLE, 8, 1, 120));
         }
         cluster.runUntil(40_000);
-        assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks() >= 3), "the fleet is full");
+        assertTrue(cluster.workers().stream().allMatch(worker -> worker.runningTasks() >= 3), "all machines are full");
 
         cluster.users.submit(JobBuilder.job(jobId(7))
                 .priority(Priority.CRITICAL)
@@ -146,8 +152,8 @@
                 .build());
         cluster.runUntil(75_000);
 
-        assertEquals(8, cluster.recentTrace("start " + jobId(7)).lines().count(), "urgent tasks began");
-        assertTrue(cluster.recentTrace("STOPPED").lines().count() > 0, "others were stopped for them");
+        assertEquals(8, cluster.recentTrace("start " + jobId(7)).lines().count(), "critical tasks started");
+        assertTrue(cluster.recentTrace("STOPPED").lines().count() > 0, "idle tasks were preempted");
         assertRecovers(cluster, 900_000);
     }
 
@@ -171,7 +177,7 @@
         workersRunning(cluster, jobId(2)).get(0).terminate();
 
         assertRecovers(cluster, 300_000);
-        assertTrue(cluster.checker.taskStarts > 19, "tasks were lost and begun again");
+        assertTrue(cluster.checker.taskStarts > 19, "lost tasks were restarted");
     }
 
     private static JobBuilder zoneJob(int number, int tasks) {
--- a/src/test/java/dewlane/sim/LargeClusterTest.java
+++ b/src/test/java/dewlane/sim/LargeClusterTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Thousands of machines, seven controllers and arrays of hundreds of tasks: what is counted must not grow with them.
+ * Thousands of machines, seven controllers and jobs of hundreds of tasks. Writes per job, jobs considered per
+ * scheduling cycle and the sizes of values and transactions must stay below fixed bounds.
  */
 class LargeClusterTest {
     private static final long SEED = 11;
@@ -66,7 +67,7 @@
         return 60 + 7 * (number % 11);
     }
 
-    /** All controllers but the first end for 20 s. */
+    /** Crashes all controllers but the first, for 20 s. */
     private static void crashAllButFirst(SimCluster cluster) {
         cluster.controllers.values().stream().skip(1).forEach(controller -> controller.crash(20_000));
     }
@@ -79,7 +80,7 @@
 
     private static void assertFewWritesPerJob(SimCluster cluster, long writesBefore) {
         double perJob = (double) (cluster.store.usage.writes - writesBefore) / JOBS;
-        assertTrue(perJob <= MAX_WRITES_PER_JOB, perJob + " writes a job");
+        assertTrue(perJob <= MAX_WRITES_PER_JOB, perJob + " writes per job");
     }
 
     private static void assertValuesTakeHalfOfLimit(SimCluster cluster) {
@@ -88,7 +89,7 @@
     }
 
     private static void assertNoMachineDeleted(SimCluster cluster, int machines) {
-        assertEquals(machines, cluster.workers().size(), "no machine was deleted for its silence");
+        assertEquals(machines, cluster.workers().size(), "no machine was deleted as unresponsive");
     }
 
     @Test
@@ -110,11 +111,14 @@
         assertTrue(transactionBytes <= MAX_TRANSACTION_BYTES / 2, "a transaction of " + transactionBytes + " bytes");
         for (SimController controller : cluster.controllers.values()) {
             double jobsPerCycle = controller.jobsPerCycle();
-            assertTrue(jobsPerCycle < 40, controller.name + " considers " + jobsPerCycle + " jobs a cycle");
+            assertTrue(jobsPerCycle < 40, controller.name + " considers " + jobsPerCycle + " jobs per cycle");
         }
     }
 
-    /** Found by counting: what a controller alone with all machines told its peers was longer than they take. */
+    /**
+     * The status that a single controller with all machines sends to its peers once exceeded the size that they accept.
+     * It must be sent in pages.
+     */
     @Test
     void singleControllerKeepsAllMachinesAndSendsItsStatusInPages() {
         SimCluster cluster = cluster(600, MACHINES);
@@ -127,10 +131,10 @@
         assertNoMachineDeleted(cluster, MACHINES);
         long maps = partitionMap(cluster).epoch();
 
-        assertTrue(maps <= 3 * CONTROLLERS, maps + " maps for one crash of all but one");
+        assertTrue(maps <= 3 * CONTROLLERS, maps + " partition maps after a crash of all controllers but one");
     }
 
-    /** The same at 4,000 machines: none is lost, work runs, and what is counted a job stays as it is. */
+    /** At 4,000 machines none is lost, jobs run, and the number of writes per job stays within the same bound. */
     @Test
     void fourThousandMachinesAreServedEvenBySingleController() {
         int machines = 4000;
@@ -149,7 +153,10 @@
         assertValuesTakeHalfOfLimit(cluster);
     }
 
-    /** Counted on a day: each machine that went back cost three changes, and at most four a second did. */
+    /**
+     * Machines that are idle at the same time must be scaled in together. One by one, each cost three writes, and at
+     * most four machines a second were deleted.
+     */
     @Test
     void idleMachinesAreScaledInTogether() {
         SimCluster cluster = cluster(30, MACHINES);
--- a/src/test/java/dewlane/sim/MessageDelayTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Heartbeats and transactions arrive late, after newer ones or at a controller that has changed since. */
+/**
+ * Heartbeats and transactions arrive late: after newer ones, or at a controller that became leader or restarted in
+ * between.
+ */
 class MessageDelayTest {
     private static final String JOB = jobId(1);
 
@@ -45,7 +48,7 @@
             assertNotEquals(incarnation, worker.incarnation());
         }
         old.add(workersRunning(cluster, JOB).get(0).nextHeartbeat());
-        assertTrue(cluster.checker.taskStarts > 8, "tasks of the earlier incarnation were begun again");
+        assertTrue(cluster.checker.taskStarts > 8, "tasks of the earlier incarnation were restarted");
         cluster.users.submit(job(2, 6, 1, 4));
         for (int i = 0; i < old.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
@@ -72,7 +75,7 @@
         for (long waited = 0; partitionMap(cluster).epoch() == epochBefore && waited < 20_000; waited += 10) {
             cluster.runFor(10);
         }
-        assertNotEquals(epochBefore, partitionMap(cluster).epoch(), "another begins");
+        assertNotEquals(epochBefore, partitionMap(cluster).epoch(), "another controller becomes leader");
         for (int i = 0; i < workers.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
                 for (long afterMs : new long[] {1, 300, 1500}) {
@@ -82,7 +85,7 @@
         }
         cluster.runFor(15_000);
 
-        assertEquals(startsBefore, cluster.checker.taskStarts, "no task was begun again");
+        assertEquals(startsBefore, cluster.checker.taskStarts, "no task was restarted");
         assertRecovers(cluster, 200_000);
         assertFinished(cluster, JOB);
     }
@@ -107,7 +110,7 @@
         cluster.runUntil(50_000);
         int released = worker.heartbeats.release(newLeader);
 
-        assertTrue(released >= 2, "heartbeats of the old leader's time arrive at the new one");
+        assertTrue(released >= 2, "heartbeats sent under the old leader arrive at the new one");
         assertRecovers(cluster, 300_000);
     }
 
@@ -123,8 +126,10 @@
 
         int delayed = cluster.store.delayedWrites;
         int committed = cluster.store.delayedWritesCommitted;
-        assertTrue(delayed > 20, delayed + " late");
-        assertTrue(committed > 0 && committed < delayed, committed + " of " + delayed + " changed something");
+        assertTrue(delayed > 20, delayed + " transactions were delayed");
+        assertTrue(
+                committed > 0 && committed < delayed,
+                committed + " of " + delayed + " delayed transactions were committed");
         cluster.store.delayedWriteRate = 0;
 
         assertRecovers(cluster, 300_000);
--- a/src/test/java/dewlane/sim/NetworkPartitionTest.java
+++ b/src/test/java/dewlane/sim/NetworkPartitionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers and workers are up, but messages do not pass between some of them. */
+/** Network partitions: controllers and workers run, but some of them cannot reach each other. */
 class NetworkPartitionTest {
     private static final long SEED = 5;
     private static final String JOB = jobId(1);
@@ -47,7 +47,7 @@
                 .filter(worker -> worker.zone.equals("west"))
                 .mapToLong(SimWorker::runningTasks)
                 .sum();
-        assertTrue(runningInWest > 0, "tasks run in the zone");
+        assertTrue(runningInWest > 0, "tasks run in the disconnected zone");
         cluster.users.cancelThrough(cluster.controllers.get("n1"), JOB);
         cluster.users.submit(job(2, 6, 2, 5));
         cluster.runUntil(25_000 + 1000 * (long) cluster.settings.workerLeaseS() + 25_000);
@@ -57,7 +57,10 @@
         assertRecovers(cluster, 200_000);
     }
 
-    /** What is launched by direct commands on a machine that cannot report is lost with its lease. */
+    /**
+     * Direct commands still reach a machine whose heartbeats do not arrive. Tasks launched on it would be lost when its
+     * lease expires, so it must get none once it is unresponsive.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void workerWithBlockedHeartbeatsGetsNoMoreLaunchesOnceUnresponsive(long seed) {
@@ -69,12 +72,12 @@
         worker.outboundBlocked = true;
         submitInTurn(cluster, 900, 900, jobs(1, 60, i -> job(i, 20, 1, 4)));
         cluster.runUntil(14_000);
-        assertTrue(worker.runningTasks() > 0, "commands reach it");
+        assertTrue(worker.runningTasks() > 0, "direct commands reach the machine");
         cluster.runUntil(40_000);
         String events = cluster.recentTrace("on " + worker.name);
         assertFalse(
                 events.lines().anyMatch(line -> line.contains(" start ") && timeOf(line) > 33_000),
-                "nothing more began there\n" + events);
+                "tasks were started on the unresponsive machine\n" + events);
         worker.outboundBlocked = false;
 
         assertRecovers(cluster, 300_000);
@@ -95,13 +98,16 @@
         cluster.users.cancelThrough(anotherController(cluster, leader), JOB);
         cluster.every(500, () -> cluster.users.pollThrough(leader, JOB));
         cluster.runUntil(100_000);
-        assertNotEquals(leader.name, Partitioner.leaderOf(partitionMap(cluster)), "another leads");
+        assertNotEquals(leader.name, Partitioner.leaderOf(partitionMap(cluster)), "another controller leads");
         leader.endIsolation();
 
         assertRecovers(cluster, 200_000);
     }
 
-    /** Seen in a recorded incident: workers cut from their controller were sent back to it until their leases ended. */
+    /**
+     * Workers that cannot reach their controller used to be redirected back to it by the others until their leases
+     * expired and their tasks were lost. Their ownership must be transferred in time.
+     */
     @Test
     void workersDisconnectedFromTheirControllerAreTransferredAndLoseNoTask() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
@@ -110,12 +116,15 @@
         cluster.controllers.get("n0").disconnectedFromWorkers = true;
         cluster.runUntil(200_000);
 
-        assertEquals(18, cluster.checker.taskStarts, "every task ran on where it was");
-        assertEquals(9, cluster.workers().size(), "no machine was deleted for its silence");
+        assertEquals(18, cluster.checker.taskStarts, "no task was restarted");
+        assertEquals(9, cluster.workers().size(), "no machine was deleted as unresponsive");
         assertFinished(cluster, JOB);
     }
 
-    /** Seen in the same incident: a controller came back from a cut and condemned what others had taken over. */
+    /**
+     * A controller that was disconnected from the store and its workers used to decommission machines on its return
+     * that others had taken over meanwhile.
+     */
     @Test
     void controllerThatWasDisconnectedDecommissionsNoMachineOnItsReturn() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 80));
@@ -132,7 +141,10 @@
         assertEquals(18, cluster.checker.taskStarts);
     }
 
-    /** A controller alone stands still for longer than machines may be silent: what it slept through condemns none. */
+    /**
+     * The only live controller freezes for longer than the machine timeout. When it resumes, it must not decommission
+     * machines for heartbeats that it could not receive meanwhile.
+     */
     @Test
     void controllerThatWasFrozenDecommissionsNoMachineWhenItResumes() {
         SimCluster cluster = cluster(SEED, 9);
@@ -142,7 +154,7 @@
 
         cluster.users.submit(job(1, 18, 2, 80));
         cluster.runUntil(35_000);
-        // Nobody can take its partition over: its lease stays for as long as the store is out.
+        // No other controller can take over its partition: leases do not expire during an outage of the store.
         cluster.store.outage(45_000);
         cluster.controllers.get("n0").freeze(44_000);
         cluster.runUntil(200_000);
@@ -152,7 +164,10 @@
         }
     }
 
-    /** A fault the users named: a controller loses the store and the other controllers, not its workers. */
+    /**
+     * A controller loses the store and the other controllers, but not its workers. They must be transferred to others
+     * without losing a task.
+     */
     @Test
     void isolatedControllerTransfersItsWorkersAndDecommissionsNoMachine() {
         SimCluster cluster = clusterRunning(SEED, 9, 25_000, job(1, 18, 2, 60));
--- a/src/test/java/dewlane/sim/RandomFaultsTest.java
+++ b/src/test/java/dewlane/sim/RandomFaultsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Several controllers under every kind of fault, in seeded random order. */
+/** Runs several controllers under faults of all kinds, injected in a random order that the seed determines. */
 class RandomFaultsTest {
     private static final int RUNS_PER_GROUP = Integer.getInteger("dewlane.runs", 6);
     private static final int FIRST_SEED = 1000;
@@ -20,16 +20,19 @@
     private static final int LAST_DISABLED_CHECK_SEED = 400;
     static final long FAULT_PHASE_END_MS = 240_000;
     private static final long RUN_END_MS = 700_000;
-    /** What hangs or is cut off at the end of the storm does so for up to a minute more. */
+    /** A fault that is active at the end of the fault phase lasts up to a minute longer. */
     private static final long MAX_FAULT_MS = 60_000;
 
     private static final double DEPENDENCY_RATE = 0.4;
 
-    /** The limits that the store shrinks to in an upgrade. */
+    /** The store's lower limits, which apply from some time after an upgrade. */
     private static final StoreLimits SHRINKING_LIMITS =
             new StoreLimits(SimSettings.DEFAULT_LIMITS, new StoreLimits.Limits(150, 45, 1536, 4));
 
-    /** Blue's quota is lent launch by launch, green's is shared by the controllers, red has none. */
+    /**
+     * The quota of team blue is too small to be divided among the controllers, so its launches are serialized through
+     * the store; the quota of green is divided among the controllers; red has none.
+     */
     private static Settings settings(int controllers, boolean upgrade) {
         SimSettings settings = new SimSettings()
                 .controllers(controllers)
@@ -50,8 +53,9 @@
     }
 
     /**
-     * Runs a storm of faults, then calm. In an upgrade all controllers begin as the version before and are replaced a
-     * few at a time; once all are new, users ask for what is new, and soon the store's limits shrink.
+     * Injects faults until {@link #FAULT_PHASE_END_MS} and lets the cluster recover until {@link #RUN_END_MS}. In an
+     * upgrade all controllers start as version 0.1 and are upgraded one after the other; then users submit jobs with
+     * dependencies, which version 0.1 lacks, and within 30 s the store's limits shrink.
      */
     private static SimCluster run(long seed, int controllers, SimCluster.DisabledCheck disabledCheck, boolean upgrade) {
         SimCluster cluster = new SimCluster(seed, settings(controllers, upgrade), disabledCheck);
@@ -70,7 +74,7 @@
         cluster.every(3000, workload::sendUnusualRequest);
         cluster.every(5000, () -> {
             if (cluster.now() < FAULT_PHASE_END_MS) {
-                // Two at once, as faults are seldom alone.
+                // Two at once, since faults often coincide.
                 FaultInjector.inject(cluster);
                 FaultInjector.inject(cluster);
             }
@@ -96,7 +100,7 @@
         }
     }
 
-    /** Controllers that end before their turn come back as they were. */
+    /** Controllers that crash before their upgrade restart as version 0.1. */
     private static void scheduleUpgrade(SimCluster cluster, RandomWorkload workload) {
         long at = cluster.randomBetween(40_000, 70_000);
         for (SimController controller : cluster.controllers.values()) {
@@ -143,7 +147,10 @@
         }
     }
 
-    /** The checker is worth something only if it sees an invariant broken once its guard is gone. */
+    /**
+     * Tests the checker itself: it must detect a broken invariant once the check that protects that invariant is
+     * disabled.
+     */
     @ParameterizedTest
     @EnumSource(
             value = SimCluster.DisabledCheck.class,
@@ -156,7 +163,7 @@
                 return;
             }
         }
-        throw new AssertionError("300 runs without " + disabledCheck + " broke no invariant");
+        throw new AssertionError("300 runs without " + disabledCheck + " violated no invariant");
     }
 
     @Test
--- a/src/test/java/dewlane/sim/RollingUpgradeTest.java
+++ b/src/test/java/dewlane/sim/RollingUpgradeTest.java
@@ -24,11 +24,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One version replaces another while both serve, and the store's limits shrink under what is stored. */
+/**
+ * Rolling upgrades from version 0.1, during which both versions serve, and a lowering of the store's limits below the
+ * size of stored values.
+ */
 class RollingUpgradeTest {
     private static final long SETTLED_MS = 10_000;
 
-    /** Three controllers of version 0.1, with machines that have settled. */
+    /** Returns a settled cluster of three controllers of version 0.1. */
     private static SimCluster version01Cluster(long seed, int machines, StoreLimits.Limits nextLimits) {
         SimSettings settings = new SimSettings().storeLimits(new StoreLimits(SimSettings.DEFAULT_LIMITS, nextLimits));
         SimCluster cluster = SimCluster.withReliableLinks(seed, settings.build());
@@ -73,7 +76,10 @@
                 .toList();
     }
 
-    /** Limits under which a stored slice is cut at once, and ones under which it is cut by later slices. */
+    /**
+     * The limits include ones under which a stored slice can be split in one transaction, and ones under which it takes
+     * several.
+     */
     @ParameterizedTest
     @CsvSource({"1, 2048, 5", "2, 2048, 5", "3, 1024, 5", "4, 1024, 3", "5, 1024, 2", "6, 1200, 16"})
     void valuesStoredUnderLargerLimitsAreCutToSmallerOnes(long seed, int valueBytes, int txnOps) {
@@ -83,19 +89,19 @@
         cluster.runUntil(25_000);
 
         int bytes = largestSliceBytes(cluster);
-        assertTrue(bytes > valueBytes, bytes + " bytes are the most that is stored");
+        assertTrue(bytes > valueBytes, bytes + " bytes is the largest stored slice, which must exceed the new limit");
         upgradeAll(cluster, 3000);
         cluster.store.limits.shrink();
         cluster.runFor(60_000);
-        // Another controller goes on where one that was cutting ended.
+        // Another controller must continue the splitting that this one leaves unfinished.
         cluster.controllers.get("n1").crash(4000);
 
         assertRecovers(cluster, 400_000);
-        assertEquals(1200, cluster.checker.taskStarts, "every task ran once");
-        assertEquals(0, cluster.store.limits.exceeded, "nothing larger than the new limits was sent after they came");
+        assertEquals(1200, cluster.checker.taskStarts, "every task started once");
+        assertEquals(0, cluster.store.limits.exceeded, "no transaction exceeded the new limits after they applied");
     }
 
-    /** The shrinking may come while a controller that is down has not shown yet which version it is. */
+    /** The limits may be lowered while a controller is down whose version is not known yet. */
     @Test
     void controllerThatStaysDownDoesNotKeepLargeValuesFromBeingCut() {
         SimCluster cluster = version01Cluster(7, 150, limits(1024, 3));
@@ -139,8 +145,9 @@
     }
 
     /**
-     * A controller of version 0.1 is down, its lease has ended, and it comes back as it was: it would start what
-     * depends on other jobs.
+     * A controller of version 0.1 is down with its lease expired, and restarts as version 0.1. It would start jobs
+     * without regard to their dependencies, so no such job may be accepted until every controller has been seen
+     * upgraded.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
@@ -150,22 +157,22 @@
         upgrade(cluster, "n0", 1000);
         upgrade(cluster, "n1", 1500);
         cluster.runUntil(20_000);
-        assertEquals(List.of("n0", "n1"), members(cluster), "the map knows no controller of version 0.1");
+        assertEquals(List.of("n0", "n1"), members(cluster), "the partition map holds no controller of version 0.1");
 
         cluster.users.submit(job(1, 2, 1, 100));
         cluster.runUntil(22_000);
         Job dependant = job(2, 8, 1, 5).withDependencies(List.of(jobId(1)));
         cluster.users.submit(dependant);
         cluster.runUntil(40_000);
-        assertEquals(3, members(cluster).size(), "it is back");
-        // With the others away it has all the work.
+        assertEquals(3, members(cluster).size(), "n2 has rejoined");
+        // With the others down it owns all jobs.
         cluster.controllers.get("n0").crash(15_000);
         cluster.controllers.get("n1").crash(15_000);
         cluster.runUntil(65_000);
-        assertEquals(List.of(jobId(1)), cluster.users.accepted(), "refused until it is upgraded, too");
+        assertEquals(List.of(jobId(1)), cluster.users.accepted(), "refused until n2 is upgraded, too");
         upgrade(cluster, "n2", 2000);
         cluster.runUntil(75_000);
-        // From now on it may be down: it has shown what it knows.
+        // From now on it may be down: it has been seen as upgraded.
         cluster.controllers.get("n2").crash(30_000);
         cluster.runUntil(90_000);
         cluster.users.submit(dependant);
@@ -176,7 +183,7 @@
         assertTrue(cluster.users.isFinished(jobId(2)));
     }
 
-    /** A value that cannot be read stops nobody; what depends on it is held. */
+    /** A stored value that cannot be read stops no controller; only what depends on it is held. */
     @Test
     void unreadableValueHoldsOnlyWhatDependsOnIt() {
         SimCluster cluster = SimFixtures.cluster(9, 9);
--- a/src/test/java/dewlane/sim/StoreOutageTest.java
+++ b/src/test/java/dewlane/sim/StoreOutageTest.java
@@ -21,22 +21,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The store refuses the leader alone while another controller confirms a cancellation, and is then out for all for
- * longer than a cancellation may take.
+ * The store refuses the leader's requests while another controller confirms a cancellation, and then becomes
+ * unavailable to all controllers for longer than the cancellation deadline. The leader, whose cache of the store lacks
+ * the cancellation, must still get the cancelled tasks stopped in time.
  */
 class StoreOutageTest {
     private static final String JOB = jobId(1);
 
-    /** Whether the leader, which the store refuses, learns of the cancellation from its peers. */
+    /** Whether the leader, which the store refuses, receives the cancellation from its peers. */
     private enum LeaderNotice {
         INFORMED,
         /**
-         * The controller that confirms ends at once, so that the leader, which still hears a peer, has no word of it.
+         * The controller that confirms crashes at once, so that the leader, which still receives statuses from another
+         * peer, learns nothing of the cancellation.
          */
         UNINFORMED
     }
 
-    /** Returns when the cancellation was confirmed. */
+    /** Returns the time at which the cancellation was confirmed. */
     private static long cancelWhileLeaderIsRefusedThenOutage(
             SimCluster cluster, long cancelAfterMs, LeaderNotice notice) {
         SimController leader = leader(cluster);
@@ -52,7 +54,9 @@
         }
         cluster.runFor(700);
         assertEquals(
-                JobCondition.CANCELLED, cluster.checker.lastReportedCondition(JOB), "another controller confirmed it");
+                JobCondition.CANCELLED,
+                cluster.checker.lastReportedCondition(JOB),
+                "another controller confirmed the cancellation");
         long confirmedAt = cluster.now();
         cluster.store.outage(cancellationDeadlineMs(cluster) + 12_000);
         return confirmedAt;
@@ -62,7 +66,10 @@
         return (long) (cluster.settings.cancellationDeadlineS() * 1000);
     }
 
-    /** The leader never sees the cancellation, and the workers keep reporting to it. */
+    /**
+     * The leader never learns of the cancellation, and workers with cancelled tasks keep sending it heartbeats. It must
+     * stop renewing their leases in time.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void outageAfterCancellationThatLeaderMissedEndsTasksInTime(long seed) {
@@ -76,16 +83,19 @@
                 cluster.workers().stream()
                         .anyMatch(worker -> worker.runningTasks() > 0
                                 && worker.heartbeats.target().equals(leader.name)),
-                "tasks run on machines that report to the one that was refused");
+                "tasks run on machines that report to the refused leader");
         cluster.runUntil(confirmedAt + 10_000);
-        assertTrue(runningTasks(cluster, JOB) > 0, "it cannot know yet");
+        assertTrue(runningTasks(cluster, JOB) > 0, "the leader cannot have learned of the cancellation");
         cluster.runUntil(confirmedAt + cancellationDeadlineMs(cluster));
         assertEquals(0, runningTasks(cluster, JOB));
         cluster.store.refusedControllers.clear();
         assertRecovers(cluster, 200_000);
     }
 
-    /** While peers still hear one another, the owner stops the tasks at once, and those of other jobs go on. */
+    /**
+     * While peers still reach one another, the owner stops the cancelled tasks at once, and those of other jobs
+     * continue.
+     */
     @Test
     void outageAfterCancellationReportedByPeersStopsOnlyCancelledTasksAtOnce() {
         SimCluster cluster = clusterRunning(6, 9, 25_000, job(1, 10, 2, 400), job(2, 8, 2, 50));
@@ -99,7 +109,7 @@
         assertRecovers(cluster, 300_000);
     }
 
-    /** Machines that stand still with a cancelled task are deleted though no record of it can be written. */
+    /** Machines that freeze with a cancelled task are deleted although no decommission record can be written. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void frozenWorkersWithCancelledTasksAreDeletedDuringOutage(long seed) {
@@ -110,14 +120,17 @@
         long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 500, LeaderNotice.INFORMED);
 
         cluster.runUntil(confirmedAt + 50_000);
-        assertTrue(cluster.store.unavailable, "still out");
-        assertTrue(frozen.stream().allMatch(worker -> worker.terminated), "deleted");
+        assertTrue(cluster.store.unavailable, "the store is still unavailable");
+        assertTrue(frozen.stream().allMatch(worker -> worker.terminated), "frozen machines were deleted");
         cluster.runUntil(confirmedAt + 75_000);
         cluster.store.refusedControllers.clear();
         assertRecovers(cluster, 200_000);
     }
 
-    /** What was recorded before the outage and did not arrive is not sent again on what its controller knew then. */
+    /**
+     * Launches that were recorded before the outage and did not reach the workers are not sent again by a controller
+     * whose cache of the store lacks the cancellation.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void launchIsNotResentFromReplicaThatLacksItsCancellation(long seed) {
@@ -125,15 +138,15 @@
         cluster.users.submit(job(1, 18, 2, 60));
         cluster.workers().forEach(worker -> worker.inboundBlocked = true);
         cluster.runUntil(10_300 + 20 * seed);
-        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were written");
-        assertEquals(0, cluster.checker.taskStarts, "and none arrived");
+        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were recorded");
+        assertEquals(0, cluster.checker.taskStarts, "no launch arrived");
 
         long confirmedAt = cancelWhileLeaderIsRefusedThenOutage(cluster, 0, LeaderNotice.UNINFORMED);
 
         cluster.runUntil(confirmedAt + 5000);
         cluster.workers().forEach(worker -> worker.inboundBlocked = false);
         cluster.runUntil(confirmedAt + 75_000);
-        assertEquals(0, cluster.checker.taskStarts, "nor did any later");
+        assertEquals(0, cluster.checker.taskStarts, "no launch arrived later");
         cluster.store.refusedControllers.clear();
         assertRecovers(cluster, 200_000);
     }
--- a/src/test/java/dewlane/sim/SubmissionLoadTest.java
+++ b/src/test/java/dewlane/sim/SubmissionLoadTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Small jobs come as fast as the store takes them, or faster. */
+/** Small jobs are submitted as fast as the store accepts writes, or faster. */
 class SubmissionLoadTest {
     private static final long SEED = 5;
     private static final int FIRST_JOB = 500_000;
 
     /**
-     * Found in a hunt: one-task jobs came faster than they could be written. Submissions that were refused were tried
-     * again without end, each poll was a read, and with all requests and changes used up for that the controllers lost
-     * their leases, and nothing that was accepted ran.
+     * One-task jobs are submitted faster than they can be written. Refused submissions were retried without end, and
+     * each poll caused a read of the store. This used up the rate limits for requests and writes, so that the
+     * controllers lost their leases and accepted jobs did not run.
      */
     @Test
     void moreJobsThanCanBeWrittenDoNotStopAcceptedOnes() {
@@ -40,7 +40,7 @@
         cluster.runUntil(70_000);
 
         int done = cluster.store.scan(StoreKeys.JOB_RESULTS).size();
-        assertTrue(done >= 300, done + " of " + submitted + " jobs were done while they came");
+        assertTrue(done >= 300, done + " of " + submitted + " jobs were done while others were submitted");
         assertEquals(map, cluster.store.get(StoreKeys.PARTITION_MAP), "no controller lost its lease");
         assertTrue(
                 cluster.store.usage.throttledRequests < cluster.store.usage.requests / 10,
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Found in a hunt: what users asked for during a long outage was tried again and again, and each try was owed by
-     * the bucket of changes, so that nothing was launched for ten minutes after it.
+     * During a long outage the transactions of user requests were retried again and again. Each attempt was charged to
+     * the token bucket of writes, so that nothing was launched for ten minutes after the outage.
      */
     @Test
     void requestsDuringStoreOutageDoNotHoldUpLaunchesAfterIt() {
@@ -63,12 +63,12 @@
         assertTrue(before > 0);
         cluster.store.outage(70_000);
         cluster.runUntil(82_000);
-        assertTrue(cluster.checker.taskStarts < before + 30, "the outage came about");
+        assertTrue(cluster.checker.taskStarts < before + 30, "the outage stopped launches");
         cluster.runUntil(102_000);
 
         assertTrue(
                 cluster.checker.taskStarts > before + 60,
-                cluster.checker.taskStarts + " started, " + before + " before it");
+                cluster.checker.taskStarts + " started in all, " + before + " of them before the outage");
     }
 
     @ParameterizedTest
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Workers that stand still, do not hear or are gone, each found once and played again from the start. */
+/** Regression tests with workers that are frozen, receive nothing or are terminated. */
 class UnreachableWorkerTest {
     private static final long SEED = 5;
     private static final String JOB = jobId(1);
@@ -37,7 +37,10 @@
         assertEquals(Map.of(), cluster.store.scan(StoreKeys.SLICES));
     }
 
-    /** A fault the users named: heartbeats arrive, replies and commands do not. Being heard is not being reachable. */
+    /**
+     * A worker's heartbeats arrive at its controller, but replies and commands do not reach it. A heartbeat alone must
+     * not count as proof that a worker can be reached.
+     */
     @Test
     void workerUnreachableFromItsControllerGetsNoLaunchFromItAndIsTransferred() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 1, 2, 90));
@@ -60,10 +63,12 @@
                 assertFalse(launched && cluster.now() < 28_000, "launched at " + cluster.now());
             }
         }
-        assertTrue(partitionMap(cluster).reassignedMachines().containsKey(worker.name), "one that it hears has it");
+        assertTrue(
+                partitionMap(cluster).reassignedMachines().containsKey(worker.name),
+                "a controller that reaches it owns it");
         cluster.runUntil(200_000);
 
-        assertEquals(1, cluster.recentTrace("start wk-000001/").lines().count(), "and lost nothing");
+        assertEquals(1, cluster.recentTrace("start wk-000001/").lines().count(), "its task was not restarted");
         assertFinished(cluster, JOB);
     }
 
@@ -97,12 +102,15 @@
         cluster.workers().forEach(worker -> worker.inboundBlocked = false);
         cluster.runUntil(150_000);
 
-        assertEquals(6, cluster.workers().size(), "none was deleted");
-        assertEquals(12, cluster.checker.taskStarts, "and every task ran to its end where it was");
+        assertEquals(6, cluster.workers().size(), "no machine was deleted");
+        assertEquals(12, cluster.checker.taskStarts, "no task was restarted");
         assertFinished(cluster, JOB);
     }
 
-    /** A fault the users named: copies of heartbeats come late, to any controller. */
+    /**
+     * Duplicates of a terminated machine's heartbeats arrive late, at any controller. They must not make the machine
+     * count as present, nor transfer or decommission others.
+     */
     @Test
     void lateDuplicateHeartbeatRestoresNoTerminatedMachineAndTransfersNone() {
         SimCluster cluster = cluster(SEED, 6);
@@ -124,12 +132,12 @@
         }
         cluster.users.submit(job(1, 14, 2, 5));
         cluster.runUntil(140_000);
-        assertEquals(mapBefore, partitionMap(cluster), "no machine was moved");
+        assertEquals(mapBefore, partitionMap(cluster), "no machine was transferred");
         Map<String, StoredValue> records = cluster.store.scan(StoreKeys.DECOMMISSIONS);
         records.keySet().removeAll(recordsBefore);
 
-        assertEquals(Map.of(), records, "none was condemned");
+        assertEquals(Map.of(), records, "no machine was decommissioned");
         assertFalse(cluster.recentTrace("wk-000001/").contains("on " + terminated.name));
-        assertEquals(14, cluster.checker.taskStarts, "nothing was launched on what is gone");
+        assertEquals(14, cluster.checker.taskStarts, "nothing was launched on the terminated machine");
     }
 }
