--- a/src/test/java/dewlane/sim/AnswerChecker.java
+++ b/src/test/java/dewlane/sim/AnswerChecker.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * Checks what users are told: each job has one final state, jobs are called done or cancelled only when they are, and
- * cancellations pass down to dependants in time.
+ * Checks the answers that users get: a job's final state never changes, a job is reported as done or cancelled only
+ * when it is, and cancellations propagate to dependants in time.
  */
 final class AnswerChecker {
     private final SimCluster cluster;
     private final InvariantChecker checker;
     private final Set<String> cancellationsRequested = new HashSet<>();
     private final Map<String, JobCondition> finalConditions = new HashMap<>();
-    /** When a user was first told the final state. */
+    /** When a user was first told the job's final state. */
     private final Map<String, Long> finalAt = new HashMap<>();
 
     private final Map<String, JobCondition> lastReported = new HashMap<>();
@@ -39,7 +39,7 @@
         return finalConditions.containsValue(JobCondition.CANCELLED);
     }
 
-    /** When a user was first told that the job is cancelled, or null if none was. */
+    /** Returns when a user was first told that the job is cancelled, or null if that has not happened. */
     Long cancelledAt(String job) {
         return finalConditions.get(job) == JobCondition.CANCELLED ? finalAt.get(job) : null;
     }
@@ -47,7 +47,7 @@
     void onConditionReported(String job, JobCondition condition, long askedAt) {
         lastReported.put(job, finalConditions.getOrDefault(job, condition));
         if (condition == JobCondition.DONE && !hasAllTasksDone(job)) {
-            checker.fail("not_done", job + " was called done");
+            checker.fail("not_done", job + " was reported as done before all its tasks were");
         }
         checkCancellationHasReason(job, condition);
         checkCancellationsPassedDown(job, condition, askedAt);
@@ -63,7 +63,10 @@
         return checker.countDoneTasks(job) >= cluster.users.job(job).tasks();
     }
 
-    /** An answer to a question asked before the final state was told may overtake it on the way. */
+    /**
+     * Checks that a reported final state does not change. An answer to a request sent before the final state was
+     * reported may still arrive afterwards, with an earlier state.
+     */
     private void checkFinalConditionStays(String job, JobCondition condition, long askedAt) {
         JobCondition known = finalConditions.get(job);
         if (known == null || condition == known) {
@@ -71,7 +74,7 @@
         }
         boolean askedLater = askedAt > finalAt.get(job) && askedAt != Long.MAX_VALUE;
         if (askedLater || isFinal(condition)) {
-            checker.fail("went_back", job + " was called " + known + ", then " + condition);
+            checker.fail("final_state_changed", job + " was reported as " + known + ", then " + condition);
         }
     }
 
@@ -83,14 +86,19 @@
                 .anyMatch(dependency -> cancellationsRequested.contains(dependency)
                         && finalConditions.get(dependency) != JobCondition.DONE);
         if (!dependencyCancelled) {
-            checker.fail("went_back", job + " was called cancelled, but nobody asked");
+            checker.fail(
+                    "cancelled_without_request",
+                    job + " was reported as cancelled, but no user cancelled it or a dependency");
         }
         if (checker.hasStarted(job)) {
-            checker.fail("cancelled_after_start", job + " had a task, so all that it awaited was done");
+            checker.fail("cancelled_after_start", job + " had started a task, so all its dependencies were done");
         }
     }
 
-    /** Cancellations pass down to all jobs that need the cancelled one, within the time they have. */
+    /**
+     * Checks that the cancellation of a dependency, direct or indirect, reaches the job before the cancellation
+     * deadline.
+     */
     private void checkCancellationsPassedDown(String job, JobCondition condition, long askedAt) {
         if ((condition != JobCondition.PENDING && condition != JobCondition.RUNNING) || askedAt == Long.MAX_VALUE) {
             return;
@@ -99,8 +107,8 @@
             Long cancelledAt = cancelledAt(dependency);
             if (cancelledAt != null && askedAt - cancelledAt > cluster.settings.cancellationDeadlineS() * 1000) {
                 checker.fail(
-                        "orphaned",
-                        job + " is called " + condition + ", " + dependency + " was cancelled at " + cancelledAt);
+                        "dependant_not_cancelled",
+                        job + " is reported as " + condition + ", " + dependency + " was cancelled at " + cancelledAt);
             }
         }
     }
@@ -109,7 +117,7 @@
         return condition == JobCondition.DONE || condition == JobCondition.CANCELLED;
     }
 
-    /** All jobs that the job needs, directly or through others. */
+    /** Returns all jobs that the job depends on, directly or through others. */
     private Set<String> transitiveDependencies(String job) {
         Set<String> found = new HashSet<>();
         Deque<String> queue = new ArrayDeque<>(cluster.users.job(job).dependencies());
--- a/src/test/java/dewlane/sim/InvariantChecker.java
+++ b/src/test/java/dewlane/sim/InvariantChecker.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * Checks the protocol's invariants against what the simulated cluster knows to be true, and fails the run at the first
- * one that is broken. What users are told is with {@link AnswerChecker}, places and quotas with
- * {@link PlacementChecker}, and jobs that wait for too long with {@link StarvationChecker}.
+ * Checks the protocol's invariants against the true state of the simulated cluster, and fails the run at the first
+ * violation. {@link AnswerChecker} checks the answers to users, {@link PlacementChecker} placements and quotas, and
+ * {@link StarvationChecker} jobs that wait too long.
  */
 final class InvariantChecker {
-    /** A broken invariant. */
+    /** A violation of an invariant, which fails the run. */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1;
 
@@ -22,7 +22,10 @@
         }
     }
 
-    /** A launch sent longer after a confirmation than a controller's view may lag is one it should not have sent. */
+    /**
+     * How far a controller's replica of the store may lag. A launch sent later than this after the confirmation of its
+     * job's cancellation is a violation.
+     */
     private static final long MAX_REPLICA_LAG_MS = 3000;
 
     private final SimCluster cluster;
@@ -30,7 +33,7 @@
     private final PlacementChecker placement;
     private final Map<String, Set<Integer>> doneTasks = new HashMap<>();
     private final Set<String> startedJobs = new HashSet<>();
-    /** Attempts that began to run so far. */
+    /** Attempts that have started to run so far. */
     int taskStarts;
 
     InvariantChecker(SimCluster cluster) {
@@ -39,7 +42,10 @@
         this.placement = new PlacementChecker(cluster, this);
     }
 
-    /** Fails the run; {@code what} begins with the job or machine that it is about. */
+    /**
+     * Fails the run. {@code what} must begin with the id of the job or machine in question, whose trace is printed with
+     * it.
+     */
     void fail(String invariant, String what) {
         String subject = what.split("[ /]")[0];
         throw new Violation("seed " + cluster.seed + " at " + cluster.now() + " ms: " + invariant + ": " + what + "\n"
@@ -74,14 +80,14 @@
         String task = attempt.job + "/" + attempt.task;
         for (String dependency : job.dependencies()) {
             if (!allTasksDone(dependency)) {
-                fail("too_early", task + " started before " + dependency + " was done");
+                fail("started_before_dependency", task + " started before " + dependency + " was done");
             }
         }
         placement.checkPlacement(worker, attempt);
         placement.checkQuota(attempt);
     }
 
-    /** A launch may still arrive after the cancellation of its job if it was on its way by then. */
+    /** A launch that was in flight when its job was cancelled may still arrive. */
     private void checkNotCancelled(SimWorker worker, SimAttempt attempt) {
         Long cancelledAt = answers.cancelledAt(attempt.job);
         if (cancelledAt != null && attempt.launchSentAt - cancelledAt > MAX_REPLICA_LAG_MS) {
@@ -93,7 +99,7 @@
         }
     }
 
-    /** Checked after every event: no task runs for longer after its job's cancellation than a cancellation may take. */
+    /** Checks that no task runs past the cancellation deadline of its job. Called after every event. */
     void checkCancelledTasks() {
         if (!answers.anyCancelled()) {
             return;
@@ -120,7 +126,10 @@
         answers.onCancellationRequested(job);
     }
 
-    /** A user was told the job's condition; the time at which they asked is {@link Long#MAX_VALUE} if unknown. */
+    /**
+     * Called when a user is told the job's condition. {@code askedAt} is when the user sent the request, or
+     * {@link Long#MAX_VALUE} if unknown.
+     */
     void onConditionReported(String job, JobCondition condition, long askedAt) {
         answers.onConditionReported(job, condition, askedAt);
     }
@@ -129,7 +138,7 @@
         return answers.lastReportedCondition(job);
     }
 
-    /** From now on, with all faults over, no job may wait for long beside a machine that has room for it. */
+    /** Starts to check that no job waits too long while a machine has room for it. Called once all faults are over. */
     void watchForStarvation() {
         new StarvationChecker(cluster, this).start();
     }
--- a/src/test/java/dewlane/sim/PlacementChecker.java
+++ b/src/test/java/dewlane/sim/PlacementChecker.java
@@ -3,7 +3,10 @@
 import dewlane.core.config.Settings;
 import dewlane.core.model.Job;
 
-/** Checks where tasks start: each on one machine, where its job allows it, and within its team's quota. */
+/**
+ * Checks, whenever a task starts, that it runs on one machine only, that its job's placement constraints allow that
+ * machine, and that its team stays within its quota.
+ */
 final class PlacementChecker {
     private static final double CPU_TOLERANCE = 1e-9;
 
@@ -15,7 +18,10 @@
         this.checker = checker;
     }
 
-    /** No task is on two machines, and all are where their job allows them beside each other. */
+    /**
+     * Checks that the task runs on no other machine, and that the job's constraints on machine types, zones and spot
+     * machines hold.
+     */
     void checkPlacement(SimWorker worker, SimAttempt attempt) {
         Job job = cluster.users.job(attempt.job);
         String task = attempt.job + "/" + attempt.task;
@@ -34,13 +40,13 @@
                 boolean sameZone = otherWorker.zone.equals(worker.zone);
                 inSameZone += sameZone ? 1 : 0;
                 if (job.sameZone() && !sameZone) {
-                    checker.fail("wrong_place", task + " not in the zone of its job");
+                    checker.fail("wrong_placement", task + " not in the zone of its job");
                 }
             }
         }
         boolean tooManyInZone = job.spreadZones() && inSameZone + 1 > (job.tasks() + 1) / 2;
         if (!job.allows(worker.type.name(), worker.zone, worker.spot) || tooManyInZone) {
-            checker.fail("wrong_place", task + " on " + worker.name);
+            checker.fail("wrong_placement", task + " on " + worker.name);
         }
     }
 
--- a/src/test/java/dewlane/sim/RandomWorkload.java
+++ b/src/test/java/dewlane/sim/RandomWorkload.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Random jobs of three teams, and requests that users should not send. */
+/** Generates random jobs of three teams, and invalid or unusual requests. */
 final class RandomWorkload {
     private static final int FIRST_UNUSUAL_JOB = 900_000;
     private static final int RECENT_JOBS = 6;
 
     private final SimCluster cluster;
     private int nextJob = 1;
-    /** The share of jobs that depend on others. */
+    /** The share of jobs with dependencies. */
     double dependencyRate;
 
     RandomWorkload(SimCluster cluster) {
@@ -54,7 +54,7 @@
                 .build();
     }
 
-    /** A few accepted jobs, mostly late ones, in whatever state they are. */
+    /** Returns up to four accepted jobs in any state, mostly recent ones. */
     private List<String> randomDependencies() {
         List<String> accepted = cluster.users.accepted();
         Set<String> chosen = new LinkedHashSet<>();
@@ -66,8 +66,8 @@
     }
 
     /**
-     * What users should not send: a job that fits no machine, one that lacks a field, a submission once more, the
-     * cancellation of a job that is done, a dependency on an unknown job.
+     * Sends a random request of these: a job that fits no machine, a job that lacks a field, a repeated submission, the
+     * cancellation of a job that is done, or a job with an unknown dependency.
      */
     void sendUnusualRequest() {
         SimController controller = cluster.users.randomLiveController();
@@ -98,7 +98,7 @@
         Job dependant = SimFixtures.job(FIRST_UNUSUAL_JOB + nextJob, Priority.HIGH, 1, 1, 1)
                 .withDependencies(List.of(SimUsers.UNKNOWN_JOB));
         controller.submit(
-                dependant, answer -> expectStatus(answer, 422, "a job that awaits one that was never accepted"));
+                dependant, answer -> expectStatus(answer, 422, "a job with a dependency that was never accepted"));
     }
 
     private void resubmitUnfinished(SimController controller) {
@@ -120,7 +120,7 @@
 
     private void expectStatus(Effect.AnswerUser answer, int status, String request) {
         if (answer.status() != status && answer.status() != 503) {
-            cluster.checker.fail("accepted_odd", request + " was answered " + answer);
+            cluster.checker.fail("unexpected_status", request + " was answered " + answer);
         }
     }
 }
--- a/src/test/java/dewlane/sim/SimTaskExecutor.java
+++ b/src/test/java/dewlane/sim/SimTaskExecutor.java
@@ -11,9 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * The part of a worker that carries out orders: it launches, stops and forgets attempts, and runs them to their end.
- */
+/** The part of a worker that executes commands: it launches, stops and forgets attempts, and runs them to their end. */
 final class SimTaskExecutor {
     private static final double CPU_TOLERANCE = 1e-9;
     private static final int MAX_FETCH_MS = 1500;
@@ -22,10 +20,10 @@
     private final SimWorker worker;
     private final SimCluster cluster;
     private final Map<String, SimAttempt> attempts = new LinkedHashMap<>();
-    /** Attempts that it was told to forget in this incarnation; a late copy of such a launch would start them anew. */
+    /** Attempts forgotten by command in this incarnation. A delayed launch command must not start them again. */
     private final Set<String> forgotten = new HashSet<>();
 
-    /** Attempts that it forgot while a command that launches them was still on its way. */
+    /** Attempts forgotten while a command that launches them was still in flight. */
     int forgottenBeforeDelayedLaunch;
 
     SimTaskExecutor(SimWorker worker) {
@@ -46,7 +44,7 @@
         forgotten.clear();
     }
 
-    /** True if the CPUs that are free suffice for a task of the job. */
+    /** True if there are enough free CPUs for a task of the job. */
     boolean fits(Job job) {
         return reservedCpus() + job.cpus() <= worker.type.cpus() + CPU_TOLERANCE;
     }
@@ -59,7 +57,7 @@
         return cpus;
     }
 
-    /** Moves attempts on whose phase is over by now. */
+    /** Advances attempts whose phase has ended. */
     void advance() {
         for (SimAttempt attempt : List.copyOf(attempts.values())) {
             if (cluster.now() < attempt.phaseEndsAt) {
@@ -125,7 +123,8 @@
 
     private void launch(WorkerCommand command, String key, long sentAt) {
         if (forgotten.contains(key)) {
-            cluster.checker.fail("launched_again", key + " on " + worker.name + ", which was told to forget it");
+            cluster.checker.fail(
+                    "relaunched_after_forget", key + " on " + worker.name + " after the command to forget it");
         }
         SimAttempt attempt = new SimAttempt(command.job(), command.task(), command.attempt(), sentAt);
         boolean busy = attempts.values().stream()
@@ -142,7 +141,7 @@
         }
     }
 
-    /** Lets a running task save its work if it may take the time, and ends it otherwise. */
+    /** Lets a running task save its work if the grace period suffices, and ends the attempt otherwise. */
     private void stop(SimAttempt attempt, double graceS) {
         double saveS = cluster.users.job(attempt.job).checkpointDurationS();
         if (attempt.phase == Phase.RUNNING && saveS > 0 && graceS >= saveS) {
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -11,7 +11,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Users who submit, poll and cancel jobs, and tell the checker each answer they get. */
+/** Simulated users, who submit, poll and cancel jobs and pass each answer to the checker. */
 final class SimUsers {
     private static final int MAX_RETRIES = 12;
     private static final long REPLY_TIMEOUT_MS = 5000;
@@ -20,15 +20,15 @@
     private static final long MAX_ANSWER_GAP_MS = 75_000;
     static final String UNKNOWN_JOB = "wk-999999";
     private static final double UNKNOWN_JOB_POLL_RATE = 0.1;
-    /** Stands for a question that was asked at no known time. */
+    /** The request time of an answer whose request time is not tracked. */
     private static final long TIME_UNKNOWN = Long.MAX_VALUE;
 
     private final SimCluster cluster;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final List<String> accepted = new ArrayList<>();
-    /** When a question about the job was last answered. */
+    /** When a request for the job was last answered. */
     private final Map<String, Long> answeredAt = new HashMap<>();
-    /** The share of jobs that are cancelled at the moment at which their last task ends. */
+    /** The share of jobs that their users cancel at the moment the last task ends. */
     double cancelOnCompletionRate;
 
     SimUsers(SimCluster cluster) {
@@ -39,7 +39,7 @@
         return jobs.get(id);
     }
 
-    /** The accepted jobs, in the order in which their users learned of it. */
+    /** The accepted jobs, in the order in which their users received the acceptance. */
     List<String> accepted() {
         return accepted;
     }
@@ -49,12 +49,12 @@
         return condition == JobCondition.DONE || condition == JobCondition.CANCELLED;
     }
 
-    /** Makes a job known whose submission a test makes itself. */
+    /** Registers a job that the test submits by itself. */
     void register(Job job) {
         jobs.put(job.id(), job);
     }
 
-    /** Submits a job through any controller until it is accepted. */
+    /** Submits a job to a random controller, with retries until it is accepted. */
     void submit(Job job) {
         register(job);
         submit(job, 0);
@@ -78,7 +78,7 @@
         });
     }
 
-    /** Cancels a job through any controller until that is confirmed. */
+    /** Cancels a job through a random controller, with retries until that is confirmed. */
     void cancel(String id) {
         cancel(id, 0);
     }
@@ -98,7 +98,7 @@
         });
     }
 
-    /** A request and its reply, both of which may be lost; without a controller nothing is sent. */
+    /** Sends a request and its reply, both of which may be lost. Without a live controller nothing is sent. */
     private void exchange(
             SimController controller,
             BiConsumer<SimController, Consumer<Effect.AnswerUser>> request,
@@ -108,32 +108,35 @@
         }
     }
 
-    /** Cancels through the given controller, once. */
+    /** Cancels a job through the given controller, without retries. */
     void cancelThrough(SimController controller, String id) {
         cluster.checker.onCancellationRequested(id);
         controller.cancel(id, answer -> onAnswer(id, answer));
     }
 
-    /** Asks the given controller about a job, once. */
+    /** Polls the given controller for a job, without retries. */
     void pollThrough(SimController controller, String id) {
         long askedAt = cluster.now();
         boolean known = answeredAt.containsKey(id);
         controller.poll(id, answer -> onPollAnswer(id, answer, askedAt, known));
     }
 
-    /** Sends a job's submission once more, to the given controller. */
+    /** Repeats a job's submission at the given controller. */
     void resubmitThrough(SimController controller, String id) {
         controller.submit(job(id), answer -> onAnswer(id, answer));
     }
 
-    /** A task has completed; with its job's last one, its user may cancel the job. */
+    /** Called when a task is done. If it is the last one of its job, the user may cancel the job. */
     void onTaskDone(String job) {
         if (cancelOnCompletionRate > 0 && cluster.checker.allTasksDone(job) && cluster.chance(cancelOnCompletionRate)) {
             cancel(job);
         }
     }
 
-    /** Cancels so many jobs that have tasks on machines, each through any controller, and returns them. */
+    /**
+     * Cancels up to the given number of jobs that have running tasks, each through a random controller, and returns
+     * them.
+     */
     List<String> cancelRunning(int count) {
         List<String> chosen = accepted.stream()
                 .filter(id -> !isFinished(id) && isOnMachines(id))
@@ -147,7 +150,7 @@
         return cluster.workers().stream().anyMatch(worker -> worker.runningTasks(id) > 0);
     }
 
-    /** Polls any job through any controller, and now and then one that was never submitted. */
+    /** Polls a random controller for a random job, and sometimes for a job that was never submitted. */
     void pollRandomJob() {
         List<String> all = List.copyOf(jobs.keySet());
         SimController controller = randomLiveController();
@@ -163,15 +166,15 @@
         if (controller != null && cluster.chance(UNKNOWN_JOB_POLL_RATE)) {
             controller.poll(UNKNOWN_JOB, answer -> {
                 if (answer.status() == 200) {
-                    cluster.checker.fail("invented", UNKNOWN_JOB);
+                    cluster.checker.fail("unknown_job_reported", UNKNOWN_JOB);
                 }
             });
         }
     }
 
     /**
-     * Polls every accepted job that is not known to be finished, every 5 s from now on, and has the checker see to it
-     * that none waits 75 s for an answer, however the others fare.
+     * From now on polls every accepted job that has not been reported as finished every 5 s, and fails the run if there
+     * is no answer for one of them for 75 s.
      */
     void pollUnfinishedJobs() {
         long from = cluster.now();
@@ -186,7 +189,7 @@
 
     private void pollUnfinishedJob(String id, long from) {
         if (cluster.now() - Math.max(from, answeredAt.get(id)) > MAX_ANSWER_GAP_MS) {
-            cluster.checker.fail("forgotten", id + " got no answer for 75 s");
+            cluster.checker.fail("no_answer", id + " got no answer for 75 s");
         }
         SimController controller = randomLiveController();
         if (controller != null) {
@@ -194,7 +197,7 @@
         }
     }
 
-    /** Any controller that is alive, or null if there is none. */
+    /** Returns a random live controller, or null if there is none. */
     SimController randomLiveController() {
         List<SimController> alive = cluster.controllers.values().stream()
                 .filter(controller -> controller.alive)
@@ -204,19 +207,19 @@
 
     private void onPollAnswer(String id, Effect.AnswerUser answer, long askedAt, boolean known) {
         if (answer.status() == 404 && known) {
-            cluster.checker.fail("forgotten", id + " accepted before " + askedAt);
+            cluster.checker.fail("accepted_job_unknown", id + " accepted before " + askedAt);
         }
         onAnswer(id, answer, askedAt);
     }
 
-    /** An answer to a question that was asked at no known time. */
+    /** Called when an answer arrives whose request time is not tracked. */
     void onAnswer(String id, Effect.AnswerUser answer) {
         onAnswer(id, answer, TIME_UNKNOWN);
     }
 
     private void onAnswer(String id, Effect.AnswerUser answer, long askedAt) {
         if (answer.status() == 422 || answer.status() == 400) {
-            throw new AssertionError("a good job was rejected: " + answer);
+            throw new AssertionError("a valid job was rejected: " + answer);
         }
         if (answer.status() != 200 && answer.status() != 201) {
             return;
--- a/src/test/java/dewlane/sim/StarvationChecker.java
+++ b/src/test/java/dewlane/sim/StarvationChecker.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * Checks, once all faults are over, that no job waits for 90 s while a machine that fits has room and its team is under
- * its quota. Jobs that are bound to places by their other tasks are left out.
+ * Checks, once all faults are over, that no job waits for more than 90 s while the same suitable machine has room for
+ * it and its team is below its quota. Jobs whose tasks are constrained to the same zone or to be spread over zones are
+ * not checked, since the placement of their other tasks may rule the machine out.
  */
 final class StarvationChecker {
     private static final long INTERVAL_MS = 1000;
@@ -18,7 +19,7 @@
 
     private final SimCluster cluster;
     private final InvariantChecker checker;
-    /** By job and machine, since when the job waits while that machine has room for it. */
+    /** By job and machine: since when the job has waited although the machine has room for it. */
     private final Map<String, Map<String, Long>> waitingDespiteRoomSince;
 
     StarvationChecker(SimCluster cluster, InvariantChecker checker) {
@@ -46,14 +47,14 @@
             if (cluster.now() - since > MAX_WAIT_MS) {
                 String owner = Partitioner.ownerOf(SimFixtures.partitionMap(cluster), worker.name);
                 checker.fail(
-                        "left_waiting",
-                        id + " waits beside room on " + worker.name + " of " + owner + "\n"
+                        "starved",
+                        id + " waits although there is room on " + worker.name + " of " + owner + "\n"
                                 + cluster.recentTrace(worker.name) + cluster.describeJob(id));
             }
         }
     }
 
-    /** True if the job has tasks that are neither done nor on a machine, and what it depends on is done. */
+    /** True if the job has tasks that are neither done nor on a machine, and all its dependencies are done. */
     private boolean waits(Job job) {
         if (!job.dependencies().stream().allMatch(checker::allTasksDone)) {
             return false;
