--- a/src/test/java/dewlane/LayeringTest.java
+++ b/src/test/java/dewlane/LayeringTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 
-/** Who may use whom. */
+/** Checks the allowed dependencies between layers, packages and libraries. */
 @AnalyzeClasses(packages = "dewlane", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayeringTest {
     @ArchTest
@@ -47,7 +47,7 @@
     static final ArchRule NO_CYCLES_BETWEEN_SUBSYSTEMS =
             slices().matching("dewlane.core.(*)..").should().beFreeOfCycles();
 
-    /** The subsystems of the core, lowest first: each may use those below it. */
+    /** The subsystems of the core, lowest first. Each may use only those listed before it. */
     private static final List<String> SUBSYSTEMS = List.of(
             "config",
             "model",
@@ -79,7 +79,10 @@
         return layers.whereLayer("controller").mayNotBeAccessedByAnyLayer();
     }
 
-    /** Heartbeats are handled without a word of scheduling: what they prove is left for the next cycle. */
+    /**
+     * Scheduling must not use the worker package: handling a heartbeat only records state, which the next scheduling
+     * cycle reads.
+     */
     @ArchTest
     static final ArchRule SCHEDULING_DOES_NOT_USE_WORKER_COMMUNICATION = noClasses()
             .that()
@@ -96,7 +99,7 @@
             .resideInAnyPackage(
                     SUBSYSTEMS.stream().map(name -> "dewlane.core." + name).toArray(String[]::new));
 
-    /** Collections, and nothing that reads a clock, a file or a socket, starts a thread or waits. */
+    /** The core uses collections, but nothing that reads a clock, a file or a socket, starts a thread or blocks. */
     @ArchTest
     static final ArchRule CORE_IS_PURE = classes()
             .that()
--- a/src/test/java/dewlane/ProtocolNamesTest.java
+++ b/src/test/java/dewlane/ProtocolNamesTest.java
@@ -15,13 +15,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The protocols' own words are mapped to the field's terms in {@code dewlane.wire} and stand nowhere else. */
+/**
+ * Checks that the field names of the protocols occur only in {@code dewlane.wire}, which maps them to the names used in
+ * the rest of the code.
+ */
 class ProtocolNamesTest {
     private static final Path SOURCES = Path.of("src/main/java/dewlane");
     private static final Path WIRE = SOURCES.resolve("wire");
     private static final Pattern STRING_LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
 
-    /** Field names of the five protocols that are no ordinary words of the code. */
+    /** Field names of the five protocols, except for those that are also common words in the code. */
     private static final Set<String> PROTOCOL_NAMES = Set.of(
             "rack",
             "racks",
@@ -93,7 +96,7 @@
         assertEquals(Set.of(), found);
     }
 
-    /** The list above is worth something only if its words are those that the protocols use. */
+    /** Checks that the list above holds only names that the protocols use. */
     @Test
     void eachListedNameOccursInWire() throws IOException {
         Set<String> used = new TreeSet<>();
@@ -102,6 +105,6 @@
         }
         Set<String> unused = new TreeSet<>(PROTOCOL_NAMES);
         unused.removeAll(used);
-        assertTrue(unused.isEmpty(), "in no class of wire: " + unused);
+        assertTrue(unused.isEmpty(), "names that occur in no class of dewlane.wire: " + unused);
     }
 }
--- a/src/test/java/dewlane/sim/ControllerFaults.java
+++ b/src/test/java/dewlane/sim/ControllerFaults.java
@@ -1,6 +1,6 @@
 package dewlane.sim;
 
-/** Faults of controllers: they end, stand still, or cannot reach the store, workers or each other. */
+/** Faults of controllers: they crash, freeze, or cannot reach the store, the workers or each other. */
 final class ControllerFaults {
     private static final int LEADERS_TO_CRASH = 8;
     private static final long LEADER_CRASH_INTERVAL_MS = 4000;
@@ -16,13 +16,13 @@
                 controller -> crash(controller, target.cluster().randomBetween(100, 6000)));
     }
 
-    /** The second time is in the middle of what the first return set off. */
+    /** Crashes a controller a second time during the recovery from its first crash. */
     static void crashTwice(FaultTarget target) {
         crash(target.controller(), 200);
         target.cluster().after(700, () -> crash(target.controller(), 300));
     }
 
-    /** Back at once, and then again in the middle of what the first return set off. */
+    /** Crashes all controllers briefly, and again during the recovery from that. */
     static void crashAllTwice(FaultTarget target) {
         crashAllBriefly(target);
         target.afterRandomDelay(500, 1500, () -> crashAllBriefly(target));
@@ -73,7 +73,7 @@
         target.afterRandomDelay(2000, 25_000, () -> target.controller().disconnectedFromWorkers = false);
     }
 
-    /** No controller reaches another. */
+    /** Disconnects all controllers from each other. */
     static void partitionPeers(FaultTarget target) {
         target.forAllControllers(controller -> controller.disconnectedFromPeers = true);
         target.afterRandomDelay(
--- a/src/test/java/dewlane/sim/EffectExecutor.java
+++ b/src/test/java/dewlane/sim/EffectExecutor.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Performs the effects of a controller's core on the simulated cluster, and passes replies on to those who wait. */
+/**
+ * Executes the effects of a controller on the simulated cluster, and passes replies to the callbacks of users and
+ * workers.
+ */
 final class EffectExecutor {
     private final SimController controller;
     private final SimCluster cluster;
@@ -17,7 +20,7 @@
         this.cluster = controller.cluster;
     }
 
-    /** Drops all who wait for a reply, as the end of the process does. */
+    /** Drops all callbacks that wait for a reply, as when the process ends. */
     void reset() {
         userReplies.clear();
         heartbeatReplies.clear();
@@ -35,7 +38,7 @@
         boolean executed =
                 executeReply(effect) || executeOnStore(effect) || executeOnCloud(effect) || executeOnOthers(effect);
         if (!executed) {
-            throw new AssertionError("no such effect in the simulation: " + effect);
+            throw new AssertionError("effect not supported by the simulation: " + effect);
         }
     }
 
--- a/src/test/java/dewlane/sim/EnvironmentFaults.java
+++ b/src/test/java/dewlane/sim/EnvironmentFaults.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Faults of what surrounds controllers and workers: links that fail, a cloud that is out, users who cancel late. */
+/**
+ * Faults outside controllers and workers: lost messages, delayed commands, cloud outages, and users who cancel as their
+ * job completes.
+ */
 final class EnvironmentFaults {
     private EnvironmentFaults() {}
 
@@ -15,7 +18,10 @@
         });
     }
 
-    /** Commands are delayed on their way, and half of the workers fail what they were told to run by other ways. */
+    /**
+     * Delays direct commands while about half of the workers fail their tasks, so that attempts launched by replies to
+     * heartbeats end before the delayed commands for them arrive.
+     */
     static void delayCommandsWhileTasksFail(FaultTarget target) {
         SimCluster cluster = target.cluster();
         cluster.commands.delayRate = 0.8;
@@ -34,7 +40,7 @@
         target.afterRandomDelay(2000, 15_000, () -> cloud.unavailable = false);
     }
 
-    /** For a while, users often cancel a job at the moment at which its last task ends. */
+    /** Lets users often cancel a job at the moment its last task ends, for 20 s. */
     static void cancelOnCompletion(FaultTarget target) {
         SimUsers users = target.cluster().users;
         users.cancelOnCompletionRate = 0.5;
--- a/src/test/java/dewlane/sim/FaultInjector.java
+++ b/src/test/java/dewlane/sim/FaultInjector.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** Injects faults of every kind, chosen at random, for the random runs. Each fault ends by itself. */
+/** Injects random faults of all kinds. Each fault ends after some time, except for terminated machines. */
 final class FaultInjector {
-    /** What every line about a fault in the trace begins with. */
+    /** Prefix of all trace lines about injected faults. */
     static final String TRACE_PREFIX = "fault ";
 
-    /** A kind of fault, which chooses its extent and its length at random. */
+    /** A kind of fault, which chooses its extent and duration at random. */
     @FunctionalInterface
     interface Fault {
         void inject(FaultTarget target);
     }
 
-    /** A kind of fault, and how likely it is beside the others. The order decides which seed meets which fault. */
+    /** A kind of fault with its relative probability. The order of the kinds determines which fault a seed gives. */
     private record Kind(String name, int weight, Fault fault) {}
 
     private static final List<Kind> KINDS = List.of(
@@ -68,6 +68,6 @@
                 return kind;
             }
         }
-        throw new IllegalArgumentException("beyond all kinds of faults: " + roll);
+        throw new IllegalArgumentException("no kind of fault has this number: " + roll);
     }
 }
--- a/src/test/java/dewlane/sim/FaultTarget.java
+++ b/src/test/java/dewlane/sim/FaultTarget.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The cluster, with the controller and the worker that a fault may hit. */
+/** The cluster and the randomly chosen controller and worker that a fault applies to. */
 record FaultTarget(
         SimCluster cluster, SimController controller, Optional<SimWorker> worker, List<SimWorker> runningWorkers) {
     static FaultTarget choose(SimCluster cluster) {
@@ -17,18 +17,18 @@
         return new FaultTarget(cluster, controller, worker, running);
     }
 
-    /** The controller that leads, or the chosen one if there is none. */
+    /** Returns the leader, or the chosen controller if there is none. */
     SimController leader() {
         SimController leader = SimFixtures.leader(cluster);
         return leader == null ? controller : leader;
     }
 
-    /** Runs an action on every controller. */
+    /** Applies an action to every controller. */
     void forAllControllers(Consumer<SimController> action) {
         cluster.controllers.values().forEach(action);
     }
 
-    /** Runs an action after a random time. */
+    /** Schedules an action after a random delay. */
     void afterRandomDelay(int lowMs, int highMs, Runnable action) {
         cluster.after(cluster.randomBetween(lowMs, highMs), action);
     }
--- a/src/test/java/dewlane/sim/HeartbeatReply.java
+++ b/src/test/java/dewlane/sim/HeartbeatReply.java
@@ -7,9 +7,9 @@
  * A controller's reply to a heartbeat.
  *
  * @param status the status of the HTTP response
- * @param token the fencing token under which the orders hold, if the heartbeat was accepted
- * @param commands what the worker is to do, if the heartbeat was accepted
- * @param redirectTo the controller to report to instead, if there is one
+ * @param token the fencing token of the commands, if the heartbeat was accepted
+ * @param commands the commands to the worker, if the heartbeat was accepted
+ * @param redirectTo the controller to send heartbeats to instead, or null if there is none
  */
 record HeartbeatReply(int status, long token, List<WorkerCommand> commands, String redirectTo) {
     private static final int ACCEPTED = 200;
--- a/src/test/java/dewlane/sim/RunOnce.java
+++ b/src/test/java/dewlane/sim/RunOnce.java
@@ -1,10 +1,10 @@
 package dewlane.sim;
 
-/** Lets only the first of several events take effect, such as a reply and its timeout, and ignores the later ones. */
+/** Runs the first action that it is given and ignores all later ones. It decides between a reply and its timeout. */
 final class RunOnce {
     private boolean hasRun;
 
-    /** True once an event has taken effect. */
+    /** True once an action has been run. */
     boolean hasRun() {
         return hasRun;
     }
--- a/src/test/java/dewlane/sim/SimAttempt.java
+++ b/src/test/java/dewlane/sim/SimAttempt.java
@@ -3,7 +3,7 @@
 import dewlane.core.model.Heartbeat.ExitReason;
 import dewlane.core.model.Heartbeat.Phase;
 
-/** An attempt to run a task, on the worker that was told to launch it. */
+/** An attempt to run a task, on the worker that launched it. */
 final class SimAttempt {
     final String job;
     final int task;
@@ -12,9 +12,9 @@
     final long launchSentAt;
 
     Phase phase = Phase.FETCHING;
-    /** How it ended, or null while it has not. */
+    /** Why the attempt ended, or null if it has not ended. */
     ExitReason end;
-    /** When the present phase is over by itself. */
+    /** When the current phase ends unless the attempt is stopped before. */
     long phaseEndsAt;
 
     SimAttempt(String job, int task, int number, long launchSentAt) {
@@ -33,7 +33,7 @@
         return phase == Phase.EXITED;
     }
 
-    /** True while the task counts as being on its machine. */
+    /** True while the task runs or saves its work on the machine. */
     boolean occupiesMachine() {
         return phase == Phase.RUNNING || phase == Phase.SAVING;
     }
--- a/src/test/java/dewlane/sim/SimCloud.java
+++ b/src/test/java/dewlane/sim/SimCloud.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The cloud provider: rents and deletes machines, and lists them late. */
+/** The simulated cloud provider: creates and deletes machines, and lists them with a lag. */
 final class SimCloud {
     private static final long REQUEST_TIMEOUT_MS = 5000;
     private static final long LIST_INTERVAL_MS = 1500;
     private static final int MIN_LIST_LAG_MS = 1000;
     private static final int MAX_LIST_LAG_MS = 4000;
-    /** Chance that a rented machine never comes up. */
+    /** Probability that a created machine never boots. */
     private static final double BOOT_FAILURE_RATE = 0.1;
 
     private final SimCluster cluster;
@@ -24,15 +24,15 @@
     private final List<MachineType> types = List.of(
             new MachineType("small", 4, 0, 16, 20, 1, 0.2, 0.06, 4, List.of("east", "west")),
             new MachineType("large", 8, 0, 32, 20, 1, 0.4, 0.1, 6, List.of("east", "west")));
-    /** The machines of each rental request that was granted, so that a repeat of it rents no others. */
+    /** The machines created for each request id, so that a repeated request creates no others. */
     private final Map<String, List<String>> completedRequests = new HashMap<>();
 
     private List<CloudInstance> listed = List.of();
     private int nextName = 1;
     boolean unavailable;
-    /** Machines that may be rented at once. */
+    /** The highest number of machines that may exist at once. */
     int capacity = 12;
-    /** How long a machine takes to come up. */
+    /** How long a machine takes to boot. */
     int minBootMs = 2000;
 
     int maxBootMs = 9000;
--- a/src/test/java/dewlane/sim/SimCluster.java
+++ b/src/test/java/dewlane/sim/SimCluster.java
@@ -11,11 +11,14 @@
 import java.util.SplittableRandom;
 
 /**
- * A whole deployment in memory: controllers, workers, the store, the cloud and users, driven by one queue of events.
- * The seed alone decides what happens, and nothing depends on real time.
+ * A simulated deployment: controllers, workers, the store, the cloud and users, driven by one event queue. The run is
+ * determined by the seed, and does not depend on real time.
  */
 final class SimCluster {
-    /** Guards that a test removes to show that the checker sees what they guard against. */
+    /**
+     * Checks of the store or the workers that a test disables, to show that the invariant checker detects what they
+     * prevent.
+     */
     enum DisabledCheck {
         NONE,
         TEAM_PRECONDITION,
@@ -46,9 +49,9 @@
     private final SimTrace trace = new SimTrace();
     private long order;
     private long now;
-    /** Chance that a message is lost or late; 0 once the faults are over. */
+    /** Probability that a message is lost or delayed; 0 once the faults are over. */
     double messageFaultRate = DEFAULT_MESSAGE_FAULT_RATE;
-    /** How long a message takes at most beyond the usual. */
+    /** The highest additional delay of a message. */
     int extraLinkLatencyMs;
 
     SimCluster(long seed, Settings settings, DisabledCheck disabledCheck) {
@@ -63,21 +66,21 @@
         this.users = new SimUsers(this);
     }
 
-    /** A cluster in which no message is lost or late. */
+    /** Returns a cluster in which no message is lost or delayed. */
     static SimCluster withReliableLinks(long seed, Settings settings) {
         SimCluster cluster = new SimCluster(seed, settings, DisabledCheck.NONE);
         cluster.messageFaultRate = 0;
         return cluster;
     }
 
-    /** Adds all controllers of the settings, each started at once. */
+    /** Adds and starts all controllers of the settings. */
     void startControllers(boolean runVersion01) {
         for (String name : settings.peers()) {
             addController(name, runVersion01).start();
         }
     }
 
-    /** Adds a controller that has yet to start. */
+    /** Adds a controller without starting it. */
     SimController addController(String name, boolean runsVersion01) {
         SimController controller = new SimController(this, name);
         controller.runsVersion01 = runsVersion01;
@@ -85,14 +88,14 @@
         return controller;
     }
 
-    /** Adds small spot machines that are up at once. */
+    /** Adds small spot machines, which are booted immediately. */
     void bootMachines(int count, String zone) {
         for (int i = 0; i < count; i++) {
             cloud.create("small", zone, true).boot();
         }
     }
 
-    /** The machines that are rented, those that have not booted included. */
+    /** Returns all existing machines, including those that have not booted. */
     Collection<SimWorker> workers() {
         return cloud.machines.values();
     }
@@ -101,7 +104,7 @@
         return List.copyOf(controllers.values()).get(random.nextInt(controllers.size()));
     }
 
-    /** Every controller ends and is back after the same time. */
+    /** Crashes all controllers; each restarts after the given time. */
     void crashAllControllers(long backAfterMs) {
         controllers.values().forEach(controller -> controller.crash(backAfterMs));
     }
@@ -121,7 +124,7 @@
         });
     }
 
-    /** Performs all events up to the time. */
+    /** Processes all events up to the given time. */
     void runUntil(long untilMs) {
         while (!events.isEmpty() && events.peek().at <= untilMs) {
             Event event = events.poll();
@@ -144,12 +147,15 @@
         return low + random.nextInt(high - low + 1);
     }
 
-    /** A random latency of at most so long, or none. */
+    /** Returns a random latency between a third of the given one and all of it; 0 if that is 0. */
     int randomLatency(int longestMs) {
         return longestMs == 0 ? 0 : randomBetween(longestMs / 3, longestMs);
     }
 
-    /** One way of a message: quick mostly, and with faults lost or minutes late. */
+    /**
+     * Delivers a message one way. Usually that takes milliseconds; at the message fault rate the message is lost or
+     * delayed by up to 90 s.
+     */
     void deliver(Runnable action) {
         if (!chance(messageFaultRate)) {
             after(randomBetween(1, 8) + randomLatency(extraLinkLatencyMs), action);
@@ -162,12 +168,12 @@
         trace.add(now, line);
     }
 
-    /** The latest events that are about something, for a failure's message. */
+    /** Returns the most recent trace lines that contain the text, for failure messages. */
     String recentTrace(String about) {
         return trace.containing(about);
     }
 
-    /** The stored state and the machines, for the message of a failure about a job. */
+    /** Describes the stored state and the machines, for the message of a failure that concerns a job. */
     String describeJob(String job) {
         StringBuilder text = new StringBuilder(String.valueOf(store.get(StoreKeys.job(job))));
         store.scan(StoreKeys.SLICES).forEach((key, value) -> appendLine(text, key + " " + value));
--- a/src/test/java/dewlane/sim/SimCommandNetwork.java
+++ b/src/test/java/dewlane/sim/SimCommandNetwork.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The way of direct commands from controllers to workers, on which a share of them may be delayed. */
+/** The network between controllers and workers as far as it carries direct commands, of which it may delay a share. */
 final class SimCommandNetwork {
     private static final long REPLY_TIMEOUT_MS = 2500;
     private static final int MIN_DELAY_MS = 2000;
@@ -14,9 +14,9 @@
 
     private final SimCluster cluster;
     private final List<Effect.SendCommands> inFlight = new ArrayList<>();
-    /** The share of commands that are delayed on their way, for up to 16 s, and carried out without a reply. */
+    /** The share of commands that are delayed by 2 to 16 s and executed without a reply. */
     double delayRate;
-    /** Commands that were delayed so far, and those of them that came after their sender had ended. */
+    /** Commands delayed so far, and those of them that arrived after their sender's incarnation had ended. */
     int delayed;
 
     int deliveredAfterSenderEnded;
@@ -25,7 +25,7 @@
         this.cluster = cluster;
     }
 
-    /** True if a delayed command to the machine that launches the order's attempt is still on its way. */
+    /** True if a delayed command that launches the command's attempt on the machine is still in flight. */
     boolean hasLaunchInFlight(String machine, WorkerCommand forgetCommand) {
         WorkerCommand launch = new WorkerCommand(
                 WorkerCommand.Action.LAUNCH, forgetCommand.job(), forgetCommand.task(), forgetCommand.attempt(), 0);
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -20,21 +20,27 @@
 import java.util.function.LongFunction;
 import java.util.function.Supplier;
 
-/** A controller process: the real core, whose effects act on the simulated cluster. */
+/**
+ * A simulated controller process: the production {@link Controller}, whose effects are executed on the simulated
+ * cluster.
+ */
 final class SimController {
     private static final long TICK_MS = 100;
-    /** The wall clock is ahead of the simulation's clock by this. */
+    /** The controller's wall clock minus the simulated clock. */
     private static final long WALL_CLOCK_OFFSET_MS = 1_000_000;
-    /** Half of what a peer takes at most, as names and addresses are short here. */
+    /**
+     * Half of the largest message that a peer accepts, since names and addresses are shorter here than in real
+     * deployments.
+     */
     private static final int MAX_PEER_PAGE_BYTES = 32_768;
 
     final SimCluster cluster;
     final String name;
-    /** Grows with every start and every end; messages for an earlier incarnation are dropped. */
+    /** Incremented at every start and every crash; messages to an earlier incarnation are dropped. */
     int incarnation;
 
     boolean alive;
-    /** Runs under version 0.1's view of what is stored; its logic is the present one. */
+    /** True if it reads and writes the store by the schema of version 0.1. Its logic is that of the current version. */
     boolean runsVersion01;
 
     boolean disconnectedFromStore;
@@ -46,7 +52,7 @@
     private boolean executingEffects;
     private long nextRequestId = 1;
     private long frozenUntil;
-    /** What came while the process stood still; it finds all of it at once. */
+    /** Inputs that arrived while the process was frozen; it handles all of them when it resumes. */
     private final Deque<Input> inputsWhileFrozen = new ArrayDeque<>();
 
     SimController(SimCluster cluster, String name) {
@@ -94,7 +100,7 @@
         }
     }
 
-    /** Ends and comes back as the new version. */
+    /** Crashes and restarts as the current version. */
     void upgrade(long backAfterMs) {
         crash(backAfterMs);
         runsVersion01 = false;
@@ -107,7 +113,7 @@
         cluster.after(backAfterMs, this::start);
     }
 
-    /** Stands still while its clocks run on. */
+    /** Freezes the process while its clocks go on. */
     void freeze(long ms) {
         cluster.trace("freeze " + name);
         frozenUntil = cluster.now() + ms;
@@ -121,7 +127,7 @@
         });
     }
 
-    /** Loses the store and its peers, while workers and users still reach it. */
+    /** Disconnects the controller from the store and its peers, while workers and users still reach it. */
     void isolate() {
         disconnectedFromStore = true;
         disconnectedFromPeers = true;
@@ -132,7 +138,7 @@
         disconnectedFromPeers = false;
     }
 
-    /** How many jobs a pass looked at on average. */
+    /** Returns how many jobs a scheduling cycle considered on average. */
     double jobsPerCycle() {
         return core.jobsPerCycle();
     }
@@ -141,7 +147,7 @@
         return !disconnectedFromStore;
     }
 
-    /** Has the core handle an input, unless the incarnation it is meant for is over, and performs what comes of it. */
+    /** Lets the core handle an input and executes the resulting effects, unless the recipient incarnation has ended. */
     void receive(int recipientIncarnation, Input input) {
         if (!alive || incarnation != recipientIncarnation) {
             return;
@@ -162,12 +168,12 @@
         executingEffects = false;
     }
 
-    /** A request and its reply; if either is lost, {@code onTimeout} is received once the time is up. */
+    /** Sends a request and its reply. If either is lost, {@code onTimeout} is received after the timeout. */
     void request(BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs) {
         request(reachable, service, onTimeout, timeoutMs, 0);
     }
 
-    /** As above, to the store, which may be slow. */
+    /** Sends a request as above to the store, which may be slow. */
     void requestStore(Supplier<Input> service, Input onTimeout, long timeoutMs) {
         request(this::storeReachable, service, onTimeout, timeoutMs, cluster.store.extraLatencyMs);
     }
@@ -218,7 +224,7 @@
         receive(incarnation, new Input.HeartbeatReceived(id, heartbeat));
     }
 
-    /** Sends pages of this controller's status to all peers that it reaches. */
+    /** Sends pages of this controller's status to all peers that it can reach. */
     void broadcast(List<PeerStatus> pages) {
         pages.forEach(this::checkPageSize);
         for (SimController peer : cluster.controllers.values()) {
@@ -234,7 +240,7 @@
         try {
             int bytes = PeerProtocol.status(page).length;
             if (bytes > MAX_PEER_PAGE_BYTES) {
-                throw new AssertionError(name + " sends its peers " + bytes + " bytes at once");
+                throw new AssertionError(name + " sends its peers a page of " + bytes + " bytes");
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/dewlane/sim/SimFixtures.java
+++ b/src/test/java/dewlane/sim/SimFixtures.java
@@ -14,18 +14,24 @@
 import java.util.function.IntFunction;
 import java.util.stream.IntStream;
 
-/** What scenarios share: small clusters, jobs, who is where, and what has to hold once all faults are over. */
+/**
+ * Helpers for scenarios: small clusters, jobs, queries of the cluster's state, and the assertions that must hold once
+ * all faults are over.
+ */
 final class SimFixtures {
     private static final long SETTLED_MS = 10_000;
 
     private SimFixtures() {}
 
-    /** Three controllers and small spot machines in the east that have settled, without faults or quotas. */
+    /**
+     * Returns a settled cluster of three controllers and small spot machines in the zone east, without faults or
+     * quotas.
+     */
     static SimCluster cluster(long seed, int machines) {
         return cluster(seed, machines, new SimSettings());
     }
 
-    /** As above, under the given settings. */
+    /** Returns a cluster as above with the given settings. */
     static SimCluster cluster(long seed, int machines, SimSettings settings) {
         SimCluster cluster = SimCluster.withReliableLinks(seed, settings.build());
         cluster.startControllers(false);
@@ -34,7 +40,7 @@
         return cluster;
     }
 
-    /** A cluster as above to which jobs were submitted once it had settled, at the given time. */
+    /** Returns a cluster as above that has run until the given time, with the jobs submitted once it had settled. */
     static SimCluster clusterRunning(long seed, int machines, long untilMs, Job... jobs) {
         SimCluster cluster = cluster(seed, machines);
         List.of(jobs).forEach(cluster.users::submit);
@@ -46,7 +52,7 @@
         return String.format("wk-%06d", number);
     }
 
-    /** A job of high priority. */
+    /** Returns a job of high priority. */
     static Job job(int number, int tasks, double cpus, double estimateS) {
         return job(number, Priority.HIGH, tasks, cpus, estimateS);
     }
@@ -60,12 +66,12 @@
                 .build();
     }
 
-    /** One job for each number from the first to the last. */
+    /** Returns one job for each number from the first to the last. */
     static List<Job> jobs(int first, int last, IntFunction<Job> job) {
         return IntStream.rangeClosed(first, last).mapToObj(job).toList();
     }
 
-    /** Submits one job after the other at a steady pace, the first one after the given time. */
+    /** Submits the jobs one after the other at a fixed interval, the first one after the given time. */
     static void submitInTurn(SimCluster cluster, long firstMs, long intervalMs, List<Job> jobs) {
         for (int i = 0; i < jobs.size(); i++) {
             Job job = jobs.get(i);
@@ -73,7 +79,10 @@
         }
     }
 
-    /** Submits one job after the other at a steady pace, and cancels each third one so long after its submission. */
+    /**
+     * Submits the jobs one after the other at a fixed interval, and cancels every third one the given time after its
+     * submission.
+     */
     static void submitInTurnAndCancelEachThird(
             SimCluster cluster, long intervalMs, List<Job> jobs, long cancelAfterMs) {
         for (int i = 1; i <= jobs.size(); i++) {
@@ -85,7 +94,7 @@
         }
     }
 
-    /** The controller that leads, or null if there is none. */
+    /** Returns the leader, or null if there is none. */
     static SimController leader(SimCluster cluster) {
         String name = Partitioner.leaderOf(partitionMap(cluster));
         return name == null ? null : cluster.controllers.get(name);
@@ -121,7 +130,7 @@
                         + cluster.describeJob(job));
     }
 
-    /** All accepted jobs are over and have left nothing in the store but their final states. */
+    /** Asserts that all accepted jobs have ended and left nothing in the store but their results. */
     static void assertOnlyFinalStatesLeft(SimCluster cluster) {
         cluster.users.accepted().forEach(job -> assertFinished(cluster, job));
         assertEquals(Map.of(), cluster.store.scan(StoreKeys.JOBS), "seed " + cluster.seed);
@@ -129,8 +138,8 @@
     }
 
     /**
-     * All faults are over: within the time every accepted job ends, none is forgotten or left waiting beside room, and
-     * nothing but final states is left.
+     * Asserts that the cluster recovers now that all faults are over: within the given time every accepted job ends,
+     * polls of unfinished jobs are answered, no job starves, and nothing but results is left in the store.
      */
     static void assertRecovers(SimCluster cluster, long withinMs) {
         cluster.messageFaultRate = 0;
--- a/src/test/java/dewlane/sim/SimHeartbeats.java
+++ b/src/test/java/dewlane/sim/SimHeartbeats.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The heartbeats of a worker: to which controller and when they go, and what becomes of them on their way. */
+/** Sends a worker's heartbeats: chooses the controller and the time, and delivers, loses, delays or duplicates them. */
 final class SimHeartbeats {
-    /** Chance that a duplicate of a heartbeat comes late, to any controller, while messages have faults. */
+    /**
+     * Probability that a duplicate of a heartbeat arrives late at the same or a random controller, while messages have
+     * faults.
+     */
     private static final double DUPLICATE_RATE = 0.02;
 
     private static final long REPLY_TIMEOUT_MS = 4000;
@@ -21,7 +24,7 @@
     private String target;
     private boolean awaitsReply;
     private long nextAt;
-    /** Heartbeats that are held back on their way, or null if none are. */
+    /** Heartbeats held back in flight, or null if none are held back. */
     private List<Heartbeat> withheld;
 
     SimHeartbeats(SimWorker worker) {
@@ -29,7 +32,7 @@
         this.cluster = worker.cluster;
     }
 
-    /** The controller to which the worker reports, or null if it will choose one. */
+    /** Returns the controller to which the worker sends heartbeats, or null if it will choose one at random. */
     String target() {
         return target;
     }
@@ -38,7 +41,7 @@
         target = null;
     }
 
-    /** Something changed on the worker that its controller should know soon. */
+    /** Sends the next heartbeat soon, since something has changed on the worker. */
     void sendSoon() {
         nextAt = Math.min(nextAt, cluster.now() + MAX_DELAY_AFTER_CHANGE_MS);
     }
@@ -118,7 +121,7 @@
         nextAt = cluster.now() + RETRY_MS;
     }
 
-    /** A heartbeat goes its way to a controller, if it gets there, and sometimes a duplicate comes late. */
+    /** Sends a heartbeat to a controller if it can be reached, and sometimes a late duplicate. */
     private void transmit(Heartbeat heartbeat, SimController to, Consumer<HeartbeatReply> onReply) {
         if (withheld != null) {
             withheld.add(heartbeat);
@@ -148,12 +151,12 @@
                 && controller.alive;
     }
 
-    /** From now on heartbeats are held back on their way. */
+    /** Starts to hold back heartbeats in flight. */
     void withhold() {
         withheld = new ArrayList<>();
     }
 
-    /** What was held back arrives, in order, at the given controller; returns how many heartbeats that were. */
+    /** Delivers the held-back heartbeats in order to the given controller, and returns how many there were. */
     int release(SimController to) {
         List<Heartbeat> late = withheld;
         withheld = null;
@@ -161,7 +164,7 @@
         return late.size();
     }
 
-    /** A duplicate of a heartbeat that comes late; its reply reaches nobody. */
+    /** Delivers a duplicate of a heartbeat after the given time; its reply is dropped. */
     void deliverDuplicate(Heartbeat duplicate, SimController to, long afterMs) {
         cluster.after(afterMs, () -> {
             if (to.alive) {
--- a/src/test/java/dewlane/sim/SimLeases.java
+++ b/src/test/java/dewlane/sim/SimLeases.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The leases of the store, each with the time at which it ends unless it is renewed. */
+/** The leases of the store, each with the time at which it expires unless it is renewed. */
 final class SimLeases {
     private final SimCluster cluster;
     private final Map<Long, Long> expiresAt = new HashMap<>();
@@ -20,7 +20,7 @@
         return lease;
     }
 
-    /** False if the lease has ended. */
+    /** Renews the lease; false if it has expired. */
     boolean renew(long lease, long ttlMs) {
         return expiresAt.computeIfPresent(lease, (id, end) -> cluster.now() + ttlMs) != null;
     }
@@ -33,7 +33,7 @@
         expiresAt.replaceAll((lease, end) -> end + ms);
     }
 
-    /** Removes the leases that are over, and returns them. */
+    /** Removes and returns the expired leases. */
     List<Long> removeExpired() {
         List<Long> expired = expiresAt.entrySet().stream()
                 .filter(entry -> entry.getValue() < cluster.now())
--- a/src/test/java/dewlane/sim/SimSettings.java
+++ b/src/test/java/dewlane/sim/SimSettings.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Builds the settings of a simulated cluster. What a test does not name is as in the usual small cluster. */
+/** Builds the settings of a simulated cluster. The defaults describe a small cluster. */
 final class SimSettings {
     static final StoreLimits.Limits DEFAULT_LIMITS = new StoreLimits.Limits(150, 60, 16_384, 16);
     static final Settings.TeamQuota TEAM_WITHOUT_LIMIT = new Settings.TeamQuota("blue", 0, 0, 0, 0);
@@ -28,25 +28,25 @@
     private double scaleInIdleS = 300;
     private double minPartitionedShareCpus = 256;
 
-    /** The number of controllers. */
+    /** Sets the number of controllers. */
     SimSettings controllers(int value) {
         controllers = value;
         return this;
     }
 
-    /** The teams, with their guarantees and quotas. */
+    /** Sets the teams with their guarantees and quotas. */
     SimSettings teams(Settings.TeamQuota... value) {
         teams = List.of(value);
         return this;
     }
 
-    /** What users aim at for their jobs. */
+    /** Sets the service-level objectives. */
     SimSettings objectives(Settings.ServiceLevelObjective... value) {
         objectives = List.of(value);
         return this;
     }
 
-    /** How often workers report, how long their leases last and how long a cancellation may take. */
+    /** Sets the heartbeat interval, the worker lease and the cancellation deadline, in seconds. */
     SimSettings workerTimes(double heartbeat, double lease, double cancel) {
         heartbeatIntervalS = heartbeat;
         leaseS = lease;
@@ -54,32 +54,35 @@
         return this;
     }
 
-    /** The limits of the store, the present ones and those to come. */
+    /** Sets the current and the next limits of the store. */
     SimSettings storeLimits(StoreLimits value) {
         limits = value;
         return this;
     }
 
-    /** Requests a second that the cloud takes, and how late it lists machines. */
+    /** Sets the cloud's rate limit in requests per second and the lag of its list of machines in seconds. */
     SimSettings cloud(double requestsPerS, double lagS) {
         cloudRequestsPerS = requestsPerS;
         listLagS = lagS;
         return this;
     }
 
-    /** Silence after which a machine is deleted. */
+    /** Sets the time without a heartbeat after which a machine is deleted. */
     SimSettings machineTimeoutS(double value) {
         machineTimeoutS = value;
         return this;
     }
 
-    /** How long a machine must be idle before it is returned. */
+    /** Sets how long a machine must be idle before it is scaled in. */
     SimSettings scaleInIdleS(double value) {
         scaleInIdleS = value;
         return this;
     }
 
-    /** A quota of at least so many CPUs a controller is divided among them; a smaller one is lent launch by launch. */
+    /**
+     * Sets the CPUs per controller from which on a quota is divided among the controllers; launches under a smaller
+     * quota are serialized.
+     */
     SimSettings minPartitionedShareCpus(double value) {
         minPartitionedShareCpus = value;
         return this;
--- a/src/test/java/dewlane/sim/SimStore.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 
 /**
- * The store: conditional writes, reads, leases and watches, with outages, refusals of single controllers, delayed
- * writes and lost replies.
+ * The simulated store: conditional transactions, reads, leases and watches. Faults are outages, refusal of single
+ * controllers, delayed writes and lost replies.
  */
 final class SimStore {
     private record VersionedValue(StoredValue value, long version, long lease) {}
@@ -40,18 +40,18 @@
 
     final Set<String> refusedControllers = new HashSet<>();
     boolean unavailable;
-    /** How long the replies of watches take beyond the usual. */
+    /** Additional delay of the watches' replies. */
     int watchLagMs;
-    /** How long a reply takes at most beyond the usual. */
+    /** The highest additional delay of a reply. */
     int extraLatencyMs;
-    /** The share of transactions that get no reply and are carried out seconds later, after newer ones. */
+    /** The share of transactions that get no reply and are executed seconds later, after newer ones. */
     double delayedWriteRate;
-    /** The share of transactions that are carried out at once while only the reply is lost. */
+    /** The share of transactions that are executed at once, but whose reply is lost. */
     double lostReplyRate;
 
-    /** Lost replies to transactions that were committed. */
+    /** Committed transactions whose reply was lost. */
     int lostReplies;
-    /** Transactions carried out late, and how many of them were still committed. */
+    /** Transactions executed late, and how many of them were committed. */
     int delayedWrites;
 
     int delayedWritesCommitted;
@@ -69,7 +69,7 @@
         return stored == null ? null : stored.value;
     }
 
-    /** Sets a key as a test wants it to be. */
+    /** Sets a key unconditionally, for a test. */
     void put(String key, StoredValue value) {
         revision++;
         keys.put(key, new VersionedValue(value, revision, 0));
@@ -95,14 +95,14 @@
         return !unavailable && !refusedControllers.contains(controller.name);
     }
 
-    /** True if a request is within the rate. */
+    /** Takes a token from the request rate limit; false if the request exceeds it. */
     private boolean withinRequestRate() {
         boolean within = requestBucket.take(1, cluster.settings.storeRequestsPerS(), cluster.now());
         usage.countRequest(within);
         return within;
     }
 
-    /** A request that fails with the same input whether it is refused or lost. */
+    /** Sends a request that fails with the same input whether it is refused or lost. */
     private void request(SimController controller, Supplier<Input> service, Input failure, long timeoutMs) {
         controller.requestStore(
                 () -> accepts(controller) && withinRequestRate() ? service.get() : failure, failure, timeoutMs);
@@ -241,7 +241,7 @@
         });
     }
 
-    /** The conditions that a test has removed. */
+    /** True if the test has disabled preconditions on keys of this kind. */
     private boolean isPreconditionDisabled(String key) {
         return switch (cluster.disabledCheck) {
             case TEAM_PRECONDITION -> key.startsWith(StoreKeys.TEAM_USAGES);
@@ -260,7 +260,7 @@
         }
     }
 
-    /** Serves nobody for some time, in which no lease ends. */
+    /** Makes the store unavailable for the given time, during which no lease expires. */
     void outage(long ms) {
         unavailable = true;
         long began = cluster.now();
--- a/src/test/java/dewlane/sim/SimStoreLimits.java
+++ b/src/test/java/dewlane/sim/SimStoreLimits.java
@@ -6,15 +6,15 @@
 import dewlane.wire.StoreProtocol;
 import dewlane.wire.StoredValueCodec;
 
-/** The limits of the store, which may change without notice. */
+/** The limits of the store, which a test may lower during a run. */
 final class SimStoreLimits {
     private static final int MAX_TRANSACTION_BYTES = 65_536;
-    /** The store takes so many times as many conditions as changes. */
+    /** The store accepts this many times as many preconditions as writes. */
     private static final int PRECONDITIONS_PER_WRITE = 4;
 
     private final SimCluster cluster;
     private StoreLimits.Limits current;
-    /** Transactions that were larger than the limits in force. */
+    /** Transactions that exceeded the current limits. */
     int exceeded;
 
     SimStoreLimits(SimCluster cluster) {
@@ -26,12 +26,12 @@
         return current;
     }
 
-    /** From now on the limits are those that the settings name as the next ones. */
+    /** Replaces the current limits by the next limits of the settings. */
     void shrink() {
         current = cluster.settings.store().next();
     }
 
-    /** True, and counted, if the transaction is larger than the limits in force. */
+    /** True if the transaction exceeds the current limits, in which case it is counted. */
     boolean exceededBy(Transaction transaction) {
         boolean tooLarge = hasMoreThan(current.maxTransactionWrites(), transaction)
                 || bytes(transaction) > MAX_TRANSACTION_BYTES
@@ -41,8 +41,8 @@
     }
 
     /**
-     * A controller that knows the coming limits keeps within them from its start. Only what is stored already may stay
-     * larger for a while, and only become smaller.
+     * Fails the run if a controller that knows the next limits exceeds them, which it must not from its start. Only a
+     * value that is already stored may stay larger for a while, as long as it becomes smaller.
      */
     void check(SimController controller, Transaction transaction) {
         if (controller.runsVersion01) {
@@ -50,8 +50,8 @@
         }
         if (hasMoreThan(cluster.settings.maxTransactionWrites(), transaction)) {
             throw new AssertionError(controller.name + " sends a transaction of "
-                    + transaction.writes().size() + " changes and "
-                    + transaction.preconditions().size() + " conditions");
+                    + transaction.writes().size() + " writes and "
+                    + transaction.preconditions().size() + " preconditions");
         }
         for (Transaction.Write write : transaction.writes()) {
             int bytes = bytes(write.value());
--- a/src/test/java/dewlane/sim/SimStoreUsage.java
+++ b/src/test/java/dewlane/sim/SimStoreUsage.java
@@ -5,13 +5,13 @@
 import dewlane.wire.StoreProtocol;
 import dewlane.wire.StoredValueCodec;
 
-/** Counts what controllers ask of the store. */
+/** Counts the controllers' requests and writes to the store. */
 final class SimStoreUsage {
-    /** Requests so far but watches that wait, and those refused for their rate. */
+    /** Requests so far, except for watches, and those of them refused by the rate limit. */
     int requests;
 
     int throttledRequests;
-    /** Puts and deletes that were committed, but of machines' records, and those of machines' records. */
+    /** Committed writes other than those of decommission records, and committed writes of decommission records. */
     long writes;
 
     long decommissionWrites;
@@ -23,7 +23,7 @@
         throttledRequests += withinRate ? 0 : 1;
     }
 
-    /** Counts a transaction that is committed. */
+    /** Counts the writes and bytes of a committed transaction. */
     void count(Transaction transaction) {
         largestTransactionBytes =
                 Math.max(largestTransactionBytes, StoreProtocol.transactionRequest(transaction).length);
--- a/src/test/java/dewlane/sim/SimTokenBucket.java
+++ b/src/test/java/dewlane/sim/SimTokenBucket.java
@@ -1,11 +1,11 @@
 package dewlane.sim;
 
-/** A rate limit: so many tokens a second, with a burst of one second's worth. */
+/** A token bucket that allows bursts of up to one second's tokens. */
 final class SimTokenBucket {
     private double tokens;
     private long refilledAtMs;
 
-    /** Takes the cost; false if that is above the rate. */
+    /** Takes the given number of tokens; false, without taking any, if there are fewer. */
     boolean take(int cost, double ratePerS, long nowMs) {
         tokens = Math.min(ratePerS, tokens + ratePerS * (nowMs - refilledAtMs) / 1000.0);
         refilledAtMs = nowMs;
--- a/src/test/java/dewlane/sim/SimTrace.java
+++ b/src/test/java/dewlane/sim/SimTrace.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The latest events of a run, for the messages of failures. */
+/** The most recent events of a run, for failure messages. */
 final class SimTrace {
     private static final int MAX_LINES = 4000;
     private static final int LINES_DROPPED_AT_ONCE = 2000;
@@ -18,7 +18,7 @@
         }
     }
 
-    /** The lines that contain a text, each with its end of line. */
+    /** Returns the lines that contain the text, each followed by a line break. */
     String containing(String text) {
         return lines.stream()
                 .filter(line -> line.contains(text))
@@ -26,7 +26,7 @@
                 .collect(Collectors.joining());
     }
 
-    /** The last lines, each after an end of line. */
+    /** Returns the last lines, each preceded by a line break. */
     String last(int count) {
         return lines.subList(Math.max(0, lines.size() - count), lines.size()).stream()
                 .map(line -> "\n" + line)
--- a/src/test/java/dewlane/sim/SimWatches.java
+++ b/src/test/java/dewlane/sim/SimWatches.java
@@ -4,11 +4,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The watches of the store: each blocks until there are changes after its revision, and is answered with them. */
+/**
+ * The watches of the store: each blocks until there are changes after its revision, and is answered with these changes.
+ */
 final class SimWatches {
     private record Watch(SimController controller, int incarnation, long since, long openedAt) {}
 
-    /** How long a watch blocks without a change, and how long its caller waits for it in all. */
+    /** How long a watch blocks without a change, and the caller's timeout. */
     private static final long BLOCK_MS = 1000;
 
     private static final long TIMEOUT_MS = 2500;
@@ -42,7 +44,7 @@
         }
     }
 
-    /** Answers the watches that have changes to show or have blocked for long enough. */
+    /** Answers the watches for which there are changes or whose blocking time has passed. */
     void notifyAllDue() {
         if (store.unavailable) {
             return;
--- a/src/test/java/dewlane/sim/SimWorker.java
+++ b/src/test/java/dewlane/sim/SimWorker.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * A rented machine and its worker process: its lifetime, its lease, the fencing token it has seen and the faults that a
- * test gives it. Its tasks are with {@link SimTaskExecutor}, what it sends with {@link SimHeartbeats}.
+ * A simulated machine and its worker process: its lifetime, its lease, the highest fencing token received, and the
+ * faults that a test sets. {@link SimTaskExecutor} runs its tasks, {@link SimHeartbeats} sends its heartbeats.
  */
 final class SimWorker {
     private static final long STEP_MS = 100;
@@ -31,21 +31,21 @@
     boolean booted;
     /** Every task that starts here fails at once. */
     boolean failsTasks;
-    /** Nothing passes between the machine and any controller. */
+    /** No message passes between the machine and any controller. */
     boolean disconnected;
     /** Its heartbeats arrive, but replies and commands do not reach it. */
     boolean inboundBlocked;
     /** The one controller whose replies and commands do not reach it, or null. */
     String inboundBlockedFrom;
-    /** Its heartbeats reach no controller, while direct commands reach it. */
+    /** Its heartbeats reach no controller, but direct commands reach it. */
     boolean outboundBlocked;
-    /** Controllers between which and the machine nothing passes. */
+    /** Controllers with which the machine cannot exchange messages. */
     final Set<String> blockedControllers = new HashSet<>();
-    /** The machine stands still until this time. */
+    /** Until this time the machine is frozen: it neither runs nor sends anything. */
     long frozenUntil;
 
     private final long createdAt;
-    /** Commands that arrived while the machine stood still or was disconnected. */
+    /** Commands that arrived while the machine was frozen or disconnected. */
     private final List<Runnable> pendingCommands = new ArrayList<>();
 
     private long incarnation = 1;
@@ -63,12 +63,12 @@
         this.heartbeats = new SimHeartbeats(this);
     }
 
-    /** The highest fencing token it has seen. */
+    /** Returns the highest fencing token received. */
     long fencingToken() {
         return fencingToken;
     }
 
-    /** Grows whenever the lease ends and the worker begins anew without tasks. */
+    /** Incremented whenever the lease expires and the worker drops all its tasks. */
     long incarnation() {
         return incarnation;
     }
@@ -77,19 +77,21 @@
         return executor.attempts();
     }
 
-    /** Tasks that count as being on the machine. */
+    /** Returns how many tasks are running or saving on the machine. */
     long runningTasks() {
         return attempts().stream().filter(SimAttempt::occupiesMachine).count();
     }
 
-    /** Tasks of the job that count as being on the machine. */
+    /** Returns how many tasks of the job are running or saving on the machine. */
     long runningTasks(String job) {
         return attempts().stream()
                 .filter(attempt -> attempt.occupiesMachine() && attempt.job.equals(job))
                 .count();
     }
 
-    /** True if it works as it should and has room for a task of the job, by what is really on it. */
+    /**
+     * True if the machine has no fault, the job allows it, and its actual attempts leave room for a task of the job.
+     */
     boolean hasRoom(Job job) {
         return booted
                 && isResponsive()
@@ -102,7 +104,7 @@
                 && job.allows(type.name(), zone, spot);
     }
 
-    /** True unless the machine is terminated or stands still. */
+    /** True unless the machine is terminated or frozen. */
     boolean isResponsive() {
         return !terminated && cluster.now() >= frozenUntil;
     }
@@ -115,7 +117,7 @@
         }
     }
 
-    /** Ends without a word, as a spot machine that is taken back. */
+    /** Terminates the machine without notice, as when the cloud reclaims a spot machine. */
     void terminate() {
         terminated = true;
         executor.clearAttempts();
@@ -132,7 +134,7 @@
                 (cluster.now() - createdAt) / 1000.0);
     }
 
-    /** The worker's next report, which counts as sent. */
+    /** Returns the worker's next heartbeat, which uses up its sequence number. */
     Heartbeat nextHeartbeat() {
         return heartbeats.next(incarnation, fencingToken);
     }
@@ -168,7 +170,9 @@
         pending.forEach(Runnable::run);
     }
 
-    /** Runs a controller's command and its reply now, or once the machine is responsive and connected again. */
+    /**
+     * Executes a controller's command and sends its reply, now or once the machine is responsive and connected again.
+     */
     void deliverCommand(String sender, Runnable command, Runnable reply) {
         if (terminated || !booted) {
             return;
@@ -187,7 +191,7 @@
         }
     }
 
-    /** True if a reply of the controller to a heartbeat gets through to the worker. */
+    /** True if a controller's reply to a heartbeat reaches the worker. */
     boolean receivesReplyFrom(SimController controller) {
         return !terminated
                 && !disconnected
@@ -204,7 +208,7 @@
         accept(command.fencingToken(), command.commands(), sentAt);
     }
 
-    /** Renews the lease and carries out the orders of a reply to a heartbeat of the given incarnation. */
+    /** Renews the lease and executes the commands of a reply to a heartbeat of the given incarnation. */
     void execute(HeartbeatReply reply, long heartbeatIncarnation, long heartbeatSentAt, long repliedAt) {
         if (isTokenStale(reply.token()) || heartbeatIncarnation != incarnation) {
             return;
--- a/src/test/java/dewlane/sim/StoreFaults.java
+++ b/src/test/java/dewlane/sim/StoreFaults.java
@@ -1,6 +1,6 @@
 package dewlane.sim;
 
-/** Faults of the store: it is out, slow, refuses one controller or carries writes out late. */
+/** Faults of the store: it is unavailable or slow, refuses one controller, or executes writes late. */
 final class StoreFaults {
     private StoreFaults() {}
 
@@ -28,8 +28,8 @@
     }
 
     /**
-     * The leader alone is refused while others confirm cancellations; then the store is out for all for longer than a
-     * cancellation may take.
+     * Makes the store refuse the leader while others confirm cancellations, and then be unavailable to all controllers
+     * for longer than the cancellation deadline.
      */
     static void refuseLeaderThenOutage(FaultTarget target) {
         SimCluster cluster = target.cluster();
--- a/src/test/java/dewlane/sim/Version01Schema.java
+++ b/src/test/java/dewlane/sim/Version01Schema.java
@@ -10,13 +10,13 @@
 import java.util.List;
 
 /**
- * Stored data as version 0.1 sees it: that version refuses keys that it does not know, drops fields that it does not
- * know, and so loses them when it rewrites a value.
+ * Converts stored data as version 0.1 reads and writes it. That version fails on unknown keys, and ignores unknown
+ * fields, so that it drops them when it rewrites a value.
  */
 final class Version01Schema {
     private Version01Schema() {}
 
-    /** An input as that version reads it. */
+    /** Returns an input as version 0.1 reads it. */
     static Input read(Input input) {
         if (input instanceof Input.StoreListed listed) {
             List<Input.StoreRow> rows = listed.rows().stream()
@@ -36,12 +36,12 @@
 
     private static StoredValue read(String key, StoredValue value) {
         if (!StoreKeys.isKnown(key)) {
-            throw new AssertionError("version 0.1 stops at the key " + key);
+            throw new AssertionError("version 0.1 fails on the unknown key " + key);
         }
         return withoutNewFields(value);
     }
 
-    /** A transaction as that version writes it. */
+    /** Returns a transaction as version 0.1 writes it. */
     static Transaction write(Transaction transaction) {
         List<Transaction.Write> writes = transaction.writes().stream()
                 .map(write -> new Transaction.Write(write.key(), withoutNewFields(write.value()), write.lease()))
--- a/src/test/java/dewlane/sim/WorkerFaults.java
+++ b/src/test/java/dewlane/sim/WorkerFaults.java
@@ -1,12 +1,15 @@
 package dewlane.sim;
 
-/** Faults of workers and their machines: they are gone, stand still, are cut off, fail tasks or do not hear. */
+/**
+ * Faults of workers and their machines: they are terminated or frozen, lose messages in one or both directions, or fail
+ * their tasks.
+ */
 final class WorkerFaults {
     private WorkerFaults() {}
 
     static void terminate(FaultTarget target) {
         target.worker().ifPresent(worker -> {
-            target.cluster().trace("vanish " + worker.name);
+            target.cluster().trace("terminate " + worker.name);
             worker.terminate();
         });
     }
@@ -17,9 +20,9 @@
     }
 
     /**
-     * A machine stands still once, for less than a cancellation may take: with one that did for longer, all controllers
-     * gone and the store out, nobody would be left who could know what to end. {@link UnreachableWorkerTest} and
-     * {@link StoreOutageTest} have longer ones.
+     * Freezes a machine, at most once and for less than the cancellation deadline. If a machine were frozen for longer
+     * while all controllers are down and the store is unavailable, nothing could stop its cancelled tasks in time.
+     * {@link UnreachableWorkerTest} and {@link StoreOutageTest} test longer freezes.
      */
     private static void freezeOnce(SimWorker worker, int ms) {
         if (worker.frozenUntil == 0) {
@@ -43,7 +46,7 @@
         });
     }
 
-    /** Neither replies nor commands reach the worker, of all controllers or of one. */
+    /** Blocks replies and commands to a worker, from all controllers or from one. */
     static void blockInbound(FaultTarget target) {
         target.worker().ifPresent(worker -> {
             if (target.cluster().chance(0.5)) {
@@ -71,7 +74,7 @@
                         worker.nextHeartbeat(), controller, target.cluster().randomBetween(500, 80_000))));
     }
 
-    /** Jobs are cancelled at once, and some of their machines stand still. */
+    /** Cancels several jobs and freezes some of the machines that run them. */
     static void freezeWhileCancelling(FaultTarget target) {
         SimCluster cluster = target.cluster();
         for (String job : cluster.users.cancelRunning(3)) {
@@ -82,7 +85,10 @@
         }
     }
 
-    /** Half of a zone at once: gone, frozen or disconnected, with what was on its way held back. */
+    /**
+     * Terminates, freezes or disconnects about half of the machines of a zone at once; commands to frozen or
+     * disconnected machines arrive afterwards.
+     */
     static void loseHalfOfZone(FaultTarget target) {
         SimCluster cluster = target.cluster();
         String zone = cluster.chance(0.5) ? "east" : "west";
