--- a/src/test/java/dewlane/sim/AnswerConsistencyTest.java
+++ b/src/test/java/dewlane/sim/AnswerConsistencyTest.java
@@ -40,7 +40,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void pollsAtAllControllersWithLaggingWatchesNeverGoBack(long seed) {
+    void pollsAtAllControllersWithLaggingWatchesReturnNoEarlierState(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.store.watchLagMs = 400;
         for (int i = 1; i <= 30; i++) {
@@ -80,7 +80,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void pollsOfJobsWhoseTransactionRepliesAreLostNeverGoBack(long seed) {
+    void pollsOfJobsWhoseTransactionRepliesAreLostReturnNoEarlierState(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.store.lostReplyRate = 0.4;
         for (int i = 1; i <= 16; i++) {
--- a/src/test/java/dewlane/sim/ControllerFaults.java
+++ b/src/test/java/dewlane/sim/ControllerFaults.java
@@ -48,9 +48,9 @@
                 controller -> crash(controller, target.cluster().randomBetween(0, 3000) + leaseMs));
     }
 
-    private static void crash(SimController controller, long backAfterMs) {
+    private static void crash(SimController controller, long restartAfterMs) {
         if (controller.alive) {
-            controller.crash(backAfterMs);
+            controller.crash(restartAfterMs);
         }
     }
 
--- a/src/test/java/dewlane/sim/DependencyCancellationTest.java
+++ b/src/test/java/dewlane/sim/DependencyCancellationTest.java
@@ -93,8 +93,8 @@
         cluster.store.watchLagMs = 700;
         cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
         for (int i = 0; i < 6; i++) {
-            Job late = smallJob(10 + i, 1);
-            cluster.after(4L * i, () -> cluster.users.submit(late));
+            Job dependant = smallJob(10 + i, 1);
+            cluster.after(4L * i, () -> cluster.users.submit(dependant));
         }
         cluster.runFor(3000);
         cluster.store.watchLagMs = 0;
--- a/src/test/java/dewlane/sim/MessageDelayTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -99,7 +99,7 @@
         cluster.runUntil(18_000);
 
         SimWorker worker = workersRunning(cluster, JOB).get(0);
-        worker.heartbeats.withhold();
+        worker.heartbeats.holdBack();
         cluster.runUntil(24_000);
         SimController oldLeader = leader(cluster);
         oldLeader.crash(20_000);
@@ -116,7 +116,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void unansweredTransactionsCarriedOutAfterNewerOnesHarmNothing(long seed) {
+    void unansweredTransactionsExecutedAfterNewerOnesHarmNothing(long seed) {
         SimCluster cluster = cluster(seed, 8);
         cluster.store.delayedWriteRate = 0.4;
         submitInTurnAndCancelEachThird(
--- a/src/test/java/dewlane/sim/RollingUpgradeTest.java
+++ b/src/test/java/dewlane/sim/RollingUpgradeTest.java
@@ -50,8 +50,8 @@
         return new StoreLimits.Limits(150, 40, valueBytes, txnOps);
     }
 
-    private static void upgrade(SimCluster cluster, String controller, long backAfterMs) {
-        cluster.controllers.get(controller).upgrade(backAfterMs);
+    private static void upgrade(SimCluster cluster, String controller, long restartAfterMs) {
+        cluster.controllers.get(controller).upgrade(restartAfterMs);
     }
 
     private static void upgradeAll(SimCluster cluster, long intervalMs) {
@@ -82,7 +82,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 2048, 5", "2, 2048, 5", "3, 1024, 5", "4, 1024, 3", "5, 1024, 2", "6, 1200, 16"})
-    void valuesStoredUnderLargerLimitsAreCutToSmallerOnes(long seed, int valueBytes, int txnOps) {
+    void slicesStoredUnderLargerLimitsAreSplitToSmallerOnes(long seed, int valueBytes, int txnOps) {
         SimCluster cluster = version01Cluster(seed, 420, limits(valueBytes, txnOps));
         cluster.users.submit(job(1, 300, 4, 150));
         cluster.users.submit(job(2, 900, 1, 3));
@@ -103,7 +103,7 @@
 
     /** The limits may be lowered while a controller is down whose version is not known yet. */
     @Test
-    void controllerThatStaysDownDoesNotKeepLargeValuesFromBeingCut() {
+    void controllerThatStaysDownDoesNotPreventSplittingOfLargeValues() {
         SimCluster cluster = version01Cluster(7, 150, limits(1024, 3));
         cluster.users.submit(job(1, 150, 4, 150));
         cluster.runUntil(25_000);
@@ -151,7 +151,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void dependenciesAreRefusedWhileControllerThatIsDownMayComeBackAsVersion01(long seed) {
+    void dependenciesAreRefusedWhileControllerThatIsDownMayRestartAsVersion01(long seed) {
         SimCluster cluster = version01Cluster(seed, 9);
         cluster.controllers.get("n2").crash(25_000);
         upgrade(cluster, "n0", 1000);
--- a/src/test/java/dewlane/sim/SimCluster.java
+++ b/src/test/java/dewlane/sim/SimCluster.java
@@ -105,8 +105,8 @@
     }
 
     /** Crashes all controllers; each restarts after the given time. */
-    void crashAllControllers(long backAfterMs) {
-        controllers.values().forEach(controller -> controller.crash(backAfterMs));
+    void crashAllControllers(long restartAfterMs) {
+        controllers.values().forEach(controller -> controller.crash(restartAfterMs));
     }
 
     long now() {
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -101,16 +101,16 @@
     }
 
     /** Crashes and restarts as the current version. */
-    void upgrade(long backAfterMs) {
-        crash(backAfterMs);
+    void upgrade(long restartAfterMs) {
+        crash(restartAfterMs);
         runsVersion01 = false;
     }
 
-    void crash(long backAfterMs) {
+    void crash(long restartAfterMs) {
         cluster.trace("crash " + name);
         alive = false;
         incarnation++;
-        cluster.after(backAfterMs, this::start);
+        cluster.after(restartAfterMs, this::start);
     }
 
     /** Freezes the process while its clocks go on. */
--- a/src/test/java/dewlane/sim/SimHeartbeats.java
+++ b/src/test/java/dewlane/sim/SimHeartbeats.java
@@ -25,7 +25,7 @@
     private boolean awaitsReply;
     private long nextAt;
     /** Heartbeats held back in flight, or null if none are held back. */
-    private List<Heartbeat> withheld;
+    private List<Heartbeat> heldBack;
 
     SimHeartbeats(SimWorker worker) {
         this.worker = worker;
@@ -123,8 +123,8 @@
 
     /** Sends a heartbeat to a controller if it can be reached, and sometimes a late duplicate. */
     private void transmit(Heartbeat heartbeat, SimController to, Consumer<HeartbeatReply> onReply) {
-        if (withheld != null) {
-            withheld.add(heartbeat);
+        if (heldBack != null) {
+            heldBack.add(heartbeat);
             return;
         }
         if (!reaches(to)) {
@@ -152,16 +152,16 @@
     }
 
     /** Starts to hold back heartbeats in flight. */
-    void withhold() {
-        withheld = new ArrayList<>();
+    void holdBack() {
+        heldBack = new ArrayList<>();
     }
 
     /** Delivers the held-back heartbeats in order to the given controller, and returns how many there were. */
     int release(SimController to) {
-        List<Heartbeat> late = withheld;
-        withheld = null;
-        late.forEach(heartbeat -> deliverDuplicate(heartbeat, to, 1));
-        return late.size();
+        List<Heartbeat> released = heldBack;
+        heldBack = null;
+        released.forEach(heartbeat -> deliverDuplicate(heartbeat, to, 1));
+        return released.size();
     }
 
     /** Delivers a duplicate of a heartbeat after the given time; its reply is dropped. */
--- a/src/test/java/dewlane/sim/SimUsers.java
+++ b/src/test/java/dewlane/sim/SimUsers.java
@@ -117,8 +117,8 @@
     /** Polls the given controller for a job, without retries. */
     void pollThrough(SimController controller, String id) {
         long askedAt = cluster.now();
-        boolean known = answeredAt.containsKey(id);
-        controller.poll(id, answer -> onPollAnswer(id, answer, askedAt, known));
+        boolean acceptedBefore = answeredAt.containsKey(id);
+        controller.poll(id, answer -> onPollAnswer(id, answer, askedAt, acceptedBefore));
     }
 
     /** Repeats a job's submission at the given controller. */
@@ -156,12 +156,12 @@
         SimController controller = randomLiveController();
         if (!all.isEmpty() && controller != null) {
             String id = all.get(cluster.random.nextInt(all.size()));
-            boolean known = answeredAt.containsKey(id);
+            boolean acceptedBefore = answeredAt.containsKey(id);
             long askedAt = cluster.now();
             exchange(
                     controller,
                     (to, onReply) -> to.poll(id, onReply),
-                    answer -> onPollAnswer(id, answer, askedAt, known));
+                    answer -> onPollAnswer(id, answer, askedAt, acceptedBefore));
         }
         if (controller != null && cluster.chance(UNKNOWN_JOB_POLL_RATE)) {
             controller.poll(UNKNOWN_JOB, answer -> {
@@ -205,8 +205,8 @@
         return alive.isEmpty() ? null : alive.get(cluster.random.nextInt(alive.size()));
     }
 
-    private void onPollAnswer(String id, Effect.AnswerUser answer, long askedAt, boolean known) {
-        if (answer.status() == 404 && known) {
+    private void onPollAnswer(String id, Effect.AnswerUser answer, long askedAt, boolean acceptedBefore) {
+        if (answer.status() == 404 && acceptedBefore) {
             cluster.checker.fail("accepted_job_unknown", id + " accepted before " + askedAt);
         }
         onAnswer(id, answer, askedAt);
--- a/src/test/java/dewlane/sim/StoreOutageTest.java
+++ b/src/test/java/dewlane/sim/StoreOutageTest.java
@@ -153,7 +153,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void cancellationsAreConfirmedWhileStoreIsSlowThenRefusesLeaderThenIsOut(long seed) {
+    void cancellationsAreConfirmedWhileStoreIsSlowThenRefusesLeaderThenIsUnavailable(long seed) {
         SimCluster cluster = clusterRunning(seed, 8, 22_000, job(1, 12, 2, 300), job(2, 2, 2, 300));
 
         cluster.every(300, cluster.users::pollRandomJob);
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void cancelledTaskOnWorkerThatDoesNotHearEndsInTime() {
+    void cancelledTaskOnWorkerWithBlockedInboundMessagesEndsInTime() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 12, 2, 200));
 
         SimWorker worker = cluster.workers().iterator().next();
