--- a/src/main/java/dewlane/core/schema/Partitioner.java
+++ b/src/main/java/dewlane/core/schema/Partitioner.java
@@ -6,13 +6,13 @@
 import it.unimi.dsi.fastutil.HashCommon;
 
 /**
- * Divides machines and keys into partitions, one per member of the partition map, by rendezvous hash: a member that
- * leaves or joins moves only its own machines.
+ * Assigns each machine and each key to the partition of one member of the partition map, by rendezvous hashing. When a
+ * member joins or leaves, only the machines and keys of its partition change owners.
  */
 public final class Partitioner {
     private Partitioner() {}
 
-    /** The controller whose partition a machine or a key belongs to, or null without a map. */
+    /** Returns the controller that owns a machine or a key, or null if there is no map. */
     public static String ownerOf(PartitionMap map, String name) {
         if (map == null) {
             return null;
@@ -37,12 +37,15 @@
         return HashCommon.murmurHash3(((long) name.hashCode() << 32) ^ HashCommon.mix(controller.hashCode()));
     }
 
-    /** The controller that may launch a slice's tasks: the slice's owner, or whose partition its key is in. */
+    /**
+     * Returns the controller that may launch a slice's tasks: the slice's owner or, if that is not a member, the owner
+     * of the slice's key.
+     */
     public static String ownerOf(PartitionMap map, String sliceKey, Slice slice) {
         return map != null && map.hasMember(slice.owner()) ? slice.owner() : ownerOf(map, sliceKey);
     }
 
-    /** The controller that has been a member for longest, or null without a map. */
+    /** Returns the member that joined first, or null if there is no map or no member. */
     public static String leaderOf(PartitionMap map) {
         if (map == null) {
             return null;
--- a/src/main/java/dewlane/core/schema/StoreKey.java
+++ b/src/main/java/dewlane/core/schema/StoreKey.java
@@ -1,7 +1,7 @@
 package dewlane.core.schema;
 
 /**
- * A key of the store taken apart: what kind of value it holds, and which job, slice, machine or controller it names.
+ * A parsed key of the store: the kind of value that it holds, and the job, slice, machine or controller that it names.
  */
 public sealed interface StoreKey {
     /** The result of a job that has ended. */
@@ -13,43 +13,43 @@
     /** One slice of a job. */
     record OfSlice(String job, int number) implements StoreKey {}
 
-    /** A key among those of the slices that names no slice number. */
+    /** A key with the prefix of the slices that does not end in a slice number. */
     record OfMalformedSlice(String job) implements StoreKey {}
 
-    /** A decommission record, of the machine of that name or, with a batch's name, of several. */
+    /** A decommission record of one machine, which the key names, or of several, with the name of a batch. */
     record OfDecommission(String name) implements StoreKey {}
 
     /** The presence of a controller. */
     record OfPresence(String controller) implements StoreKey {}
 
-    /** The use of a team. */
+    /** The usage record of a team. */
     record OfTeamUsage(String team) implements StoreKey {}
 
     /** The partition map. */
     record OfPartitionMap() implements StoreKey {}
 
-    /** A key that this version does not know. */
+    /** A key of a kind that this release does not support. */
     record Unknown() implements StoreKey {}
 
-    /** Takes a key apart. */
+    /** Parses a key. */
     static StoreKey parse(String key) {
         if (key.startsWith(StoreKeys.SLICES)) {
-            return parseSlice(nameAfter(StoreKeys.SLICES, key));
+            return parseSlice(nameWithoutPrefix(StoreKeys.SLICES, key));
         } else if (key.startsWith(StoreKeys.JOBS)) {
-            return new OfJob(nameAfter(StoreKeys.JOBS, key));
+            return new OfJob(nameWithoutPrefix(StoreKeys.JOBS, key));
         } else if (key.startsWith(StoreKeys.JOB_RESULTS)) {
-            return new OfJobResult(nameAfter(StoreKeys.JOB_RESULTS, key));
+            return new OfJobResult(nameWithoutPrefix(StoreKeys.JOB_RESULTS, key));
         } else if (key.startsWith(StoreKeys.DECOMMISSIONS)) {
-            return new OfDecommission(nameAfter(StoreKeys.DECOMMISSIONS, key));
+            return new OfDecommission(nameWithoutPrefix(StoreKeys.DECOMMISSIONS, key));
         } else if (key.startsWith(StoreKeys.PRESENCES)) {
-            return new OfPresence(nameAfter(StoreKeys.PRESENCES, key));
+            return new OfPresence(nameWithoutPrefix(StoreKeys.PRESENCES, key));
         } else if (key.startsWith(StoreKeys.TEAM_USAGES)) {
-            return new OfTeamUsage(nameAfter(StoreKeys.TEAM_USAGES, key));
+            return new OfTeamUsage(nameWithoutPrefix(StoreKeys.TEAM_USAGES, key));
         }
         return key.equals(StoreKeys.PARTITION_MAP) ? new OfPartitionMap() : new Unknown();
     }
 
-    private static String nameAfter(String prefix, String key) {
+    private static String nameWithoutPrefix(String prefix, String key) {
         return key.substring(prefix.length());
     }
 
--- a/src/main/java/dewlane/core/schema/StoreKeys.java
+++ b/src/main/java/dewlane/core/schema/StoreKeys.java
@@ -1,12 +1,15 @@
 package dewlane.core.schema;
 
-/** Names of the keys in the store; {@link StoreKey} takes them apart. Job results sort first: a listing skips them. */
+/**
+ * Builds the keys in the store; {@link StoreKey} parses them. The prefix of job results sorts before all others, so
+ * that a listing can skip all results by its start key.
+ */
 public final class StoreKeys {
     /** The prefix of all keys. */
     public static final String ROOT = "dewlane/";
     /** The prefix of the results of jobs that have ended. */
     public static final String JOB_RESULTS = ROOT + "final/";
-    /** Sorts after all job results and before all other keys: a listing begins after it. */
+    /** The start key of listings: sorts after all job results and before all other keys. */
     public static final String AFTER_JOB_RESULTS = ROOT + "final0";
     /** The prefix of the records of jobs that have not ended. */
     public static final String JOBS = ROOT + "job/";
@@ -18,55 +21,56 @@
     public static final String PRESENCES = ROOT + "node/";
     /** The prefix of the slices of jobs. */
     public static final String SLICES = ROOT + "slice/";
-    /** Never set: reading it tells the latest revision. */
+    /** A key that is never set. It is read because each answer contains the store's latest revision. */
     public static final String NEVER_SET = ROOT + "none";
     /** The prefix of the teams' usage records. */
     public static final String TEAM_USAGES = ROOT + "team/";
 
     private StoreKeys() {}
 
-    /** True if this version knows what the key is for; false for null. */
+    /** Returns true if this release supports the kind of the key; false if the key is null. */
     public static boolean isKnown(String key) {
         return key != null && !(StoreKey.parse(key) instanceof StoreKey.Unknown);
     }
 
-    /** The key of the record of a job that has not ended. */
+    /** Returns the key of the record of a job that has not ended. */
     public static String job(String id) {
         return JOBS + id;
     }
 
-    /** The key of the result of a job that has ended. */
+    /** Returns the key of the result of a job that has ended. */
     public static String jobResult(String id) {
         return JOB_RESULTS + id;
     }
 
-    /** The key of a slice of a job. */
+    /** Returns the key of a slice of a job. */
     public static String slice(String job, int number) {
         return SLICES + job + "/" + number;
     }
 
-    /** The key of the decommission record of one machine. */
+    /** Returns the key of the decommission record of one machine. */
     public static String decommission(String machine) {
         return DECOMMISSIONS + machine;
     }
 
     /**
-     * The key of a decommission record of several machines; no machine's name begins with a plus.
+     * Returns the key of a decommission record of several machines. It differs from the key of any single machine, as
+     * no machine's name begins with a plus.
      *
      * @param controller the writer's name
      * @param incarnation the writer's incarnation
-     * @param number grows with each batch of this incarnation
+     * @param number a number that increases with each batch of this incarnation
      */
     public static String decommissionBatch(String controller, long incarnation, long number) {
         return DECOMMISSIONS + "+" + controller + "-" + incarnation + "-" + number;
     }
 
-    /** The key of a controller's presence, which lives as long as its lease. */
+    /** Returns the key of a controller's presence, which the store deletes when the controller's lease expires. */
     public static String presence(String controller) {
         return PRESENCES + controller;
     }
 
-    /** The key of a team's usage record. */
+    /** Returns the key of a team's usage record. */
     public static String teamUsage(String team) {
         return TEAM_USAGES + team;
     }
--- a/src/main/java/dewlane/core/schema/Transaction.java
+++ b/src/main/java/dewlane/core/schema/Transaction.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * A conditional write, applied as a whole or not at all.
+ * A conditional write, which the store applies atomically.
  *
- * @param preconditions all of them must hold
- * @param writes what is then done
+ * @param preconditions the conditions, all of which must hold
+ * @param writes the changes that are made if they hold
  */
 public record Transaction(List<Precondition> preconditions, List<Write> writes) {
     private static final long NO_LEASE = 0;
@@ -23,31 +23,34 @@
      * Sets or deletes one key.
      *
      * @param value the new value, or null to delete the key
-     * @param lease the lease to whose life the key is attached; 0 for none
+     * @param lease the lease to which the key is attached, so that it is deleted when the lease expires; 0 for none
      */
     public record Write(String key, StoredValue value, long lease) {
-        /** True if the key is attached to a lease. */
+        /** Returns true if the key is attached to a lease. */
         public boolean hasLease() {
             return lease != NO_LEASE;
         }
     }
 
-    /** How a transaction ended, as far as the store's answer tells. */
+    /** How a transaction ended, according to the store's answer. */
     public enum Status {
         /** All writes were applied. */
         COMMITTED,
         /** A precondition did not hold, and nothing was applied. */
         CONFLICT,
-        /** Nothing was applied: the store does not accept such a transaction, whatever it holds. */
+        /**
+         * Nothing was applied: the store does not accept the transaction, whether or not its preconditions hold. It may
+         * exceed a limit, or name a lease that has expired.
+         */
         INVALID,
-        /** Nothing was applied: more writes or requests than the rate allows. */
+        /** Nothing was applied: the rate limit of writes or requests is exceeded. */
         RATE_LIMITED,
-        /** Nothing was applied: the store is unavailable, to all or to this controller. */
+        /** Nothing was applied: the store is unavailable, to all controllers or to this one. */
         UNAVAILABLE,
-        /** There was no answer; the transaction may have been applied or may yet be. */
+        /** There was no answer: the transaction may have been applied or may be applied later. */
         UNKNOWN;
 
-        /** True if sending the same transaction again cannot end otherwise. */
+        /** Returns true if the answer is final: sending the same transaction again would not change it. */
         public boolean isDefinite() {
             return this == COMMITTED || this == CONFLICT || this == INVALID;
         }
@@ -58,7 +61,7 @@
         private final List<Precondition> preconditions = new ArrayList<>();
         private final List<Write> writes = new ArrayList<>();
 
-        /** Makes the transaction conditional on the version of a key; 0 if the key must not exist. */
+        /** Adds the precondition that a key has the given version; 0 if the key must not exist. */
         public Builder require(String key, long version) {
             Precondition precondition = new Precondition(key, version);
             if (!preconditions.contains(precondition)) {
@@ -67,35 +70,35 @@
             return this;
         }
 
-        /** Writes a key. */
+        /** Adds a write of a key. */
         public Builder put(String key, StoredValue value) {
             writes.add(new Write(key, value, NO_LEASE));
             return this;
         }
 
-        /** Writes a key that is deleted when the lease expires. */
+        /** Adds a write of a key that the store deletes when the lease expires. */
         public Builder putWithLease(String key, StoredValue value, long lease) {
             writes.add(new Write(key, value, lease));
             return this;
         }
 
-        /** Deletes a key. */
+        /** Adds the deletion of a key. */
         public Builder delete(String key) {
             writes.add(new Write(key, null, NO_LEASE));
             return this;
         }
 
-        /** How many preconditions there are so far. */
+        /** Returns the number of preconditions added so far. */
         public int preconditionCount() {
             return preconditions.size();
         }
 
-        /** How many writes there are so far. */
+        /** Returns the number of writes added so far. */
         public int writeCount() {
             return writes.size();
         }
 
-        /** The transaction as it stands. */
+        /** Returns a transaction of all parts added so far. */
         public Transaction build() {
             return new Transaction(List.copyOf(preconditions), List.copyOf(writes));
         }
--- a/src/main/java/dewlane/core/schema/TransactionPriority.java
+++ b/src/main/java/dewlane/core/schema/TransactionPriority.java
@@ -1,17 +1,17 @@
 package dewlane.core.schema;
 
-/** The order in which transactions of one controller are sent, most urgent first. */
+/** Priorities of a controller's transactions, in the order in which they are sent. */
 public enum TransactionPriority {
-    /** Joins the partition map, evicts members, moves machines or quota. */
+    /** Changes the partition map: a member joins or is evicted, machines are reassigned, quota is transferred. */
     MEMBERSHIP,
-    /** Confirms a cancellation to its user. */
+    /** Records a cancellation, whose user waits for the confirmation. */
     SAFETY,
-    /** Accepts a submission. */
+    /** Records the acceptance of a submission, whose user waits for the answer. */
     USER,
-    /** Makes the outcome of attempts or the decommission of machines durable. */
+    /** Records outcomes of attempts or the decommissioning of machines. */
     OUTCOME,
     /** Records launches. */
     LAUNCH,
-    /** Scale-in and garbage collection, which can wait. */
+    /** Scales in or deletes obsolete keys, which can wait. */
     LATER
 }
--- a/src/main/java/dewlane/core/schema/ValueSizer.java
+++ b/src/main/java/dewlane/core/schema/ValueSizer.java
@@ -1,7 +1,7 @@
 package dewlane.core.schema;
 
-/** Tells how many bytes a value takes in the store. */
+/** Computes the sizes of stored values. */
 public interface ValueSizer {
-    /** Bytes of the value as the store counts them. */
+    /** Returns the size of the value in bytes, as the store counts it against its limit. */
     int bytes(StoredValue value);
 }
