--- a/src/main/java/dewlane/core/store/DecommissionIndex.java
+++ b/src/main/java/dewlane/core/store/DecommissionIndex.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The decommission records, by their keys and by the names of the machines that they are about. */
+/** The replica's decommission records, indexed by key and by the names of the machines that they cover. */
 public final class DecommissionIndex {
     /**
      * A decommission record as it is stored.
      *
      * @param key the record's key
-     * @param machines the names of the machines that the record is about
+     * @param machines the names of the machines that the record covers
      * @param record the record
      * @param revision the revision of the record's latest change
      */
@@ -34,16 +34,16 @@
      * Applies a change of a record.
      *
      * @param name the last part of the key, which names the machine unless the record lists several
-     * @return the new entry, or empty if the record was deleted or the change is older than what is known
+     * @return the new entry, or empty if the record was deleted or the change is older than the indexed record
      */
     Optional<Entry> apply(String name, Input.KeyChange change) {
-        Entry known = byKey.get(change.key());
-        if (known != null && known.revision > change.revision()) {
+        Entry previous = byKey.get(change.key());
+        if (previous != null && previous.revision > change.revision()) {
             return Optional.empty();
         }
-        if (known != null) {
+        if (previous != null) {
             byKey.remove(change.key());
-            known.machines.forEach(machine -> byMachine.remove(machine, known));
+            previous.machines.forEach(machine -> byMachine.remove(machine, previous));
         }
         if (change.value() == null) {
             return Optional.empty();
@@ -56,11 +56,11 @@
         return Optional.of(entry);
     }
 
-    Collection<Entry> byKey() {
+    Collection<Entry> all() {
         return byKey.values();
     }
 
-    /** The record about the machine, or null. */
+    /** Returns the record that covers the machine, or null if there is none. */
     Entry get(String machine) {
         return byMachine.get(machine);
     }
--- a/src/main/java/dewlane/core/store/InvalidTransactions.java
+++ b/src/main/java/dewlane/core/store/InvalidTransactions.java
@@ -6,7 +6,10 @@
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.ValueSizer;
 
-/** Counts and logs the transactions that the store called invalid, and concludes which limits are in force. */
+/**
+ * Counts and logs the transactions that the store rejected as invalid, and detects from them that the smaller limit of
+ * value sizes is in force.
+ */
 final class InvalidTransactions {
     private final ControllerContext context;
     private final ControllerCounters counters;
@@ -19,14 +22,17 @@
         this.sizer = sizer;
     }
 
-    /** True once a value larger than the coming limits, though within the present ones, was called invalid. */
+    /**
+     * Returns true once a transaction was invalid whose largest value is within the initial limit but exceeds the
+     * smaller one that replaces it.
+     */
     boolean wasSizeRejected() {
         return sizeRejected;
     }
 
     /**
-     * The store called the transaction invalid. It is not sent again as it is: its writer makes another one. One that
-     * attaches a key to a lease proves nothing about sizes, as the lease may have expired in the meantime.
+     * Records that the store rejected the transaction as invalid. It is not sent again; its writer builds another one.
+     * A transaction that attaches a key to a lease shows nothing about sizes, as the lease may have expired.
      */
     void record(Transaction transaction) {
         counters.increment(Counter.INVALID_TRANSACTIONS);
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * A job that has a record or slices in the store: what is stored of it, and its {@link JobUrgency}, which follows from
- * other jobs as well.
+ * A job that has a record or slices in the store: its stored values, and its {@link JobUrgency}, which also depends on
+ * other jobs.
  */
 public final class JobEntry {
-    /** Stands for a job without a deadline of its own or of a dependent. */
+    /** The deadline of a job if neither it nor any job that depends on it has a deadline. */
     public static final long NO_DEADLINE = JobUrgency.NO_DEADLINE;
 
     private final String id;
@@ -26,102 +26,118 @@
         this.id = id;
     }
 
-    /** The job's id. */
+    /** Returns the job's id. */
     public String id() {
         return id;
     }
 
-    /** Null only for the moment between two changes of a listing, or once only slices of an ended job are left. */
+    /**
+     * Returns the job, or null if the replica has no record of it: while a listing is being loaded, once only slices of
+     * an ended job are left, or if the record cannot be read.
+     */
     public Job job() {
         return record == null ? null : record.job();
     }
 
-    /** What a task of the job needs of a machine; only of a job that has a record. */
+    /** Returns what a task of the job requires of a machine. Call this only if the job has a record. */
     public Job.Requirements requirements() {
         return requirements;
     }
 
-    /** True if the job was cancelled by its own user, or a cancellation that passed down to it is durable. */
+    /**
+     * Returns true if the store holds a cancellation of the job, which its user requested or which follows from the
+     * cancellation of a dependency.
+     */
     public boolean isCancelled() {
         return record != null && record.isCancelled();
     }
 
-    /** The job's record, or null if it has none any more. */
+    /** Returns the job's record, or null if there is none. */
     public JobRecord record() {
         return record;
     }
 
-    /** Time of day at which the job was cancelled; 0 if it was not. */
+    /** Returns the time of day at which the job was cancelled; 0 if it was not. */
     public long cancelledAtMs() {
         return record == null ? 0 : record.cancelledAtMs();
     }
 
-    /** The revision of the record's latest change; 0 if there is no record. */
+    /** Returns the revision of the record's latest change; 0 if there is no record. */
     public long revision() {
         return revision;
     }
 
-    /** Takes another value of the record. */
-    void store(JobRecord stored, long atRevision) {
+    /** Sets the record to a value read from the store. */
+    void setRecord(JobRecord newRecord, long newRevision) {
         boolean isFirst = record == null;
-        record = stored;
-        revision = atRevision;
-        requirements = stored.job().requirements();
+        record = newRecord;
+        revision = newRevision;
+        requirements = newRecord.job().requirements();
         if (isFirst) {
-            urgency.start(stored.job());
+            urgency.initialize(newRecord.job());
         }
     }
 
-    /** The record is gone from the store. */
+    /** Removes the record, which was deleted from the store. */
     void removeRecord() {
         record = null;
         revision = 0;
     }
 
-    /** The highest priority of the job and of all jobs that depend on it, directly or through others. */
+    /** Returns the highest priority of the job and of all jobs that depend on it, directly or transitively. */
     public Priority priority() {
         return urgency.priority();
     }
 
     /**
-     * Time of day by which the job should end: its own deadline, or an earlier one that leaves its dependents the time
-     * they are estimated to take.
+     * Returns the time of day by which the job should end: its own deadline, or an earlier one that leaves the jobs
+     * that depend on it their estimated run time.
      */
     public long deadlineMs() {
         return urgency.deadlineMs();
     }
 
-    /** Time of day from which the job's waiting counts: its acceptance, or the end of the last of its dependencies. */
+    /**
+     * Returns the time of day from which the job's waiting time counts: its acceptance or, if later, the end of the
+     * last of its dependencies.
+     */
     public long waitingSinceMs() {
         return urgency.waitingSinceMs();
     }
 
-    /** Time of day of the job's own deadline, counted from its acceptance however long it awaits others. */
+    /**
+     * Returns the time of day of the job's own deadline. It counts from the job's acceptance, however long the job
+     * waits for dependencies.
+     */
     public long ownDeadlineMs() {
         return JobUrgency.ownDeadlineMs(record.job());
     }
 
-    /** Sets the priority and the deadline (time of day) that follow from the jobs that depend on this one. */
+    /**
+     * Sets the priority and the deadline that result from the job's own ones and those of the jobs that depend on it.
+     *
+     * @param earliestDeadlineMs time of day
+     */
     public void inheritUrgency(Priority highest, long earliestDeadlineMs) {
         urgency.inherit(highest, earliestDeadlineMs);
     }
 
-    /** The last job that this one awaited ended at the given time of day. */
+    /** Called when a dependency of the job has ended at the given time of day. */
     public void dependencyEnded(long atMs) {
         urgency.dependencyEnded(atMs);
     }
 
-    /** The slices that the job is cut into, in the order of their numbers. */
+    /** Returns the job's slices in the order of their numbers. */
     public Collection<SliceEntry> slices() {
         return slices.values();
     }
 
-    /** The slices by their numbers. */
+    /** Returns the slices by their numbers; changes of the map change the job. */
     NavigableMap<Integer, SliceEntry> slicesByNumber() {
         return slices;
     }
 
-    /** How many tasks are done. */
+    /** Returns the number of tasks that are done. */
     public int doneCount() {
         int count = 0;
         for (SliceEntry slice : slices.values()) {
@@ -130,7 +146,7 @@
         return count;
     }
 
-    /** How many attempts may be on a machine. */
+    /** Returns the number of attempts that may be on a machine. */
     public int liveAttemptCount() {
         int count = 0;
         for (SliceEntry slice : slices.values()) {
@@ -139,7 +155,7 @@
         return count;
     }
 
-    /** How many tasks are neither done nor may be on a machine. */
+    /** Returns the number of tasks that are not done and cannot be on a machine. */
     public int pendingCount() {
         int count = 0;
         for (SliceEntry slice : slices.values()) {
@@ -148,20 +164,20 @@
         return count;
     }
 
-    /** True if every task has a done mark. */
+    /** Returns true if every task is done. */
     public boolean isComplete() {
         return record != null && doneCount() == record.job().tasks();
     }
 
-    /** A number that no slice of the job has had, since slices are deleted only with their job. */
+    /** Returns a number that no slice of the job has had, as slices are deleted only with their job. */
     public int nextSliceNumber() {
         return slices.isEmpty() ? 0 : slices.lastKey() + 1;
     }
 
     /**
-     * How many of its first tasks a slice still holds. One that is too large to be written in one piece is cut by
-     * slices with higher numbers, which take over its last tasks group by group: a task is always in the slice with the
-     * highest number that holds it.
+     * Returns how many of its first tasks a slice still contains. A slice that is too large to be split by one
+     * transaction is split step by step: new slices with higher numbers take over its last tasks, while its stored
+     * value stays as it is. A task therefore belongs to the slice with the highest number that covers it.
      */
     int remainingCount(SliceEntry slice) {
         int first = slice.stored().first();
@@ -175,7 +191,7 @@
         return count;
     }
 
-    /** The slice that holds a task, or null. */
+    /** Returns the slice that contains a task, or null if there is none. */
     public SliceEntry sliceOf(int task) {
         for (SliceEntry slice : slices.values()) {
             if (task >= slice.value().first()
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -10,22 +10,22 @@
 import dewlane.core.schema.StoredValue.JobResult;
 import it.unimi.dsi.fastutil.longs.Long2ObjectOpenHashMap;
 
-/** Reads results of jobs that the replica does not hold, within a fraction of the store's request rate. */
+/** Reads job results that the replica does not contain, within a fraction of the store's request rate. */
 public final class JobResultReader {
-    /** The fraction of the request rate that all controllers' reads together may take. */
+    /** The fraction of the store's request rate that these reads of all controllers together may use. */
     private static final double REQUEST_FRACTION = 0.2;
 
     private static final double MIN_BURST = 5;
 
-    /** Told what a read found. */
+    /** Receives the outcome of a read; exactly one method is called. */
     public interface Listener {
-        /** The job has ended. */
+        /** Called if the job has ended. */
         void found(JobResult result);
 
-        /** The job has no result: it has not ended, or was never accepted. */
+        /** Called if the job has no result: it has not ended, or was never accepted. */
         void absent();
 
-        /** The store did not answer, or what it holds cannot be read. */
+        /** Called if the store did not answer, or the stored result cannot be read. */
         void unavailable();
     }
 
@@ -37,7 +37,7 @@
     private final Long2ObjectOpenHashMap<PendingRead> inFlight = new Long2ObjectOpenHashMap<>();
     private long nextId = 1;
 
-    /** A reader that adds what it finds to the replica. */
+    /** Creates a reader that adds the results that it reads to the replica's cache. */
     public JobResultReader(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
@@ -49,7 +49,7 @@
     /**
      * Reads a job's result.
      *
-     * @return false if the rate allows no read now; the listener is then never called
+     * @return false if the rate limit allows no read now; the listener is then never called
      */
     public boolean read(String job, Listener listener) {
         if (!rate.tryAcquire(context.nowMs())) {
@@ -61,7 +61,7 @@
         return true;
     }
 
-    /** The store answered a read. */
+    /** Called when the store has answered a read. */
     public void onValueRead(Input.ValueRead in) {
         PendingRead read = inFlight.remove(in.id());
         if (read == null) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /** The store did not answer a read. */
+    /** Called when a read has failed. */
     public void onValueReadFailed(Input.ValueReadFailed in) {
         PendingRead read = inFlight.remove(in.id());
         if (read != null) {
--- a/src/main/java/dewlane/core/store/JobTable.java
+++ b/src/main/java/dewlane/core/store/JobTable.java
@@ -16,7 +16,7 @@
 /** The part of the replica that holds jobs and their slices, and applies the changes of their keys. */
 final class JobTable {
     private final Map<String, JobEntry> jobs = new LinkedHashMap<>();
-    /** Jobs of which only slices are left. */
+    /** Jobs that have no record any more but still have slices. */
     private final Set<JobEntry> endedJobsWithSlices = new LinkedHashSet<>();
 
     private final UnreadableKeys unreadable = new UnreadableKeys();
@@ -26,7 +26,7 @@
         this.listener = listener;
     }
 
-    /** Forgets everything, and tells the listener so for each slice and each job. */
+    /** Removes all jobs, and reports each slice and each record to the listener as deleted. */
     void clear() {
         for (JobEntry job : List.copyOf(jobs.values())) {
             for (SliceEntry slice : List.copyOf(job.slices())) {
@@ -43,7 +43,7 @@
         return jobs.values();
     }
 
-    /** The job, or null. */
+    /** Returns the job, or null if it has neither a record nor slices. */
     JobEntry get(String id) {
         return jobs.get(id);
     }
@@ -67,7 +67,7 @@
         if (job != null && job.revision() < change.revision()) {
             removeRecord(job);
             job.slices().removeIf(slice -> slice.revision() == 0);
-            updateEndedJob(job);
+            updateIfEnded(job);
         }
     }
 
@@ -77,13 +77,13 @@
         if (change.value() != null) {
             JobEntry job = getOrCreate(key.job());
             storeSlice(job, key.number(), (Slice) change.value(), change.revision());
-            updateEndedJob(job);
+            updateIfEnded(job);
             return;
         }
         JobEntry job = jobs.get(key.job());
         if (job != null) {
             removeSlice(job, key.number(), change.revision());
-            updateEndedJob(job);
+            updateIfEnded(job);
         }
     }
 
@@ -96,7 +96,7 @@
             return;
         }
         JobRecord before = job.record();
-        job.store(record, revision);
+        job.setRecord(record, revision);
         endedJobsWithSlices.remove(job);
         listener.accept(new ReplicaChange.JobChanged(job, before, record));
         if (before == null) {
@@ -112,13 +112,15 @@
         }
     }
 
-    /** A slice that has no key yet is as the job's record assigns it, at version 0. */
+    /**
+     * Creates the slices that have no key yet, at revision 0, with the contents that the job's record assigns to them.
+     */
     private void createAssignedSlices(JobEntry job) {
         List<SliceAssignment> assignments = job.record().assignments();
         for (int number = 0; number < assignments.size(); number++) {
             if (!job.slicesByNumber().containsKey(number)) {
                 SliceEntry slice = new SliceEntry(job.id(), number);
-                slice.store(assignments.get(number).slice(), 0);
+                slice.setStored(assignments.get(number).slice(), 0);
                 job.slicesByNumber().put(number, slice);
                 slice.restrictTo(job.remainingCount(slice));
             }
@@ -131,9 +133,10 @@
             return;
         }
         Slice before = slice.value();
-        slice.store(value, revision);
+        slice.setStored(value, revision);
         slice.restrictTo(job.remainingCount(slice));
-        // The tasks that it takes over leave the other slices first, so that no attempt is in two slices in between.
+        // The tasks are first removed from the slices with lower numbers, so that listeners never see an attempt in two
+        // slices.
         job.slicesByNumber().headMap(number).values().forEach(lower -> restrictToRemaining(job, lower));
         listener.accept(new ReplicaChange.SliceChanged(job, slice, before, slice.value()));
     }
@@ -155,8 +158,8 @@
         }
     }
 
-    /** A job without a record is forgotten with its last slice. */
-    private void updateEndedJob(JobEntry job) {
+    /** Removes a job that has neither a record nor slices, and lists one that has only slices. */
+    private void updateIfEnded(JobEntry job) {
         if (job.record() != null) {
             return;
         }
--- a/src/main/java/dewlane/core/store/JobUrgency.java
+++ b/src/main/java/dewlane/core/store/JobUrgency.java
@@ -4,10 +4,11 @@
 import dewlane.core.model.Priority;
 
 /**
- * How urgent a job is, as its own record says at first and the jobs that depend on it, or that it awaited, add later.
+ * The urgency of a job: its priority, its deadline, and when it began to wait. Its own record sets the initial values;
+ * the jobs that depend on it and the ends of its dependencies change them.
  */
 final class JobUrgency {
-    /** Stands for a job without a deadline of its own or of a dependent. */
+    /** The deadline if neither the job nor any job that depends on it has a deadline. */
     static final long NO_DEADLINE = Long.MAX_VALUE;
 
     private static final long MS_PER_S = 1000;
@@ -16,19 +17,19 @@
     private long deadlineMs = NO_DEADLINE;
     private long waitingSinceMs;
 
-    /** Begins with what the job's own record says. */
-    void start(Job job) {
+    /** Sets the initial values from the job's own record. */
+    void initialize(Job job) {
         inherit(job.priority(), ownDeadlineMs(job));
         waitingSinceMs = job.acceptedAtMs();
     }
 
-    /** Takes the priority and deadline that follow from the job's dependents. */
+    /** Sets the priority and deadline that take the jobs that depend on this one into account. */
     void inherit(Priority highest, long earliestDeadlineMs) {
         priority = highest;
         deadlineMs = earliestDeadlineMs;
     }
 
-    /** The job has waited for a dependency until the given time of day. */
+    /** Called when a dependency of the job has ended at the given time of day. */
     void dependencyEnded(long atMs) {
         waitingSinceMs = Math.max(waitingSinceMs, atMs);
     }
@@ -45,7 +46,10 @@
         return waitingSinceMs;
     }
 
-    /** Time of day of a job's own deadline, counted from its acceptance however long it awaits others. */
+    /**
+     * Returns the time of day of a job's own deadline. It counts from the job's acceptance, however long the job waits
+     * for dependencies.
+     */
     static long ownDeadlineMs(Job job) {
         return job.deadlineS() > 0 ? job.acceptedAtMs() + (long) (MS_PER_S * job.deadlineS()) : NO_DEADLINE;
     }
--- a/src/main/java/dewlane/core/store/PendingTransaction.java
+++ b/src/main/java/dewlane/core/store/PendingTransaction.java
@@ -4,9 +4,9 @@
 import dewlane.core.schema.TransactionPriority;
 import java.util.Comparator;
 
-/** A transaction of the {@link TransactionQueue} without a definite answer so far. */
+/** A transaction of the {@link TransactionQueue} that has no definite answer yet. */
 final class PendingTransaction {
-    /** The order in which transactions are sent: by priority, and within one as they were submitted. */
+    /** The order in which transactions are sent: by priority, and in order of submission within a priority. */
     static final Comparator<PendingTransaction> SENDING_ORDER =
             Comparator.<PendingTransaction, TransactionPriority>comparing(pending -> pending.priority)
                     .thenComparingLong(pending -> pending.id);
@@ -48,33 +48,33 @@
         return listener;
     }
 
-    /** Steady time at which the transaction was queued first. */
+    /** Returns the steady time at which the transaction was submitted. */
     long submittedAtMs() {
         return submittedAtMs;
     }
 
-    /** True if a user waits for the answer, who gives up after a while. */
+    /** Returns true if a user waits for the answer, who stops waiting after a time. */
     boolean isUserRequest() {
         return priority == TransactionPriority.USER || priority == TransactionPriority.SAFETY;
     }
 
-    /** True for those few that are sent whether or not the write rate has room for them. */
-    boolean isExemptFromRate() {
+    /** Returns true if the transaction is sent even if the write rate is used up; such transactions are few. */
+    boolean isExemptFromRateLimit() {
         return priority.compareTo(TransactionPriority.USER) <= 0;
     }
 
-    /** How often the transaction has been queued again. */
+    /** Returns how often the transaction has been queued again. */
     int retries() {
         return retries;
     }
 
-    /** The transaction is queued again, to be sent no earlier than the given steady time. */
+    /** Schedules a retry no earlier than the given steady time. */
     void retryAt(long atMs) {
         retries++;
         notBeforeMs = atMs;
     }
 
-    /** True if the transaction may be sent at the given steady time. */
+    /** Returns true if the transaction may be sent at the given steady time. */
     boolean isDue(long nowMs) {
         return notBeforeMs <= nowMs;
     }
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -9,39 +9,41 @@
 import java.util.List;
 
 /**
- * Makes reads of the replica linearizable: a request to the store that was sent after a question arrived names a
- * revision, and once the replica has reached it, nothing that any controller had shown before the question is missing
- * from it.
+ * Makes reads of the replica linearizable. After a read arrives, the store is asked for its latest revision. Once the
+ * replica has reached that revision, it contains everything that any controller had shown to users before the read.
  *
- * <p>One request serves all questions that arrived before it was sent. One for each would use up the store's request
- * rate when hundreds of jobs are asked about, until leases could not be renewed either.
+ * <p>One request to the store serves all reads that arrived before it was sent. With one request for each read, queries
+ * about hundreds of jobs would use up the store's request rate, and leases could not be renewed either.
  */
 public final class ReadBarrier {
-    /** The fraction of the store's request rate that all controllers' barriers together may take. */
+    /** The fraction of the store's request rate that the barriers of all controllers together may use. */
     private static final double REQUEST_FRACTION = 0.2;
-    /** A question that has waited for so long fails as if the store had not answered. */
+    /**
+     * A read fails as if the store had not answered if the replica has not reached its revision within this time of its
+     * arrival.
+     */
     private static final long TIMEOUT_MS = 4000;
 
-    /** What is to be run once the replica is known to be current, or if that cannot be known. */
-    private record Question(long arrivedAtMs, Runnable onCurrent, Runnable onUnavailable) {}
+    /** A read that waits for the replica, with the actions to run once the replica is current or if that is unknown. */
+    private record PendingRead(long arrivedAtMs, Runnable onCurrent, Runnable onUnavailable) {}
 
-    /** Questions that may be answered once the replica has reached the revision. */
-    private record Batch(long revision, List<Question> questions) {}
+    /** Reads that are answered once the replica has reached the revision. */
+    private record Batch(long revision, List<PendingRead> reads) {}
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final long requestIntervalMs;
-    /** Questions for which no request has been sent yet. */
-    private List<Question> arrived = new ArrayList<>();
-    /** Questions that the request in flight is for. */
-    private List<Question> requested = List.of();
-    /** Questions whose revision is known, in the order of the revisions. */
+    /** Reads for which no request has been sent yet. */
+    private List<PendingRead> unrequested = new ArrayList<>();
+    /** Reads that the request in flight serves. */
+    private List<PendingRead> requested = List.of();
+    /** Reads whose revision is known, in the order of the revisions. */
     private final Deque<Batch> batches = new ArrayDeque<>();
 
     private boolean requestInFlight;
     private long requestedAtMs = ControllerContext.NEVER_MS;
 
-    /** A barrier in front of the replica, without questions. */
+    /** Creates a barrier for reads of the replica. */
     public ReadBarrier(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
@@ -49,64 +51,63 @@
     }
 
     /**
-     * Asks for the replica to be brought up to date.
+     * Waits until the replica contains everything that is in the store now.
      *
-     * @param onCurrent run once the replica holds all that is durable now
-     * @param onUnavailable run instead if that cannot be known
+     * @param onCurrent run once it does
+     * @param onUnavailable run instead if the store or the watch does not answer in time
      */
     public void await(Runnable onCurrent, Runnable onUnavailable) {
-        arrived.add(new Question(context.nowMs(), onCurrent, onUnavailable));
+        unrequested.add(new PendingRead(context.nowMs(), onCurrent, onUnavailable));
         sendRequest();
     }
 
-    /** The store answered the request in flight. */
+    /** Called when the store has answered the request in flight. */
     public void onRevisionRead(Input.RevisionRead in) {
         batches.add(new Batch(in.revision(), takeRequested()));
         onReplicaAdvanced();
         sendRequest();
     }
 
-    /** The store did not answer the request in flight. */
+    /** Called when the request in flight has failed. */
     public void onRevisionReadFailed() {
-        takeRequested().forEach(question -> question.onUnavailable().run());
+        takeRequested().forEach(read -> read.onUnavailable().run());
         sendRequest();
     }
 
-    private List<Question> takeRequested() {
+    private List<PendingRead> takeRequested() {
         requestInFlight = false;
-        List<Question> taken = requested;
+        List<PendingRead> reads = requested;
         requested = List.of();
-        return taken;
+        return reads;
     }
 
-    /** The replica has reached a later revision. */
+    /** Called when the replica has reached a later revision. */
     void onReplicaAdvanced() {
         while (!batches.isEmpty() && batches.peek().revision() <= replica.revision()) {
-            batches.poll().questions().forEach(question -> question.onCurrent().run());
+            batches.poll().reads().forEach(read -> read.onCurrent().run());
         }
     }
 
-    /** Sends a request for the questions that have arrived, and gives up on those that have waited too long. */
+    /** Sends a request for the reads that have arrived if one is due, and fails those that timed out. */
     public void tick() {
-        while (!batches.isEmpty() && isLate(batches.peek())) {
-            batches.poll().questions().forEach(question -> question.onUnavailable()
-                    .run());
+        while (!batches.isEmpty() && hasTimedOut(batches.peek())) {
+            batches.poll().reads().forEach(read -> read.onUnavailable().run());
         }
         sendRequest();
     }
 
-    /** The first question of a batch is its oldest. */
-    private boolean isLate(Batch batch) {
-        return context.nowMs() - batch.questions().get(0).arrivedAtMs() > TIMEOUT_MS;
+    /** Returns true if the oldest read of the batch, which is the first, has timed out. */
+    private boolean hasTimedOut(Batch batch) {
+        return context.nowMs() - batch.reads().get(0).arrivedAtMs() > TIMEOUT_MS;
     }
 
     private void sendRequest() {
         boolean isDue = context.nowMs() - requestedAtMs >= requestIntervalMs;
-        if (!requestInFlight && !arrived.isEmpty() && isDue) {
+        if (!requestInFlight && !unrequested.isEmpty() && isDue) {
             requestInFlight = true;
             requestedAtMs = context.nowMs();
-            requested = arrived;
-            arrived = new ArrayList<>();
+            requested = unrequested;
+            unrequested = new ArrayList<>();
             context.emit(new Effect.ReadRevision());
         }
     }
--- a/src/main/java/dewlane/core/store/ReducedRateDetector.java
+++ b/src/main/java/dewlane/core/store/ReducedRateDetector.java
@@ -4,19 +4,21 @@
 import dewlane.core.message.ControllerContext;
 
 /**
- * Finds out whether the smaller write rate, which comes into force without notice, already is. Writes that are refused
- * although this controller takes no more than an equal share of the larger rate show it. Now and then the larger rate
- * is tried again, so that refusals for another reason slow nothing down for good.
+ * Detects whether the reduced limit of the write rate, which replaces the initial one without notice, is in force. It
+ * is taken to be if writes are refused although this controller uses no more than an equal share of the initial rate.
+ * The initial rate is tried again from time to time, so that refusals for other reasons do not reduce the rate
+ * permanently.
  */
 final class ReducedRateDetector {
-    /** So many refusals at an equal share, within so long, mean that the smaller rate is in force. */
+    /** The number of refusals at an equal share within the window that indicates the reduced rate. */
     private static final int MIN_REFUSALS = 2;
 
     private static final long REFUSAL_WINDOW_MS = 2000;
     /**
-     * How long the smaller rate is taken for granted; twice as long each time that the next refusals prove it right.
+     * How long the reduced rate is assumed to be in force before the initial one is tried again. The time doubles each
+     * time that refusals follow at once and so confirm the reduced rate.
      */
-    private static final long REDUCED_MS = 60_000;
+    private static final long REDUCED_PERIOD_MS = 60_000;
 
     private static final int MAX_DOUBLINGS = 4;
 
@@ -32,17 +34,20 @@
         this.limits = context.settings().store();
     }
 
-    /** True while the smaller rate is taken to be in force. */
+    /** Returns true while the reduced rate is assumed to be in force. */
     boolean isReduced() {
         return context.nowMs() < reducedUntilMs;
     }
 
-    /** Writes a second that all controllers together may make. */
+    /** Returns the writes per second that all controllers together may make. */
     double writesPerS() {
         return isReduced() ? limits.reducedWritesPerS() : limits.present().writesPerS();
     }
 
-    /** A write was refused for the rate while this controller took no more than an equal share of the present one. */
+    /**
+     * Called when a write was refused because of the rate limit while this controller used no more than an equal share
+     * of the assumed rate.
+     */
     void onRefusedAtEqualShare() {
         if (isReduced()) {
             return;
@@ -60,9 +65,9 @@
     }
 
     private void reduce(long nowMs) {
-        boolean wasRight = nowMs - reducedUntilMs < 2 * REFUSAL_WINDOW_MS;
-        doublings = wasRight ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
-        reducedUntilMs = nowMs + (REDUCED_MS << doublings);
+        boolean confirmed = nowMs - reducedUntilMs < 2 * REFUSAL_WINDOW_MS;
+        doublings = confirmed ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
+        reducedUntilMs = nowMs + (REDUCED_PERIOD_MS << doublings);
         context.info("writes are refused at " + limits.present().writesPerS() + " a second, reducing the rate to "
                 + limits.reducedWritesPerS());
     }
--- a/src/main/java/dewlane/core/store/ReplicaChange.java
+++ b/src/main/java/dewlane/core/store/ReplicaChange.java
@@ -6,37 +6,38 @@
 import dewlane.core.schema.StoredValue.PartitionMap;
 import dewlane.core.schema.StoredValue.Slice;
 
-/** What a change of the store changed in the {@link StoreReplica}; passed on after the change is in place. */
+/** A change of the {@link StoreReplica}, which is reported after the replica has applied it. */
 public sealed interface ReplicaChange {
     /**
-     * A slice has another value.
+     * A slice was created, changed or deleted.
      *
-     * @param before the value until now, or null if the slice is new
-     * @param after the present value, or null if the slice was deleted
+     * @param before the previous value, or null if the slice is new
+     * @param after the new value, or null if the slice was deleted
      */
     record SliceChanged(JobEntry job, SliceEntry slice, Slice before, Slice after) implements ReplicaChange {}
 
     /**
-     * A job has another record.
+     * A job's record was created, changed or deleted.
      *
-     * @param before the record until now, or null if the job is new
-     * @param after the present record, or null if it was deleted
+     * @param before the previous record, or null if the job is new
+     * @param after the new record, or null if it was deleted
      */
     record JobChanged(JobEntry job, JobRecord before, JobRecord after) implements ReplicaChange {}
 
     /**
-     * The partition map is another.
+     * The partition map was created or changed.
      *
-     * @param before the map until now, or null before the first
-     * @param after the present map
-     * @param complete true if no map between the two was missed
+     * @param before the previous map, or null if there was none
+     * @param after the new map
+     * @param complete true if the replica has seen every map; false if maps between the two may have been missed, as
+     *     the new one comes from a listing
      */
     record PartitionMapChanged(PartitionMap before, PartitionMap after, boolean complete) implements ReplicaChange {}
 
-    /** A machine has a decommission record, or another one. */
+    /** A machine's decommission record was created or changed. */
     record MachineDecommissioned(String name, DecommissionRecord after) implements ReplicaChange {}
 
-    /** A job's result became known. */
+    /** A job has ended, and its result was added to the replica. */
     record JobEnded(String job, JobResult result) implements ReplicaChange {}
 
     /** A key has a value that cannot be read. */
--- a/src/main/java/dewlane/core/store/ReplicaFreshness.java
+++ b/src/main/java/dewlane/core/store/ReplicaFreshness.java
@@ -4,30 +4,33 @@
 import dewlane.core.message.ControllerContext;
 
 /**
- * How old the replica's view of the store may be, and what may be done on a view of that age.
+ * Tracks the age of the replica, and decides what may be done with a replica of that age.
  *
- * <p>A cancellation is confirmed by any controller, so one that misses it must not keep its tasks alive. The view is as
- * of the moment at which the latest answered watch, or the listing before it, was requested: everything older is in the
- * replica. That some other request was answered, such as a lease renewal, proves nothing about it, nor does the arrival
- * of an answer that lay in a buffer while the process was paused. A heartbeat is answered only while the view is so
- * young that the lease which the answer renews still expires within {@code cancel_s} of any cancellation that may be
- * missing from the view.
+ * <p>Any controller may confirm a cancellation, so a controller whose replica lacks it must not keep the job's tasks
+ * running. The age counts from the time at which the latest answered watch, or the listing before it, was requested, as
+ * the replica contains everything that was durable then. Answers to other requests, such as a lease renewal, do not
+ * reset the age; nor does the time at which an answer arrives, as it may have been buffered while the process was
+ * paused. A heartbeat is answered only while the replica is so fresh that the lease which the answer renews expires
+ * within {@code cancel_s} of any cancellation that may be missing from the replica.
  */
 public final class ReplicaFreshness {
-    /** For the drift of two clocks, and for the time a worker takes to end what its lease no longer covers. */
+    /** Allows for the time that a worker takes to stop its tasks after its lease has expired, and for clock drift. */
     private static final long MARGIN_MS = 1000;
-    /** Bound of the difference in rate between two steady clocks. */
+    /** The largest relative difference in rate between two steady clocks. */
     private static final double CLOCK_DRIFT = 0.001;
-    /** A view reaches this age now and then in ordinary service, so heartbeats are answered up to it in any case. */
+    /**
+     * The replica reaches this age from time to time in normal operation, so heartbeats are answered up to this age
+     * whatever the settings are.
+     */
     private static final long MIN_RENEWAL_AGE_MS = 3000;
-    /** A launch is not sent, or sent again, on a view older than this. */
+    /** A launch is not sent or resent if the replica is older than this. */
     private static final long MAX_LAUNCH_AGE_MS = 2500;
 
     private final ControllerContext context;
     private final long maxRenewalAgeMs;
-    private long viewAtMs = ControllerContext.NEVER_MS;
+    private long freshAsOfMs = ControllerContext.NEVER_MS;
 
-    /** Derives the bounds from the deployment's settings, and logs where these leave too little time. */
+    /** Derives the limits from the deployment's settings, and logs a warning if these leave too little time. */
     public ReplicaFreshness(ControllerContext context) {
         this.context = context;
         Settings settings = context.settings();
@@ -37,7 +40,8 @@
             long worstMs = MIN_RENEWAL_AGE_MS + MARGIN_MS + (long) (1000 * settings.workerLeaseS());
             context.info("cancel_s " + settings.cancellationDeadlineS() + " is too short beside lease_s "
                     + settings.workerLeaseS() + ": while the store is unreachable, a cancelled task may run for up to "
-                    + worstMs + " ms; heartbeats are answered for only " + MIN_RENEWAL_AGE_MS + " ms on an old view");
+                    + worstMs + " ms; heartbeats are answered only until the replica is " + MIN_RENEWAL_AGE_MS
+                    + " ms old");
         }
     }
 
@@ -47,22 +51,22 @@
         return (long) (leaseDifferenceMs - deadlineMs * CLOCK_DRIFT) - MARGIN_MS;
     }
 
-    /** The replica holds everything that was durable up to the given steady time. */
+    /** Called when the replica contains everything that was durable at the given steady time. */
     public void onRefreshed(long asOfMs) {
-        viewAtMs = Math.max(viewAtMs, asOfMs);
+        freshAsOfMs = Math.max(freshAsOfMs, asOfMs);
     }
 
-    /** How old the view may be, in milliseconds. */
+    /** Returns the age of the replica in milliseconds: it contains everything that was durable that long ago. */
     public long ageMs() {
-        return context.nowMs() - viewAtMs;
+        return context.nowMs() - freshAsOfMs;
     }
 
-    /** True if a worker's lease may be renewed on the present view. */
+    /** Returns true if the replica is fresh enough to renew workers' leases. */
     public boolean allowsLeaseRenewal() {
         return ageMs() <= maxRenewalAgeMs;
     }
 
-    /** True if the view is young enough to start tasks on it. */
+    /** Returns true if the replica is fresh enough to send launches. */
     public boolean allowsLaunch() {
         return ageMs() <= MAX_LAUNCH_AGE_MS;
     }
--- a/src/main/java/dewlane/core/store/SliceEntry.java
+++ b/src/main/java/dewlane/core/store/SliceEntry.java
@@ -3,7 +3,7 @@
 import dewlane.core.schema.StoreKeys;
 import dewlane.core.schema.StoredValue.Slice;
 
-/** A slice of a job as the replica holds it, and the version of its key. */
+/** A slice of a job in the replica, with the revision of its key. */
 public final class SliceEntry {
     private final int number;
     private final String key;
@@ -16,39 +16,42 @@
         this.key = StoreKeys.slice(job, number);
     }
 
-    /** The slice's number within its job. */
+    /** Returns the slice's number within its job. */
     public int number() {
         return number;
     }
 
-    /** The key under which the slice is stored. */
+    /** Returns the key of the slice. */
     public String key() {
         return key;
     }
 
-    /** The slice's contents, less the tasks that slices with higher numbers have taken over. */
+    /** Returns the slice's contents without the tasks that slices with higher numbers have taken over. */
     public Slice value() {
         return value;
     }
 
-    /** The revision of the latest change; 0 while the slice has no key and the job's assignment stands for it. */
+    /**
+     * Returns the revision of the latest change; 0 if the slice has no key yet and its contents are those that the
+     * job's record assigns.
+     */
     public long revision() {
         return revision;
     }
 
-    /** The slice's contents as its key holds them. */
+    /** Returns the slice's contents as they are stored. */
     Slice stored() {
         return stored;
     }
 
-    /** Takes another value of the key. */
-    void store(Slice slice, long atRevision) {
+    /** Sets the contents to a value read from the store. */
+    void setStored(Slice slice, long newRevision) {
         stored = slice;
         value = slice;
-        revision = atRevision;
+        revision = newRevision;
     }
 
-    /** Restricts the slice to its first tasks, as another one holds the rest. */
+    /** Restricts the slice to its first tasks, as other slices have taken over the rest. */
     void restrictTo(int count) {
         value = count == stored.count() ? stored : stored.subrange(0, count);
     }
--- a/src/main/java/dewlane/core/store/StoreConnectivity.java
+++ b/src/main/java/dewlane/core/store/StoreConnectivity.java
@@ -2,31 +2,31 @@
 
 import dewlane.core.message.ControllerContext;
 
-/** When the store last answered this controller, and whether it therefore counts as reachable. */
+/** Tracks when the store last answered this controller, and whether it therefore counts as reachable. */
 public final class StoreConnectivity {
-    /** Without an answer for so long the store counts as unreachable. */
-    private static final long REACHABLE_MS = 2000;
+    /** The store counts as unreachable if it has not answered for longer than this. */
+    private static final long CONTACT_TIMEOUT_MS = 2000;
 
     private final ControllerContext context;
-    private long contactAtMs;
+    private long lastContactMs;
 
-    /** Begins without a contact. */
+    /** Creates a tracker whose last contact is at steady time 0. */
     public StoreConnectivity(ControllerContext context) {
         this.context = context;
     }
 
-    /** The store answered a request. */
+    /** Called when the store has answered a request. */
     public void onContact() {
-        contactAtMs = context.nowMs();
+        lastContactMs = context.nowMs();
     }
 
-    /** True if the store has answered lately. */
+    /** Returns true if the store has answered within the last two seconds. */
     public boolean isReachable() {
-        return silenceMs() <= REACHABLE_MS;
+        return silenceMs() <= CONTACT_TIMEOUT_MS;
     }
 
-    /** Milliseconds since the store last answered. */
+    /** Returns the milliseconds since the store last answered. */
     public long silenceMs() {
-        return context.nowMs() - contactAtMs;
+        return context.nowMs() - lastContactMs;
     }
 }
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -21,20 +21,21 @@
 import java.util.function.Consumer;
 
 /**
- * What the store held at {@link #revision()}. Only the watch changes it, in the order of the revisions, so that
- * whatever it shows is durable and nothing in it is newer than the revision. Job results are the exception: they never
- * change once written, so those that were read one by one are held as well.
+ * A local copy of the store's contents as of {@link #revision()}. Only the watch and the listing before it change it,
+ * in the order of the revisions, so that everything in it is durable and nothing in it is newer than the revision.
+ * There are two exceptions: after a listing, values may be newer until {@link StoreWatcher#isCaughtUp()}; and job
+ * results that were read individually are cached as well, as results never change once written.
  */
 public final class StoreReplica {
-    /** Results that are held; what is dropped can be read again. */
-    private static final int MAX_RESULTS = 20_000;
+    /** The number of cached results; an evicted one can be read again. */
+    private static final int MAX_CACHED_RESULTS = 20_000;
 
     private final JobTable jobs;
     private final DecommissionIndex decommissions = new DecommissionIndex();
     private final Map<String, Presence> presences = new LinkedHashMap<>();
     private final Object2LongOpenHashMap<String> teamUsageRevisions = new Object2LongOpenHashMap<>();
     private final Cache<String, JobResult> results = Caffeine.newBuilder()
-            .maximumSize(MAX_RESULTS)
+            .maximumSize(MAX_CACHED_RESULTS)
             .executor(Runnable::run)
             .build();
     private final Consumer<ReplicaChange> listener;
@@ -43,21 +44,22 @@
     private long revision;
     private boolean loading;
 
-    /** An empty replica at revision 0; the listener is told each change once it is in place. */
+    /** Creates an empty replica at revision 0. The listener receives each change after it has been applied. */
     public StoreReplica(Consumer<ReplicaChange> listener) {
         this.listener = listener;
         this.jobs = new JobTable(listener);
     }
 
     /**
-     * Begins anew from a listing. Changes after {@code listedRevision} must follow, whether or not the rows have them.
+     * Replaces the contents by a listing. All changes after {@code listedRevision} must be applied next, even those
+     * that the listed rows already include.
      */
     void load(List<StoreRow> rows, long listedRevision) {
         jobs.clear();
         decommissions.clear();
         presences.clear();
         teamUsageRevisions.clear();
-        // The map itself is kept, to tell the listener what it was before.
+        // The map itself is kept, as the listener receives it as the previous one.
         partitionMapRevision = 0;
         loading = true;
         rows.stream()
@@ -68,16 +70,19 @@
         revision = listedRevision;
     }
 
-    /** Everything up to the revision has been applied. */
+    /** Called when all changes up to the revision have been applied. */
     void advance(long toRevision) {
         revision = Math.max(revision, toRevision);
     }
 
-    /** Applies one change of the watch. A change older than what is held is one that the listing already had. */
+    /**
+     * Applies one change of the watch. A change that is older than the replica's value is ignored, as the listing
+     * already included it. Presences are applied without this check; the changes that follow correct them.
+     */
     public void apply(KeyChange change) {
         StoreKey key = StoreKey.parse(change.key());
         if (change.value() instanceof StoredValue.Unreadable unreadable) {
-            hold(key, change.key(), unreadable.reason());
+            applyUnreadable(key, change.key(), unreadable.reason());
         } else {
             apply(key, change);
         }
@@ -87,7 +92,7 @@
         if (key instanceof StoreKey.OfSlice slice) {
             jobs.applySlice(slice, change);
         } else if (key instanceof StoreKey.OfMalformedSlice) {
-            listener.accept(new ReplicaChange.ValueUnreadable(change.key(), "no slice number"));
+            listener.accept(new ReplicaChange.ValueUnreadable(change.key(), "the key does not end in a slice number"));
         } else if (key instanceof StoreKey.OfJob job) {
             jobs.applyJob(job.job(), change);
         } else if (key instanceof StoreKey.OfJobResult result) {
@@ -104,11 +109,11 @@
     }
 
     /**
-     * Holds what depends on a value that cannot be read, instead of guessing: a job is neither launched nor ended nor
-     * are users told about it, a controller counts as present, and an unreadable map is never replaced, as its version
-     * stays unknown.
+     * Records a value that cannot be read, so that nothing that depends on it is changed: the job's tasks are not
+     * launched, the job is not ended and its status is not shown to users; the controller counts as present; the
+     * partition map is never replaced, as its revision stays unknown.
      */
-    private void hold(StoreKey key, String keyText, String reason) {
+    private void applyUnreadable(StoreKey key, String keyText, String reason) {
         if (key instanceof StoreKey.OfJob job) {
             jobs.unreadable().markUnreadable(job.job(), keyText);
         } else if (key instanceof StoreKey.OfSlice slice) {
@@ -141,97 +146,103 @@
     }
 
     private void applyTeamUsage(String team, KeyChange change) {
-        long changedAt = change.value() == null ? 0 : change.revision();
-        teamUsageRevisions.put(team, Math.max(teamUsageRevisions.getLong(team), changedAt));
+        long changeRevision = change.value() == null ? 0 : change.revision();
+        teamUsageRevisions.put(team, Math.max(teamUsageRevisions.getLong(team), changeRevision));
     }
 
-    private void applyPartitionMap(PartitionMap map, long changedAt) {
-        if (map != null && changedAt > partitionMapRevision) {
+    private void applyPartitionMap(PartitionMap map, long changeRevision) {
+        if (map != null && changeRevision > partitionMapRevision) {
             PartitionMap before = partitionMap;
             partitionMap = map;
-            partitionMapRevision = changedAt;
+            partitionMapRevision = changeRevision;
             listener.accept(new ReplicaChange.PartitionMapChanged(before, map, !loading));
         }
     }
 
-    /** The revision up to which everything is known. */
+    /** Returns the revision up to which the replica is complete. */
     public long revision() {
         return revision;
     }
 
-    /** The present partition map; null before the first. */
+    /** Returns the partition map, or null if there is none yet. */
     public PartitionMap partitionMap() {
         return partitionMap;
     }
 
-    /** The revision of the partition map's latest change. */
+    /** Returns the revision of the partition map's latest change; 0 if there is no map yet. */
     public long partitionMapRevision() {
         return partitionMapRevision;
     }
 
-    /** The jobs that have not ended, and those of which slices are left. */
+    /** Returns the jobs that have not ended, and ended jobs that still have slices. */
     public Collection<JobEntry> jobs() {
         return jobs.all();
     }
 
-    /** The job, or null if it is unknown or has ended and left nothing. */
+    /** Returns the job, or null if it has neither a record nor slices. */
     public JobEntry job(String id) {
         return jobs.get(id);
     }
 
-    /** The job, or null if it has no record: it has ended or was never accepted, or its record cannot be read. */
+    /**
+     * Returns the job, or null if the replica has no record of it: it has ended, was never accepted, or its record
+     * cannot be read.
+     */
     public JobEntry activeJob(String id) {
         JobEntry job = jobs.get(id);
         return job == null || job.record() == null ? null : job;
     }
 
-    /** Jobs that have ended and of which only slices are left, to be deleted. */
+    /** Returns the ended jobs that still have slices, which are to be deleted. */
     public Collection<JobEntry> endedJobsWithSlices() {
         return jobs.endedJobsWithSlices();
     }
 
-    /** True if something of the job is stored that cannot be read, so that nothing about it may be decided. */
+    /**
+     * Returns true if the job's record or one of its slices cannot be read, so that no decision about the job may be
+     * made.
+     */
     public boolean isUnreadable(String job) {
         return jobs.unreadable().contains(job);
     }
 
-    /** Jobs of which something cannot be read. */
+    /** Returns the jobs whose record or one of whose slices cannot be read. */
     public Set<String> unreadableJobs() {
         return jobs.unreadable().jobs();
     }
 
-    /** The result of a job if this controller has seen it, or null; absence proves nothing. */
+    /** Returns the result of a job if it is cached, or null; a job without a cached result may have ended. */
     public JobResult result(String id) {
         return results.getIfPresent(id);
     }
 
-    /** Remembers the result of a job that has ended. */
+    /** Adds the result of a job that has ended to the cache. */
     public void recordResult(String id, JobResult result) {
         results.put(id, result);
         listener.accept(new ReplicaChange.JobEnded(id, result));
     }
 
-    /** The decommission records, by key. */
+    /** Returns the decommission records. */
     public Collection<DecommissionIndex.Entry> decommissions() {
-        return decommissions.byKey();
+        return decommissions.all();
     }
 
-    /** The decommission record about the machine, or null if there is none. */
+    /** Returns the decommission record that covers the machine, or null if there is none. */
     public DecommissionIndex.Entry decommission(String machine) {
         return decommissions.get(machine);
     }
 
-    /** True if there is a decommission record about the machine. */
+    /** Returns true if a decommission record covers the machine. */
     public boolean isDecommissioned(String machine) {
         return decommission(machine) != null;
     }
 
-    /** The controllers whose leases have not expired, by name. */
+    /** Returns the presences of the controllers whose leases have not expired, by controller name. */
     public Map<String, Presence> presences() {
         return presences;
     }
 
-    /** The revision of the latest change of a team's use; 0 if none is known. */
+    /** Returns the revision of the latest change of a team's usage record; 0 if there is none. */
     public long teamUsageRevision(String team) {
         return teamUsageRevisions.getLong(team);
     }
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -7,11 +7,11 @@
 import dewlane.core.message.Input;
 
 /**
- * Keeps the replica up to date: lists the whole store once, then follows it by one watch after the other. A watch that
- * has fallen behind what the store still remembers leads to another listing.
+ * Keeps the replica up to date: lists the store once, then sends one watch after another. If the store no longer has
+ * the revisions that follow the replica's, it is listed again.
  */
 public final class StoreWatcher {
-    /** Time between the starts of two listings. */
+    /** The shortest time between the starts of two listings. */
     private static final long LIST_RETRY_MS = 500;
 
     private final ControllerContext context;
@@ -22,14 +22,14 @@
     private final ControllerCounters counters;
     private boolean listInFlight;
     private long listRequestedAtMs;
-    /** When the watch in flight was requested: its answer shows everything that was durable by then. */
+    /** When the watch in flight was requested; its answer includes everything that was durable at that time. */
     private long watchRequestedAtMs;
 
     private boolean loaded;
-    /** The revision from which on the replica is complete, see {@link #isCaughtUp()}. */
+    /** The revision that the replica must have reached to be consistent, see {@link #isCaughtUp()}. */
     private long completeAtRevision;
 
-    /** Begins without a listing; the first is requested by a tick. */
+    /** Creates a watcher; its first tick requests a listing. */
     public StoreWatcher(
             ControllerContext context,
             StoreReplica replica,
@@ -45,12 +45,15 @@
         this.counters = counters;
     }
 
-    /** True if the store has been listed and is being watched. */
+    /** Returns true if the store has been listed and is being watched. */
     public boolean isLoaded() {
         return loaded;
     }
 
-    /** True if the replica holds all that was durable at some moment, and nothing of a later one. */
+    /**
+     * Returns true if the replica is a consistent snapshot: it contains everything that was durable at one moment, and
+     * nothing later.
+     */
     public boolean isCaughtUp() {
         return loaded && replica.revision() >= completeAtRevision;
     }
@@ -64,12 +67,13 @@
         }
     }
 
-    /** The store was listed. */
+    /** Called when the store has been listed. */
     public void onListed(Input.StoreListed in) {
         connectivity.onContact();
         listInFlight = false;
         loaded = true;
-        // Changes between the listing's first and last page are complete only once the watch has passed them.
+        // Later pages of the listing may include changes that earlier pages lack. The replica is consistent once the
+        // watch has reached the last page's revision.
         completeAtRevision = in.latestRevision();
         replica.load(in.rows(), in.revision());
         freshness.onRefreshed(listRequestedAtMs);
@@ -78,7 +82,7 @@
         watch(in.revision());
     }
 
-    /** The store could not be listed. */
+    /** Called when the listing has failed. */
     public void onListFailed() {
         listInFlight = false;
     }
@@ -89,9 +93,9 @@
     }
 
     /**
-     * A watch was answered.
+     * Called when a watch has been answered.
      *
-     * @return true if it brought changes
+     * @return true if the answer contained changes
      */
     public boolean onEvents(Input.WatchEvents in) {
         if (!loaded) {
@@ -118,7 +122,7 @@
         }
     }
 
-    /** A watch ended without an answer. */
+    /** Called when a watch has ended without an answer. */
     public void onWatchFailed(Input.WatchFailed in) {
         if (in.revisionCompacted()) {
             context.info("the watch fell behind, listing the store again");
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -14,31 +14,40 @@
 import java.util.PriorityQueue;
 
 /**
- * Sends conditional writes, the most urgent first, within this controller's {@link WriteRateLimiter}. What users wait
- * for, and the partition map, is few and not held up by the rate; the rest then waits longer.
+ * Sends transactions in order of priority, within the rate of this controller's {@link WriteRateLimiter}. Transactions
+ * that users wait for, and changes of the partition map, are few and are sent regardless of the rate; the others then
+ * wait longer.
  *
- * <p>A transaction that got no answer may have been applied or may yet be. It is sent again under the same
- * preconditions until the answer is definite; the store applies it at most once, because it changes a key it is
- * conditional on. Only what a user has stopped waiting for is dropped. A conflict after such a silence may mean that an
- * earlier copy won: whoever sent it must look at the state as of the conflict's revision before deciding anything.
+ * <p>A transaction that got no answer may have been applied or may be applied later. It is sent again with the same
+ * preconditions until the answer is definite; the store applies it at most once, because it changes a key that it has a
+ * precondition on. It is given up only if a user requested it and has stopped waiting. If a transaction that was sent
+ * several times ends in a conflict, an earlier copy of it may have been applied: its sender must read the state as of
+ * the conflict's revision before it decides anything.
  */
 public final class TransactionQueue {
-    /** Told how a transaction ended. */
+    /** Receives the outcome of a transaction. */
     public interface Listener {
         /**
-         * Called once, with the definite answer and its revision. A transaction that a user has stopped waiting for
-         * ends as refused or unknown instead, at revision 0; it may then yet be applied.
+         * Called once, with the definite answer and its revision. For a transaction whose user has stopped waiting, the
+         * status is that of the last answer, which was a refusal or unknown, and the revision is 0; the transaction may
+         * still be applied.
          */
         void completed(Transaction.Status status, long revision);
     }
 
     private static final int MAX_IN_FLIGHT = 8;
-    /** Transactions that may wait in the queue before no more are built. */
+    /**
+     * The number of queued transactions of the same or a higher priority at which {@link #hasCapacity} tells callers to
+     * build no more.
+     */
     private static final int MAX_QUEUED = 6;
-    /** The fraction of the burst that launches leave to outcomes and users; what can wait leaves twice as much. */
+    /**
+     * The fraction of the burst that launches leave to transactions of higher priority; transactions of the lowest
+     * priority leave twice as much.
+     */
     private static final double BURST_RESERVE = 0.25;
 
-    /** Submissions that may wait before further ones are told to come back. */
+    /** The number of queued submissions at which further ones are refused, so that users try again later. */
     private static final int MAX_QUEUED_SUBMISSIONS = 16;
 
     private final ControllerContext context;
@@ -51,7 +60,7 @@
     private final InvalidTransactions invalidTransactions;
     private long nextId = 1;
 
-    /** An empty queue; the sizer says which value of an invalid transaction is the largest. */
+    /** Creates an empty queue. The sizer determines the largest value of an invalid transaction. */
     public TransactionQueue(ControllerContext context, ControllerCounters counters, ValueSizer sizer) {
         this.context = context;
         this.counters = counters;
@@ -60,28 +69,29 @@
         this.invalidTransactions = new InvalidTransactions(context, counters, sizer);
     }
 
-    /** Says how many live controllers share the write rate. */
+    /** Sets the number of live controllers, which share the write rate. */
     public void shareAmong(int controllers) {
         rateLimiter.shareAmong(controllers);
     }
 
     /**
-     * True once a write within the present limits was called invalid: the coming ones are in force, which they are only
-     * after every controller has been upgraded.
+     * Returns true once a value within the initial size limit was rejected as invalid. The reduced limit is then in
+     * force, and it comes into force only after every controller has been upgraded.
      */
     public boolean wasSizeRejected() {
         return invalidTransactions.wasSizeRejected();
     }
 
-    /** Queues a transaction; the listener is told how it ended. */
+    /** Queues a transaction; the listener receives its outcome. */
     public void submit(TransactionPriority priority, Transaction transaction, Listener listener) {
         enqueue(new PendingTransaction(nextId++, priority, transaction, listener, context.nowMs()));
         sendPending();
     }
 
     /**
-     * True if a transaction of this priority would be sent soon. Whoever builds one from what is known asks first: what
-     * waits unbuilt can still be combined, what waits in the queue only grows old.
+     * Returns true if a transaction of this priority would be sent soon. Callers check this before they build a
+     * transaction from the current state: changes that are not built yet can still be combined, while a queued
+     * transaction becomes outdated.
      */
     public boolean hasCapacity(TransactionPriority priority) {
         int ahead = 0;
@@ -93,20 +103,21 @@
     }
 
     /**
-     * True if a submission can be written soon, and then counts it. What is beyond that is better told to come back: if
-     * all submissions were retried again and again, they would use up the write rate and nothing accepted could run.
+     * Returns true if a submission can be written soon, and counts it against the rate for submissions. The user is
+     * told to try others again later. If all submissions were queued and retried, they would use up the write rate, and
+     * accepted jobs could not run.
      */
     public boolean tryAdmitSubmission() {
         return queuedByPriority[TransactionPriority.USER.ordinal()] < MAX_QUEUED_SUBMISSIONS
                 && rateLimiter.tryAdmitSubmission();
     }
 
-    /** True if little of the write rate is left, so that it pays to put more into each transaction. */
+    /** Returns true if less than half of the burst is left, so that callers should combine more into a transaction. */
     public boolean isScarce() {
         return rateLimiter.tokens() < rateLimiter.capacity() / 2;
     }
 
-    /** The store answered a transaction, or the answer is unknown. */
+    /** Called when the store has answered a transaction, or when its answer is unknown. */
     public void onCompleted(Input.TransactionCompleted answer) {
         PendingTransaction pending = inFlight.remove(answer.id());
         if (pending == null) {
@@ -125,7 +136,7 @@
         }
         if (status.isDefinite()) {
             pending.listener().completed(status, answer.revision());
-        } else if (retryPolicy.isAbandoned(pending)) {
+        } else if (retryPolicy.hasTimedOut(pending)) {
             pending.listener().completed(status, 0);
         } else {
             retryPolicy.scheduleRetry(pending, status);
@@ -134,7 +145,7 @@
         sendPending();
     }
 
-    /** Sends what is queued, as far as the rate allows. */
+    /** Sends queued transactions as far as the rate allows. */
     public void sendPending() {
         List<PendingTransaction> deferred = new ArrayList<>();
         while (!queue.isEmpty() && inFlight.size() < MAX_IN_FLIGHT) {
@@ -144,7 +155,7 @@
             } else if (isWithinRate(next)) {
                 send(next);
             } else {
-                // Nothing overtakes a transaction that waits for the rate.
+                // No other transaction is sent before one that waits for the rate.
                 deferred.add(next);
                 break;
             }
@@ -153,7 +164,7 @@
     }
 
     private boolean isWithinRate(PendingTransaction pending) {
-        if (pending.isExemptFromRate()) {
+        if (pending.isExemptFromRateLimit()) {
             return true;
         }
         double tokens = rateLimiter.tokens();
@@ -174,7 +185,7 @@
         return Math.max(1, transaction.writes().size());
     }
 
-    /** The fraction of the burst that is left to more urgent transactions. */
+    /** Returns the fraction of the burst that transactions of this priority leave to those of higher priorities. */
     private static double reserveFraction(TransactionPriority priority) {
         return switch (priority) {
             case LAUNCH -> BURST_RESERVE;
--- a/src/main/java/dewlane/core/store/UnreadableKeys.java
+++ b/src/main/java/dewlane/core/store/UnreadableKeys.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Keys of jobs and slices whose values cannot be read, by job. */
+/** The keys of job records and slices whose values cannot be read, by job. */
 final class UnreadableKeys {
     private final Map<String, Set<String>> byJob = new HashMap<>();
 
@@ -13,12 +13,12 @@
         byJob.clear();
     }
 
-    /** The key of the job or of one of its slices has a value that cannot be read. */
+    /** Records that the value of the key, which belongs to the job or one of its slices, cannot be read. */
     void markUnreadable(String job, String key) {
         byJob.computeIfAbsent(job, absent -> new HashSet<>()).add(key);
     }
 
-    /** The key of the job or of one of its slices has a value that can be read, or is gone. */
+    /** Records that the value of the key can be read, or that the key was deleted. */
     void markReadable(String job, String key) {
         Set<String> keys = byJob.isEmpty() ? null : byJob.get(job);
         if (keys != null && keys.remove(key) && keys.isEmpty()) {
@@ -26,12 +26,12 @@
         }
     }
 
-    /** True if something of the job cannot be read. */
+    /** Returns true if the job's record or one of its slices cannot be read. */
     boolean contains(String job) {
         return !byJob.isEmpty() && byJob.containsKey(job);
     }
 
-    /** Jobs of which something cannot be read. */
+    /** Returns the jobs whose record or one of whose slices cannot be read. */
     Set<String> jobs() {
         return byJob.keySet();
     }
--- a/src/main/java/dewlane/core/store/UnreadableValueLog.java
+++ b/src/main/java/dewlane/core/store/UnreadableValueLog.java
@@ -5,9 +5,9 @@
 import dewlane.core.message.Counter;
 import dewlane.core.message.TokenBucket;
 
-/** Logs which keys have values that cannot be read; of many, only some a minute. */
+/** Logs the keys whose values cannot be read, at a limited rate. */
 public final class UnreadableValueLog {
-    /** Some lines at once, then one every ten seconds. */
+    /** One line every ten seconds, after a burst of up to {@link #MAX_BURST_LINES}. */
     private static final double LINES_PER_S = 0.1;
 
     private static final double MAX_BURST_LINES = 10;
@@ -16,13 +16,13 @@
     private final ControllerCounters counters;
     private final TokenBucket rate = new TokenBucket(LINES_PER_S, MAX_BURST_LINES);
 
-    /** A log with room for a burst of lines. */
+    /** Creates a log that allows a full burst of lines at first. */
     public UnreadableValueLog(ControllerContext context, ControllerCounters counters) {
         this.context = context;
         this.counters = counters;
     }
 
-    /** Counts an unreadable value, and logs it unless there were many lately. */
+    /** Counts an unreadable value, and logs it if the rate limit allows. */
     public void record(ReplicaChange.ValueUnreadable change) {
         counters.increment(Counter.UNREADABLE_VALUES);
         if (rate.tryAcquire(context.nowMs())) {
--- a/src/main/java/dewlane/core/store/UnresolvedWrite.java
+++ b/src/main/java/dewlane/core/store/UnresolvedWrite.java
@@ -1,23 +1,26 @@
 package dewlane.core.store;
 
-/** Whether the last write about something is in flight, or answered at a revision that the replica has yet to reach. */
+/**
+ * Tracks whether the last write of an object is unresolved: it is in flight, or the replica has not reached the
+ * revision of its answer.
+ */
 public final class UnresolvedWrite {
     private boolean inFlight;
-    /** The revision at which the last write was answered: until the replica reaches it, it may not show the write. */
+    /** The revision of the last write's answer. Until the replica reaches it, the write may be missing from it. */
     private long answeredAtRevision;
 
-    /** A write is sent. */
+    /** Called when a write is submitted. */
     public void begin() {
         inFlight = true;
     }
 
-    /** The write was answered at the revision. */
+    /** Called when the write has been answered at the given revision. */
     public void complete(long revision) {
         inFlight = false;
         answeredAtRevision = revision;
     }
 
-    /** True while a write is in flight, or a replica at the given revision may not show the last one. */
+    /** Returns true if a write is in flight, or if the last one may be missing from a replica at the given revision. */
     public boolean isUnresolved(long replicaRevision) {
         return inFlight || replicaRevision < answeredAtRevision;
     }
--- a/src/main/java/dewlane/core/store/WriteRateLimiter.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -4,26 +4,30 @@
 import dewlane.core.message.ControllerContext;
 
 /**
- * This controller's share of the store's write rate, as a token bucket. It is an equal share at first and grows while
- * the store refuses nothing, as other controllers may need less than theirs. The rate itself is the one that a
- * {@link ReducedRateDetector} takes to be in force.
+ * A token bucket that limits this controller to its share of the store's write rate. The share is an equal one at first
+ * and grows while the store refuses no writes, as other controllers may not use all of theirs. The
+ * {@link ReducedRateDetector} determines the rate that is shared.
  */
 final class WriteRateLimiter {
-    /** The fraction of the rate that is planned with: lease renewals and other clients need some of it. */
+    /** The fraction of the rate that the controllers share. Lease renewals and other clients use some of the rest. */
     private static final double PLANNED_FRACTION = 0.85;
 
-    /** How many equal shares one controller may take, and how fast it comes to take them. */
+    /** The most equal shares that one controller may use. */
     private static final double MAX_SHARES = 2.5;
 
+    /** How fast the number of shares grows while no write is refused. */
     private static final double SHARES_PER_S = 0.2;
-    /** The fraction of the rate that submissions may take: the rest is for jobs that were accepted. */
+    /** The fraction of the rate that submissions may use; the rest is for jobs that have been accepted. */
     private static final double SUBMISSION_FRACTION = 0.4;
-    /** Refusals within so long are one: each would empty the bucket again, and nothing but users' writes be sent. */
-    private static final long REFUSAL_MS = 500;
+    /**
+     * Refusals empty the bucket at most once in this time. If each refusal emptied it, only the writes that are exempt
+     * from the rate limit, such as users', could be sent.
+     */
+    private static final long REFUSAL_WINDOW_MS = 500;
 
     private final ControllerContext context;
     private final StoreLimits limits;
-    private final ReducedRateDetector rate;
+    private final ReducedRateDetector rateDetector;
     private double tokens;
     private double submissionTokens;
     private long refilledAtMs = Long.MIN_VALUE;
@@ -34,35 +38,39 @@
     WriteRateLimiter(ControllerContext context) {
         this.context = context;
         this.limits = context.settings().store();
-        this.rate = new ReducedRateDetector(context);
+        this.rateDetector = new ReducedRateDetector(context);
         this.submissionTokens = submissionCapacity();
     }
 
-    /** Says how many live controllers share the rate. */
+    /** Sets the number of live controllers, which share the rate. */
     void shareAmong(int liveControllers) {
         controllers = Math.max(1, liveControllers);
     }
 
-    /** Writes that may be made now; negative while what users waited for was written ahead of the rate. */
+    /**
+     * Returns the number of writes that may be made now. It is negative after writes that are exempt from the rate
+     * limit have exceeded the rate.
+     */
     double tokens() {
         refill();
         return tokens;
     }
 
-    /** The most tokens that the bucket holds. */
+    /** Returns the most tokens that the bucket can hold. */
     double capacity() {
         return Math.max(limits.maxTransactionWrites(), tokensPerS());
     }
 
     /**
-     * Takes tokens, below zero if need be. The debt is bounded by one burst, since nothing else is written until it is
-     * paid: one that a long outage had run up would keep launches back long after it.
+     * Takes tokens, which may make the number of tokens negative, but not below minus one burst. No other transaction
+     * is sent until the number is positive again, so without this bound, the writes of a long outage would delay
+     * launches long after it.
      */
     void spend(int writes) {
         tokens = Math.max(Math.min(tokens, -capacity()), tokens - writes);
     }
 
-    /** True if a submission is within the fraction of the rate that is for them, and then counts it. */
+    /** Returns true if a submission is within the fraction of the rate for submissions, and then counts it. */
     boolean tryAdmitSubmission() {
         refill();
         if (submissionTokens < 1) {
@@ -72,21 +80,21 @@
         return true;
     }
 
-    /** The store refused a write: because of the rate, or because it is unavailable. */
+    /** Called when the store has refused a write, because of its rate limit or because it is unavailable. */
     void onRefused(boolean becauseOfRate) {
         boolean wasAtEqualShare = shares <= 1;
         shares = Math.max(1, shares / 2);
-        if (context.nowMs() - emptiedAtMs >= REFUSAL_MS) {
+        if (context.nowMs() - emptiedAtMs >= REFUSAL_WINDOW_MS) {
             emptiedAtMs = context.nowMs();
             tokens = Math.min(tokens, 0);
         }
         if (becauseOfRate && wasAtEqualShare) {
-            rate.onRefusedAtEqualShare();
+            rateDetector.onRefusedAtEqualShare();
         }
     }
 
     private double tokensPerS() {
-        return rate.writesPerS() * PLANNED_FRACTION / controllers * Math.min(shares, controllers);
+        return rateDetector.writesPerS() * PLANNED_FRACTION / controllers * Math.min(shares, controllers);
     }
 
     private double submissionCapacity() {
--- a/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
+++ b/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The share of the rate of changes, against a store whose limit becomes smaller. */
+/**
+ * Tests the write rate that a controller uses with a store whose limit is reduced without notice, refuses writes for a
+ * time, or is unavailable.
+ */
 class WriteRateLimiterTest {
     private static final int CONTROLLERS = 5;
     private static final StoreLimits LIMITS =
@@ -17,62 +20,62 @@
 
     private final ControllerContext context =
             new ControllerContext(TestSettings.of(List.of(), Map.of(), TestSettings.CANCEL_S, LIMITS), 1);
-    private final WriteRateLimiter budget = new WriteRateLimiter(context);
-    private long now;
+    private final WriteRateLimiter limiter = new WriteRateLimiter(context);
+    private long nowMs;
 
     /**
-     * Spends whatever there is for some time, all controllers alike, with a service that allows the given rate and a
-     * burst of one second's worth; returns the changes that were carried out a second.
+     * Writes as much as the limiter allows, as if all controllers did the same, to a store that allows the given rate
+     * with a burst of one second. Returns the number of successful writes per second.
      */
-    private double spend(double allowed, int seconds) {
-        budget.shareAmong(CONTROLLERS);
-        double left = allowed;
-        int done = 0;
+    private double writeAtFullRate(double allowedPerS, int seconds) {
+        limiter.shareAmong(CONTROLLERS);
+        double storeTokens = allowedPerS;
+        int written = 0;
         for (int i = 0; i < seconds * 10; i++) {
-            now += 100;
-            context.startMessage(now, now);
-            left = Math.min(allowed, left + allowed / 10);
-            while (budget.tokens() >= 1) {
-                budget.spend(1);
-                if (left >= CONTROLLERS) {
-                    left -= CONTROLLERS;
-                    done += CONTROLLERS;
+            nowMs += 100;
+            context.startMessage(nowMs, nowMs);
+            storeTokens = Math.min(allowedPerS, storeTokens + allowedPerS / 10);
+            while (limiter.tokens() >= 1) {
+                limiter.spend(1);
+                if (storeTokens >= CONTROLLERS) {
+                    storeTokens -= CONTROLLERS;
+                    written += CONTROLLERS;
                 } else {
-                    budget.onRefused(true);
+                    limiter.onRefused(true);
                 }
             }
         }
-        return (double) done / seconds;
+        return (double) written / seconds;
     }
 
     @Test
-    void largerRateIsUsedWhileItLastsAndSmallerOneSoonAfter() {
-        spend(30, 20);
-        double before = spend(30, 30);
-        assertTrue(before > 0.8 * 30, before + " a second before");
-        spend(21, 3);
-        double after = spend(21, 30);
-        assertTrue(after > 0.75 * 21 && after <= 21 + 21 / 30.0, after + " a second after");
+    void initialRateIsUsedUntilReducedAndReducedRateSoonAfter() {
+        writeAtFullRate(30, 20);
+        double before = writeAtFullRate(30, 30);
+        assertTrue(before > 0.8 * 30, before + " writes per second before");
+        writeAtFullRate(21, 3);
+        double after = writeAtFullRate(21, 30);
+        assertTrue(after > 0.75 * 21 && after <= 21 + 21 / 30.0, after + " writes per second after");
     }
 
     @Test
-    void refusalsForOtherReasonSlowWritesOnlyForWhile() {
-        spend(30, 20);
-        spend(8, 3);
-        spend(30, 90);
-        double later = spend(30, 30);
-        assertTrue(later > 0.8 * 30, later + " a second later");
+    void temporaryRefusalsReduceRateOnlyTemporarily() {
+        writeAtFullRate(30, 20);
+        writeAtFullRate(8, 3);
+        writeAtFullRate(30, 90);
+        double later = writeAtFullRate(30, 30);
+        assertTrue(later > 0.8 * 30, later + " writes per second later");
     }
 
     @Test
     void outageDoesNotReduceRate() {
-        spend(30, 10);
+        writeAtFullRate(30, 10);
         for (int i = 0; i < 100; i++) {
-            now += 20;
-            context.startMessage(now, now);
-            budget.onRefused(false);
+            nowMs += 20;
+            context.startMessage(nowMs, nowMs);
+            limiter.onRefused(false);
         }
-        double later = spend(30, 30);
-        assertTrue(later > 0.8 * 30, later + " a second later");
+        double later = writeAtFullRate(30, 30);
+        assertTrue(later > 0.8 * 30, later + " writes per second later");
     }
 }
