--- a/src/main/java/dewlane/core/membership/Authority.java
+++ b/src/main/java/dewlane/core/membership/Authority.java
@@ -1,15 +1,14 @@
 package dewlane.core.membership;
 
 /**
- * What a controller may do at one instant, given its place in the partition map, whom it reaches, and the age of its
- * view of the store.
+ * Determines what a controller may do at one moment, from its membership, its connections and the age of its replica.
  *
- * @param member the partition map holds this start of the controller
- * @param superseded a peer has shown a newer map, which this controller should have read by now
- * @param isolated neither the store nor a peer was reached for longer than the controller's own lease
- * @param reachesStore the store answered lately
- * @param viewAllowsRenewal the view of cancellations is fresh enough to renew a worker's lease
- * @param viewAllowsLaunch the view of cancellations is fresh enough to start a task
+ * @param member the controller has joined the partition map since it started, and has not been evicted
+ * @param superseded a peer has a newer partition map, which this controller should have read by now
+ * @param isolated neither the store nor a peer has been reached for longer than the lifetime of the controller's lease
+ * @param reachesStore the store has answered within the last seconds
+ * @param viewAllowsRenewal the replica, which may lack recent cancellations, is fresh enough to renew workers' leases
+ * @param viewAllowsLaunch the replica, which may lack recent cancellations, is fresh enough to send launches
  */
 public record Authority(
         boolean member,
@@ -18,7 +17,7 @@
         boolean reachesStore,
         boolean viewAllowsRenewal,
         boolean viewAllowsLaunch) {
-    /** The first thing that keeps a controller from doing all it is for. */
+    /** What limits a controller. If several restrictions apply, the first constant counts. */
     enum Restriction {
         NOT_A_MEMBER("decides nothing: it is not in the partition map"),
         SUPERSEDED("answers no worker: a peer has a newer partition map"),
@@ -34,28 +33,28 @@
             this.description = description;
         }
 
-        /** What the controller does under the restriction, and why, for the log. */
+        /** Returns what the controller does under the restriction, and why, for the log. */
         String description() {
             return description;
         }
     }
 
-    /** True if a worker's heartbeat may be answered, which renews the worker's lease. */
+    /** Returns true if workers' heartbeats may be answered, which renews the workers' leases. */
     public boolean mayRenewWorkerLeases() {
         return member && !superseded && !isolated && viewAllowsRenewal;
     }
 
-    /** True if a launch that is recorded may be sent to its worker. */
+    /** Returns true if a launch that is recorded in the store may be sent to its worker. */
     public boolean maySendLaunches() {
         return viewAllowsLaunch;
     }
 
-    /** True if new decisions may be made, which are then written under preconditions. */
+    /** Returns true if new decisions may be made; they are then written with preconditions. */
     public boolean mayDecide() {
         return member && reachesStore;
     }
 
-    /** The first of the restrictions that holds. */
+    /** Returns the first restriction that applies. */
     Restriction restriction() {
         if (!member) {
             return Restriction.NOT_A_MEMBER;
--- a/src/main/java/dewlane/core/membership/AuthorityMonitor.java
+++ b/src/main/java/dewlane/core/membership/AuthorityMonitor.java
@@ -4,15 +4,15 @@
 import dewlane.core.store.ReplicaFreshness;
 import dewlane.core.store.StoreConnectivity;
 
-/** Works out the controller's {@link Authority} at this instant, and logs its restriction whenever that changes. */
+/** Determines the controller's current {@link Authority}, and logs its restriction whenever that changes. */
 public final class AuthorityMonitor {
     private final ControllerContext context;
     private final Membership membership;
     private final StoreConnectivity store;
     private final ReplicaFreshness freshness;
-    private Authority.Restriction logged = Authority.Restriction.NOT_A_MEMBER;
+    private Authority.Restriction lastLogged = Authority.Restriction.NOT_A_MEMBER;
 
-    /** A monitor that logs nothing until the first tick. */
+    /** Creates a monitor, which logs nothing before the first tick. */
     public AuthorityMonitor(
             ControllerContext context, Membership membership, StoreConnectivity store, ReplicaFreshness freshness) {
         this.context = context;
@@ -21,7 +21,7 @@
         this.freshness = freshness;
     }
 
-    /** The authority at this instant. */
+    /** Returns the authority at this moment. */
     public Authority current() {
         return new Authority(
                 membership.isMember(),
@@ -32,11 +32,11 @@
                 freshness.allowsLaunch());
     }
 
-    /** Logs the restriction that holds if it is another than the one logged last. */
+    /** Logs the current restriction if it differs from the one logged last. */
     public void tick() {
         Authority.Restriction restriction = current().restriction();
-        if (restriction != logged) {
-            logged = restriction;
+        if (restriction != lastLogged) {
+            lastLogged = restriction;
             context.info("this controller " + restriction.description());
         }
     }
--- a/src/main/java/dewlane/core/membership/ControllerSchemaVersions.java
+++ b/src/main/java/dewlane/core/membership/ControllerSchemaVersions.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * The newest form of stored values that each controller has shown to know, by its presence while it is up. What those
- * that are down have shown is in the partition map, from which an older version drops it as it joins.
+ * The newest {@link SchemaVersion} that each controller has published. A running controller publishes it in its
+ * presence. The versions of stopped ones are kept in the partition map; a controller of release 0.1 drops them from the
+ * map when it joins.
  */
 final class ControllerSchemaVersions {
     private final ControllerContext context;
@@ -21,8 +22,8 @@
     }
 
     /**
-     * True if every controller of the deployment has shown that it knows the present form of stored values. One that is
-     * down counts as older until it has: it may come back as it was.
+     * Returns true if every controller of the deployment has published that it supports the current schema version. A
+     * stopped controller that has not published it counts as older, as it may restart without having been upgraded.
      */
     boolean allAreCurrent() {
         return replica.partitionMap() != null
@@ -37,7 +38,7 @@
         return version >= SchemaVersion.CURRENT;
     }
 
-    /** What the next partition map is to hold; controllers of the first version are left out. */
+    /** Returns the versions for the next partition map; controllers of the first version are left out. */
     Map<String, Integer> forNextMap() {
         Map<String, Integer> versions = new HashMap<>(storedInMap());
         replica.presences().forEach((controller, presence) -> versions.put(controller, presence.schemaVersion()));
--- a/src/main/java/dewlane/core/membership/MachineClaims.java
+++ b/src/main/java/dewlane/core/membership/MachineClaims.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 
 /**
- * Machines that this controller wants to own although another one does, as they cannot reach that one. Claims that come
- * close together share a partition map.
+ * Machines that this controller claims because they cannot reach the controller that owns them. Claims that are made
+ * within a short time are written with one partition map.
  */
 final class MachineClaims {
-    /** Time between two maps that are written for claims. */
+    /** The shortest time between two partition maps that are written for claims. */
     private static final long WRITE_INTERVAL_MS = 2000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final String self;
     private final Set<String> machines = new HashSet<>();
-    private long takenAtMs = ControllerContext.NEVER_MS;
+    private long lastTakenMs = ControllerContext.NEVER_MS;
 
     MachineClaims(ControllerContext context, StoreReplica replica) {
         this.context = context;
@@ -32,13 +32,13 @@
         machines.add(machine);
     }
 
-    /** Removes and returns the claims to be written now, by machine with this controller as the owner. */
+    /** Removes and returns the claims to be written now: this controller as the new owner, by machine. */
     Map<String, String> takeDue() {
-        machines.removeIf(this::isSettled);
-        if (machines.isEmpty() || context.nowMs() - takenAtMs <= WRITE_INTERVAL_MS) {
+        machines.removeIf(this::isObsolete);
+        if (machines.isEmpty() || context.nowMs() - lastTakenMs <= WRITE_INTERVAL_MS) {
             return Map.of();
         }
-        takenAtMs = context.nowMs();
+        lastTakenMs = context.nowMs();
         context.info("taking over machines that cannot reach their controller: " + machines);
         Map<String, String> taken = new HashMap<>();
         machines.stream()
@@ -48,8 +48,8 @@
         return taken;
     }
 
-    /** True if the machine is this controller's by now, or on its way out. */
-    private boolean isSettled(String machine) {
+    /** Returns true if this controller already owns the machine, or if the machine is being decommissioned. */
+    private boolean isObsolete(String machine) {
         return self.equals(Partitioner.ownerOf(replica.partitionMap(), machine)) || replica.isDecommissioned(machine);
     }
 }
--- a/src/main/java/dewlane/core/membership/MemberLease.java
+++ b/src/main/java/dewlane/core/membership/MemberLease.java
@@ -4,16 +4,16 @@
 import dewlane.core.message.Effect;
 import dewlane.core.message.Input;
 
-/** This controller's lease in the store: asked for until it is granted, then renewed until it expires. */
+/** This controller's lease in the store, which is requested until it is granted and then renewed until it expires. */
 final class MemberLease {
-    /** The id that stands for no lease. */
+    /** The id while no lease is held. */
     static final long NONE = 0;
 
-    /** A request for a lease without an answer is repeated after so long. */
+    /** A request for a lease that has not been answered is repeated after this time. */
     private static final long GRANT_TIMEOUT_MS = 3000;
-    /** A renewal without an answer is repeated after so long. */
+    /** A renewal that has not been answered is repeated after this time. */
     private static final long RENEWAL_TIMEOUT_MS = 1500;
-    /** Renewals in the time for which a lease is granted, so that several may be lost. */
+    /** Renewals within the lifetime of a lease, so that the lease survives if several of them are lost. */
     private static final int RENEWALS_PER_TTL = 4;
 
     private final ControllerContext context;
@@ -22,55 +22,56 @@
     private boolean grantInFlight;
     private long grantRequestedAtMs;
     private boolean renewalInFlight;
-    private long renewedAtMs;
+    /** When the lease was granted or its latest renewal was requested, in steady time. */
+    private long lastRenewalMs;
 
     MemberLease(ControllerContext context) {
         this.context = context;
         this.ttlMs = context.settings().tuning().memberLeaseTtlMs();
     }
 
-    /** The lease's id, or {@link #NONE}. */
+    /** Returns the lease's id, or {@link #NONE}. */
     long id() {
         return id;
     }
 
-    /** True if a lease was granted and is not known to have expired. */
+    /** Returns true if a lease was granted and is not known to have expired. */
     boolean isHeld() {
         return id != NONE;
     }
 
-    /** The store granted a lease. */
+    /** Called when the store has granted a lease. */
     void onGranted(long grantedId) {
         grantInFlight = false;
         id = grantedId;
-        renewedAtMs = context.nowMs();
+        lastRenewalMs = context.nowMs();
     }
 
-    /** The store granted no lease, so another request may be sent. */
+    /** Called when a request for a lease has failed, so that another one may be sent. */
     void onGrantFailed() {
         grantInFlight = false;
     }
 
     /**
-     * The store answered a renewal, or did not.
+     * Called when a renewal has been answered or has failed.
      *
-     * @return true if the lease turned out to have expired, and is held no longer
+     * @return true if the lease has expired, so that it is no longer held
      */
     boolean onRenewal(Input.LeaseRenewalCompleted renewal) {
         renewalInFlight = false;
         if (renewal.lease() != id || renewal.status() != Input.RenewalStatus.EXPIRED) {
             return false;
         }
-        drop();
+        onExpired();
         return true;
     }
 
-    /** The lease is known to have expired. */
-    void drop() {
+    /** Called when the lease is known to have expired. */
+    void onExpired() {
         id = NONE;
     }
 
-    /** Asks for a lease, or for a renewal of the one that is held, if it is time. */
+    /** Requests a lease, or a renewal of the one that is held, if one is due. */
     void tick() {
         if (!isHeld()) {
             requestGrant();
@@ -88,11 +89,11 @@
     }
 
     private void requestRenewal() {
-        long sinceRenewalMs = context.nowMs() - renewedAtMs;
+        long sinceRenewalMs = context.nowMs() - lastRenewalMs;
         boolean isDue = sinceRenewalMs >= ttlMs / RENEWALS_PER_TTL;
         if (isDue && (!renewalInFlight || sinceRenewalMs > RENEWAL_TIMEOUT_MS)) {
             renewalInFlight = true;
-            renewedAtMs = context.nowMs();
+            lastRenewalMs = context.nowMs();
             context.emit(new Effect.RenewLease(id));
         }
     }
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -18,17 +18,20 @@
 import java.util.function.Consumer;
 
 /**
- * This controller's place among the members of the partition map: joins, evicts members whose lease has expired, and
- * has machines and quota reassigned.
+ * Manages this controller's membership in the partition map: joins it, evicts members whose lease has expired, and
+ * writes reassignments of machines and transfers of quota.
  *
- * <p>Every change of the map has a higher epoch, and so has every start of a controller: a controller that restarts
- * before its old lease expires takes its old place again, so no machine changes hands, but under an epoch whose fencing
- * tokens it has never used.
+ * <p>Each change of the map has a higher epoch, and each start of a controller is such a change. A controller that
+ * restarts before its old lease expires therefore keeps its partition, so that no machine changes owners, but joins
+ * with a new epoch whose fencing tokens it has never used.
  */
 public final class Membership {
-    /** After a silence of its lease and so much more, the others have evicted this controller. */
+    /**
+     * Without contact for the lifetime of its lease and this margin, this controller must have been evicted by the
+     * others.
+     */
     private static final long ISOLATION_MARGIN_MS = 2000;
-    /** A newer map that a peer has shown should have come by the watch within so long. */
+    /** The watch should deliver a map that a peer already has within this time. */
     private static final long WATCH_DELAY_MS = 1000;
 
     /** The incarnation of a controller that has not joined. */
@@ -42,17 +45,20 @@
     private final MissingMembers missingMembers;
     private final MachineClaims claims;
     private final ControllerSchemaVersions schemaVersions;
-    private final PartitionMapBuilder maps;
-    private final PartitionMapWriter writer;
+    private final PartitionMapBuilder mapBuilder;
+    private final PartitionMapWriter mapWriter;
     private final String self;
-    /** Transfers for the next map: what another controller gets, and the opposite for this one. */
+    /** Transfers to be written: for each, what another controller gains and what this one loses. */
     private final List<QuotaTransfer> pendingTransfers = new ArrayList<>();
 
     private long incarnation = NOT_JOINED;
-    /** Since when peers have shown a newer map; 0 if none has. */
+    /** Steady time since which statuses of peers have named a newer map; 0 if the latest status did not. */
     private long newerMapSinceMs;
 
-    /** A controller that has not joined; the sizer keeps the maps that it writes within the size of a value. */
+    /**
+     * Creates the membership of a controller that has not joined. The sizer is used to keep partition maps within the
+     * size limit of a value.
+     */
     public Membership(
             ControllerContext context,
             StoreReplica replica,
@@ -69,47 +75,48 @@
         this.missingMembers = new MissingMembers(context, replica);
         this.claims = new MachineClaims(context, replica);
         this.schemaVersions = new ControllerSchemaVersions(context, replica);
-        this.maps = new PartitionMapBuilder(context, replica, schemaVersions, sizer);
-        this.writer = new PartitionMapWriter(replica, transactions);
+        this.mapBuilder = new PartitionMapBuilder(context, replica, schemaVersions, sizer);
+        this.mapWriter = new PartitionMapWriter(replica, transactions);
     }
 
-    /** True if the store has answered lately. */
+    /** Returns true if the store has answered within the last two seconds. */
     public boolean reachesStore() {
         return store.isReachable();
     }
 
-    /** True while the partition map holds this start of this controller. */
+    /** Returns true if this controller has joined the partition map since it started, and has not been evicted. */
     public boolean isMember() {
         PartitionMap map = replica.partitionMap();
         return map != null && incarnation != NOT_JOINED && map.incarnation(self) == incarnation;
     }
 
-    /** True if this controller is the leader, which alone scales out and deletes instances. */
+    /** Returns true if this controller is the leader; only the leader scales out and deletes instances. */
     public boolean isLeader() {
         return isMember() && self.equals(Partitioner.leaderOf(replica.partitionMap()));
     }
 
-    /** The epoch at which this controller last joined; 0 if it has not. */
+    /** Returns the epoch at which this controller joined; 0 if it has not joined or its lease has expired. */
     public long incarnation() {
         return incarnation;
     }
 
     /**
-     * True if this controller has reached neither the store nor another controller for so long that its lease must have
-     * expired. The others have taken over its partition then, and its workers had better go to them; in an outage for
-     * all the others are heard, and the workers are kept.
+     * Returns true if this controller has reached neither the store nor another controller for so long that its lease
+     * must have expired. The others have then taken over its partition, and its workers should switch to them. If the
+     * store is unreachable for all controllers, the statuses of the others still arrive, and this controller keeps its
+     * workers.
      */
     boolean isIsolated() {
-        long ms = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
-        return store.silenceMs() > ms && peers.noneHeardWithin(ms);
+        long timeoutMs = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
+        return store.silenceMs() > timeoutMs && peers.noneHeardWithin(timeoutMs);
     }
 
-    /** True if a peer has shown a newer map for longer than the watch should take, so that this one is out of date. */
+    /** Returns true if peers have named a newer map for longer than the watch should take to deliver it. */
     boolean isSuperseded() {
         return newerMapSinceMs != 0 && context.nowMs() - newerMapSinceMs > WATCH_DELAY_MS;
     }
 
-    /** A peer has shown the epoch of its partition map. */
+    /** Called when a peer's status has been received, with the epoch of the peer's partition map. */
     public void onPeerEpoch(long epoch) {
         if (replica.partitionMap() == null || epoch <= replica.partitionMap().epoch()) {
             newerMapSinceMs = 0;
@@ -119,24 +126,24 @@
     }
 
     /**
-     * True if every controller of the deployment has shown that it knows the present form of stored values. One that is
-     * down counts as older until it has: it may come back as it was.
+     * Returns true if every controller of the deployment has published that it supports the current schema version. A
+     * stopped controller that has not published it counts as older, as it may restart without having been upgraded.
      */
     public boolean allControllersUpgraded() {
         return schemaVersions.allAreCurrent();
     }
 
-    /** The store granted a lease. */
+    /** Called when the store has granted a lease. */
     public void onLeaseGranted(Input.LeaseGranted granted) {
         lease.onGranted(granted.lease());
     }
 
-    /** The store granted no lease. */
+    /** Called when a request for a lease has failed. */
     public void onLeaseGrantFailed() {
         lease.onGrantFailed();
     }
 
-    /** The store answered a lease renewal, or did not. */
+    /** Called when a lease renewal has been answered or has failed. */
     public void onLeaseRenewal(Input.LeaseRenewalCompleted renewal) {
         if (lease.onRenewal(renewal)) {
             context.info("lease expired, joining again");
@@ -144,15 +151,15 @@
         }
     }
 
-    /** Has a machine that cannot reach its owner reassigned to this controller, as soon as a map can be written. */
+    /** Claims a machine that cannot reach its owner: it is reassigned to this controller with one of the next maps. */
     public void claimMachine(String machine) {
         claims.add(machine);
     }
 
     /**
-     * Transfers some of this controller's share of a team's quota to another one, as soon as a map can be written.
+     * Transfers part of this controller's share of a team's quota to another controller, with the next map.
      *
-     * @param to the controller that gets it
+     * @param to the controller that receives it
      */
     public void transferQuota(String team, String to, double cpus, double gpus) {
         pendingTransfers.add(new QuotaTransfer(team, to, cpus, gpus));
@@ -160,13 +167,13 @@
     }
 
     /**
-     * Keeps the lease, and writes the next partition map if there is cause.
+     * Requests or renews the lease, and writes the next partition map if a change is needed.
      *
-     * @param caughtUp true if the replica is complete, so that a map may be built on it
+     * @param caughtUp true if the replica is consistent, so that the next map may be built from it
      */
     public void tick(boolean caughtUp) {
         lease.tick();
-        if (!caughtUp || !lease.isHeld() || !writer.isReady()) {
+        if (!caughtUp || !lease.isHeld() || !mapWriter.isReady()) {
             return;
         }
         if (!isMember()) {
@@ -174,10 +181,10 @@
             return;
         }
         evictMissing();
-        if (writer.isReady()) {
+        if (mapWriter.isReady()) {
             writeClaims();
         }
-        if (writer.isReady()) {
+        if (mapWriter.isReady()) {
             writeQuotaTransfers();
         }
     }
@@ -188,10 +195,10 @@
             members.addAll(replica.partitionMap().members());
             members.removeIf(member -> member.name().equals(self));
         }
-        long epoch = maps.nextEpoch();
+        long epoch = mapBuilder.nextEpoch();
         members.add(new Member(self, epoch));
-        PartitionMap map = maps.withMembers(members, Map.of());
-        writer.writeJoin(map, self, new Presence(epoch), lease.id(), onWritten(epoch));
+        PartitionMap map = mapBuilder.withMembers(members, Map.of());
+        mapWriter.writeJoin(map, self, new Presence(epoch), lease.id(), onWritten(epoch));
     }
 
     private void evictMissing() {
@@ -205,13 +212,13 @@
         missingMembers.reset();
         List<Member> remaining = new ArrayList<>(replica.partitionMap().members());
         remaining.removeAll(evicted);
-        writer.writeEviction(maps.withMembers(remaining, Map.of()), evicted, onWritten(incarnation));
+        mapWriter.writeEviction(mapBuilder.withMembers(remaining, Map.of()), evicted, onWritten(incarnation));
     }
 
     private void writeClaims() {
         Map<String, String> due = claims.takeDue();
         if (!due.isEmpty()) {
-            writer.write(maps.withMembers(replica.partitionMap().members(), due), onWritten(incarnation));
+            mapWriter.write(mapBuilder.withMembers(replica.partitionMap().members(), due), onWritten(incarnation));
         }
     }
 
@@ -219,22 +226,25 @@
         if (pendingTransfers.isEmpty()) {
             return;
         }
-        // A controller that has left in the meantime would take its transfer with it.
-        boolean allPresent = pendingTransfers.stream()
+        // Quota that is transferred to a controller that has left would be lost with it, so the transfers are dropped.
+        boolean allAreMembers = pendingTransfers.stream()
                 .allMatch(transfer -> replica.partitionMap().hasMember(transfer.controller()));
-        PartitionMap map = maps.withQuotaTransfers(allPresent ? pendingTransfers : List.of());
+        PartitionMap map = mapBuilder.withQuotaTransfers(allAreMembers ? pendingTransfers : List.of());
         pendingTransfers.clear();
-        writer.write(map, onWritten(incarnation));
+        mapWriter.write(map, onWritten(incarnation));
     }
 
-    /** What follows from a write by which this controller is a member since the given epoch. */
+    /**
+     * Returns the action on the outcome of a write of a map. If it is committed, this controller is a member that
+     * joined at the given epoch.
+     */
     private Consumer<Transaction.Status> onWritten(long joinedAtEpoch) {
         return status -> {
             if (status == Transaction.Status.COMMITTED) {
                 incarnation = joinedAtEpoch;
             } else if (status == Transaction.Status.INVALID) {
-                // The lease has expired while the write was in flight.
-                lease.drop();
+                // The lease expired while the write was in flight.
+                lease.onExpired();
             }
         };
     }
--- a/src/main/java/dewlane/core/membership/MissingMembers.java
+++ b/src/main/java/dewlane/core/membership/MissingMembers.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 
 /**
- * Members of the partition map whose lease has expired, and when it is this controller's turn to evict them. The live
- * members take turns in the order of the map, so that mostly one of them alone writes the next map.
+ * Members of the partition map whose lease has expired, and the time at which this controller evicts them. The live
+ * members wait for different times, in the order of the map, so that usually only the first one writes the next map.
  */
 final class MissingMembers {
-    /** How long each live member leaves to the one before it. */
-    private static final long TURN_MS = 300;
+    /** Each live member waits for this much longer than the live member before it. */
+    private static final long EVICTION_STAGGER_MS = 300;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final String self;
-    private final Map<String, Long> missingSinceMs = new HashMap<>();
+    private final Map<String, Long> expiredSinceMs = new HashMap<>();
 
     MissingMembers(ControllerContext context, StoreReplica replica) {
         this.context = context;
@@ -28,27 +28,27 @@
         this.self = context.settings().controllerName();
     }
 
-    /** The members that this controller should evict now. */
+    /** Returns the members that this controller should evict now. */
     List<Member> dueForEviction() {
         PartitionMap map = replica.partitionMap();
-        long turnMs = TURN_MS * liveMembersBeforeSelf(map);
+        long delayMs = EVICTION_STAGGER_MS * liveMembersBeforeSelf(map);
         List<Member> due = new ArrayList<>();
         for (Member member : map.members()) {
             if (isLive(member)) {
-                missingSinceMs.remove(member.name());
+                expiredSinceMs.remove(member.name());
                 continue;
             }
-            long sinceMs = missingSinceMs.computeIfAbsent(member.name(), absent -> context.nowMs());
-            if (context.nowMs() - sinceMs >= turnMs) {
+            long sinceMs = expiredSinceMs.computeIfAbsent(member.name(), absent -> context.nowMs());
+            if (context.nowMs() - sinceMs >= delayMs) {
                 due.add(member);
             }
         }
         return due;
     }
 
-    /** The turns begin anew, as the map is about to change. */
+    /** Restarts the waiting times, as the map is about to change. */
     void reset() {
-        missingSinceMs.clear();
+        expiredSinceMs.clear();
     }
 
     private boolean isLive(Member member) {
--- a/src/main/java/dewlane/core/membership/PartitionMapBuilder.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapBuilder.java
@@ -12,9 +12,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the partition map that follows the present one, no larger than a value may be. */
+/** Builds the partition map that replaces the current one, within the size limit of a value. */
 final class PartitionMapBuilder {
-    /** A machine that is dropped from those reassigned falls back to its partition by hash; the map stays small. */
+    /**
+     * Limits the size of the map. A machine whose reassignment is dropped belongs again to the owner that
+     * {@link dewlane.core.schema.Partitioner} computes.
+     */
     static final int MAX_REASSIGNED_MACHINES = 200;
 
     private final ControllerContext context;
@@ -34,47 +37,47 @@
     }
 
     /**
-     * The next map with the given members.
+     * Returns the next map, with the given members.
      *
-     * @param claimed machines to be reassigned, in addition to those that are, and their new owners
+     * @param claimed additional machines to be reassigned, with their new owners
      */
     PartitionMap withMembers(List<Member> members, Map<String, String> claimed) {
-        PartitionMap present = replica.partitionMap();
-        // Quota is shared among as many controllers as there are, so transfers hold only for the same members.
-        boolean keepsTransfers = present != null && members.equals(present.members());
+        PartitionMap current = replica.partitionMap();
+        // Equal shares depend on the number of members, so transfers are valid only while the members stay the same.
+        boolean keepsTransfers = current != null && members.equals(current.members());
         return shrinkToFit(new PartitionMap(
                 nextEpoch(),
                 List.copyOf(members),
                 reassignedMachines(members, claimed),
-                keepsTransfers ? present.quotaTransfers() : List.of(),
+                keepsTransfers ? current.quotaTransfers() : List.of(),
                 schemaVersions.forNextMap(),
-                present == null ? UnknownFields.NONE : present.unknown()));
+                current == null ? UnknownFields.NONE : current.unknown()));
     }
 
-    /** The next map with the same members and further transfers of quota. */
-    PartitionMap withQuotaTransfers(List<QuotaTransfer> further) {
-        PartitionMap present = replica.partitionMap();
+    /** Returns the next map, with the same members and additional transfers of quota. */
+    PartitionMap withQuotaTransfers(List<QuotaTransfer> additional) {
+        PartitionMap current = replica.partitionMap();
         PartitionMap next = new PartitionMap(
                 nextEpoch(),
-                present.members(),
-                present.reassignedMachines(),
-                combined(present.quotaTransfers(), further),
+                current.members(),
+                current.reassignedMachines(),
+                merged(current.quotaTransfers(), additional),
                 schemaVersions.forNextMap(),
-                present.unknown());
+                current.unknown());
         if (fits(next)) {
             return next;
         }
-        // Without transfers, shares are equal: whoever needs more gets it transferred anew.
+        // Without transfers, shares are equal. A controller that needs more requests another transfer.
         context.info("the partition map has no room for another quota transfer, quota shares are equal again");
         return shrinkToFit(next.withQuotaTransfers(List.of()));
     }
 
-    /** The epoch of the next map; the first one has epoch 1. */
+    /** Returns the epoch of the next map; the first map has epoch 1. */
     long nextEpoch() {
         return replica.partitionMap() == null ? 1 : replica.partitionMap().epoch() + 1;
     }
 
-    /** The claimed machines, and those of the present map whose owner remains a member. */
+    /** Returns the claimed machines, and the reassigned ones of the current map whose owner remains a member. */
     private Map<String, String> reassignedMachines(List<Member> members, Map<String, String> claimed) {
         Map<String, String> reassigned = new HashMap<>(claimed);
         if (replica.partitionMap() != null) {
@@ -89,10 +92,10 @@
         return Map.copyOf(reassigned);
     }
 
-    /** Transfers of the same team and controller add up. */
-    private static List<QuotaTransfer> combined(List<QuotaTransfer> present, List<QuotaTransfer> further) {
-        List<QuotaTransfer> sums = new ArrayList<>(present);
-        for (QuotaTransfer transfer : further) {
+    /** Returns all transfers, with those of the same team and controller added up. */
+    private static List<QuotaTransfer> merged(List<QuotaTransfer> current, List<QuotaTransfer> additional) {
+        List<QuotaTransfer> sums = new ArrayList<>(current);
+        for (QuotaTransfer transfer : additional) {
             QuotaTransfer sum = transfer;
             for (QuotaTransfer earlier : sums) {
                 if (earlier.isForSameShareAs(transfer)) {
@@ -111,9 +114,10 @@
     }
 
     /**
-     * The map with as many reassigned machines as its value has room for. A machine that is dropped falls back to its
-     * partition by hash, and is claimed again if it still cannot reach that owner; quota transfers are dropped before
-     * the last of the machines.
+     * Returns the map, reduced to the size limit of a value. Half of the reassigned machines are dropped at a time
+     * until the map fits; the quota transfers are dropped together with the last of the machines. A dropped machine
+     * belongs again to the owner that {@link dewlane.core.schema.Partitioner} computes, and is claimed again if it
+     * still cannot reach that owner.
      */
     private PartitionMap shrinkToFit(PartitionMap map) {
         PartitionMap fitting = map;
--- a/src/main/java/dewlane/core/membership/PartitionMapWriter.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapWriter.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * Writes partition maps, one at a time and each on condition that the map it replaces is the one in the replica. The
- * next is written only once the replica shows how the last write ended.
+ * Writes partition maps one at a time, each with the precondition that the map in the replica is still the current one.
+ * The next map is written only once the replica shows the outcome of the last write.
  */
 final class PartitionMapWriter {
     private final StoreReplica replica;
@@ -26,27 +26,36 @@
         this.transactions = transactions;
     }
 
-    /** True if a map may be written. */
+    /** Returns true if a map may be written. */
     boolean isReady() {
         return !lastWrite.isUnresolved(replica.revision());
     }
 
-    /** Writes a map to which a controller has been added, and attaches its presence to the lease. */
+    /**
+     * Writes a map that includes a joining controller, and the controller's presence, which is attached to its lease.
+     */
     void writeJoin(
-            PartitionMap map, String controller, Presence presence, long lease, Consumer<Transaction.Status> done) {
-        submit(builder(map).putWithLease(StoreKeys.presence(controller), presence, lease), done);
+            PartitionMap map,
+            String controller,
+            Presence presence,
+            long lease,
+            Consumer<Transaction.Status> onCompleted) {
+        submit(builder(map).putWithLease(StoreKeys.presence(controller), presence, lease), onCompleted);
     }
 
-    /** Writes a map without the evicted members, on condition that they have not renewed their leases after all. */
-    void writeEviction(PartitionMap map, List<Member> evicted, Consumer<Transaction.Status> done) {
+    /**
+     * Writes a map without the evicted members, with the precondition that none of them has a presence: their leases
+     * are still expired.
+     */
+    void writeEviction(PartitionMap map, List<Member> evicted, Consumer<Transaction.Status> onCompleted) {
         Transaction.Builder transaction = builder(map);
         evicted.forEach(member -> transaction.require(StoreKeys.presence(member.name()), 0));
-        submit(transaction, done);
+        submit(transaction, onCompleted);
     }
 
     /** Writes a map with the same members. */
-    void write(PartitionMap map, Consumer<Transaction.Status> done) {
-        submit(builder(map), done);
+    void write(PartitionMap map, Consumer<Transaction.Status> onCompleted) {
+        submit(builder(map), onCompleted);
     }
 
     private Transaction.Builder builder(PartitionMap map) {
@@ -55,11 +64,11 @@
                 .put(StoreKeys.PARTITION_MAP, map);
     }
 
-    private void submit(Transaction.Builder transaction, Consumer<Transaction.Status> done) {
+    private void submit(Transaction.Builder transaction, Consumer<Transaction.Status> onCompleted) {
         lastWrite.begin();
         transactions.submit(TransactionPriority.MEMBERSHIP, transaction.build(), (status, revision) -> {
             lastWrite.complete(revision);
-            done.accept(status);
+            onCompleted.accept(status);
         });
     }
 }
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -6,31 +6,32 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the other controllers last said of themselves, and when. */
+/** The latest status of each other controller, with the time at which it was received. */
 public final class PeerTable {
-    /** How long a peer's status is relied on. */
+    /** How long a peer's status is valid. */
     private static final long STATUS_TTL_MS = 5000;
 
-    /** A peer's latest status and the steady time of its arrival. */
-    private record Received(PeerStatus status, long atMs) {}
+    /** A peer's latest status and the steady time at which it was received. */
+    private record ReceivedStatus(PeerStatus status, long atMs) {}
 
     private final ControllerContext context;
     private final StoreReplica replica;
-    private final Map<String, Received> latest = new HashMap<>();
+    private final Map<String, ReceivedStatus> latestByController = new HashMap<>();
 
-    /** A table without any peer's status. */
+    /** Creates a table without statuses. */
     public PeerTable(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
     }
 
-    /** A peer has sent its status. */
+    /** Called when a peer's status has been received. */
     public void update(PeerStatus status) {
-        latest.put(status.controller(), new Received(status, context.nowMs()));
+        latestByController.put(status.controller(), new ReceivedStatus(status, context.nowMs()));
     }
 
     /**
-     * Names one start of a controller: one that has restarted has not received its machines' heartbeats yet.
+     * Returns an id of the controller's current incarnation. It changes when the controller restarts, after which it
+     * has not received its machines' heartbeats yet.
      *
      * @return null if the controller is not a member
      */
@@ -40,25 +41,28 @@
         return incarnation == 0 ? null : controller + "@" + incarnation;
     }
 
-    /** True if a peer said within the last few seconds that it reaches the store. */
+    /** Returns true if a peer reported within the last five seconds that it reaches the store. */
     public boolean anyReachesStore() {
-        return latest.values().stream()
-                .anyMatch(received -> received.status().storeReachable() && isWithin(received, STATUS_TTL_MS));
+        return latestByController.values().stream()
+                .anyMatch(entry -> entry.status().storeReachable() && isWithin(entry, STATUS_TTL_MS));
     }
 
-    /** True if the controller's status came within the given time, in milliseconds. */
+    /** Returns true if the controller's status was received within the last {@code ms} milliseconds. */
     public boolean heardWithin(String controller, long ms) {
-        Received received = latest.get(controller);
-        return received != null && isWithin(received, ms);
+        ReceivedStatus entry = latestByController.get(controller);
+        return entry != null && isWithin(entry, ms);
     }
 
-    /** True if there are other controllers and the status of none of them came within the given time. */
+    /**
+     * Returns true if the deployment has other controllers and no status of any of them was received within the last
+     * {@code ms} milliseconds.
+     */
     boolean noneHeardWithin(long ms) {
         return !context.settings().peers().isEmpty()
-                && latest.values().stream().noneMatch(received -> isWithin(received, ms));
+                && latestByController.values().stream().noneMatch(entry -> isWithin(entry, ms));
     }
 
-    private boolean isWithin(Received received, long ms) {
-        return context.nowMs() - received.atMs() <= ms;
+    private boolean isWithin(ReceivedStatus entry, long ms) {
+        return context.nowMs() - entry.atMs() <= ms;
     }
 }
--- a/src/main/java/dewlane/core/membership/package-info.java
+++ b/src/main/java/dewlane/core/membership/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Which controllers are alive, who owns which partition, who leads, and what this controller may do at this instant.
+ * Membership of the controllers: which are alive, which partition each owns, which one leads, and what this controller
+ * may do at the moment.
  *
- * <p>Owns this controller's lease and incarnation, what its peers last said, and the writing of the partition map.
- * Guards the rule that a controller which may have been superseded neither renews leases nor decides. May depend on
- * {@code job} and below.
+ * <p>Owns this controller's lease and incarnation, the latest statuses of its peers, and the writing of the partition
+ * map. Ensures that a controller that may have been superseded neither renews workers' leases nor makes decisions. May
+ * depend on {@code job} and below.
  */
 package dewlane.core.membership;
--- a/src/test/java/dewlane/core/membership/AuthorityTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -15,100 +15,105 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a controller may do while it lacks its place in the map, the store, its peers or a young view. */
+/** Tests what a controller may do if it is not a member, cannot reach the store or its peers, or its replica is old. */
 class AuthorityTest extends ControllerFixture {
-    private static Authority standing(int bits) {
+    private static Authority authority(int bits) {
         return new Authority(
                 (bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0, (bits & 8) != 0, (bits & 16) != 0, (bits & 32) != 0);
     }
 
     @Test
-    void everyLimitTakesAwayWhatItsNameSays() {
+    void eachRestrictionForbidsWhatItsNameSays() {
         for (int bits = 0; bits < 64; bits++) {
-            Authority standing = standing(bits);
-            Restriction limit = standing.restriction();
-            boolean keepsWorkers = limit == Restriction.NONE
-                    || limit == Restriction.VIEW_STALE
-                    || limit == Restriction.STORE_UNREACHABLE;
-            assertEquals(keepsWorkers, standing.mayRenewWorkerLeases(), standing.toString());
-            if (limit == Restriction.NONE) {
-                assertTrue(standing.mayDecide() && standing.maySendLaunches(), standing.toString());
-            } else if (limit == Restriction.VIEW_STALE) {
-                assertFalse(standing.maySendLaunches(), standing.toString());
-            } else if (limit == Restriction.STORE_UNREACHABLE || limit == Restriction.NOT_A_MEMBER) {
-                assertFalse(standing.mayDecide(), standing.toString());
+            Authority authority = authority(bits);
+            Restriction restriction = authority.restriction();
+            boolean renewsLeases = restriction == Restriction.NONE
+                    || restriction == Restriction.VIEW_STALE
+                    || restriction == Restriction.STORE_UNREACHABLE;
+            assertEquals(renewsLeases, authority.mayRenewWorkerLeases(), authority.toString());
+            if (restriction == Restriction.NONE) {
+                assertTrue(authority.mayDecide() && authority.maySendLaunches(), authority.toString());
+            } else if (restriction == Restriction.VIEW_STALE) {
+                assertFalse(authority.maySendLaunches(), authority.toString());
+            } else if (restriction == Restriction.STORE_UNREACHABLE || restriction == Restriction.NOT_A_MEMBER) {
+                assertFalse(authority.mayDecide(), authority.toString());
             }
         }
     }
 
-    /** The status of peer n1, which says how new its map is and whether it reaches the store. */
+    /** The status of peer n1, with the epoch of its map and whether it reaches the store. */
     private static Input peerStatus(long epoch, boolean reachesStore) {
         return new Input.PeerStatusReceived(new PeerStatus("n1", epoch, reachesStore, List.of(), List.of()));
     }
 
-    /** The limits that the controller has logged since effects were last taken. */
-    private List<String> takeLimitsLogged() {
+    /** Returns the restrictions that the controller has logged since effects were last taken. */
+    private List<String> takeLoggedRestrictions() {
         return take(Effect.Log.class).stream()
                 .filter(log -> log.level() == Effect.Level.INFO && log.text().startsWith("this controller "))
                 .map(log -> log.text().substring("this controller ".length()))
                 .toList();
     }
 
-    /** The store stops to answer while a peer is heard, and later the peer is silent, too. */
+    /** The store stops answering while the statuses of a peer arrive; later, these stop as well. */
     @Test
-    void limitIsLoggedOnceWhenItChanges() {
+    void restrictionIsLoggedOnceWhenItChanges() {
         tick(1000);
-        assertEquals(List.of(Restriction.NONE.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.NONE.description()), takeLoggedRestrictions());
         tick(2300);
-        assertEquals(List.of(Restriction.STORE_UNREACHABLE.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.STORE_UNREACHABLE.description()), takeLoggedRestrictions());
         for (int i = 0; i < 10; i++) {
             receive(1000, peerStatus(1, false));
             tick(0);
         }
-        assertEquals(List.of(), takeLimitsLogged(), "an outage for all changes nothing more");
+        assertEquals(List.of(), takeLoggedRestrictions(), "an outage for all controllers changes nothing more");
         tick(5500);
-        assertEquals(List.of(Restriction.ISOLATED.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.ISOLATED.description()), takeLoggedRestrictions());
         receiveHeartbeat(10, 1, heartbeat(1, 1, FIRST_TOKEN));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
         receive(10, peerStatus(1, false));
         receive(40_000, peerStatus(1, false));
         tick(0);
-        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), takeLoggedRestrictions());
         receive(10, new Input.WatchEvents(List.of(), revision()));
         receive(10, new Input.WatchEvents(List.of(), revision()));
         tick(1000);
-        assertEquals(List.of(Restriction.NONE.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.NONE.description()), takeLoggedRestrictions());
         receive(10, peerStatus(9, true));
         tick(1100);
-        assertEquals(List.of(Restriction.SUPERSEDED.description()), takeLimitsLogged());
+        assertEquals(List.of(Restriction.SUPERSEDED.description()), takeLoggedRestrictions());
         receiveHeartbeat(10, 2, heartbeat(1, 2, FIRST_TOKEN));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size());
     }
 
-    /** Seen in a recorded incident: users stayed with a controller that the store refused. */
+    /**
+     * Guards against users being sent to a controller that cannot reach the store while others can, as in an incident.
+     */
     @Test
     void controllerThatAloneCannotReachStoreIsUnhealthy() {
         assertTrue(controller.isHealthy());
         tick(6000);
-        assertTrue(controller.isHealthy(), "in an outage for all, no other would serve better");
+        assertTrue(controller.isHealthy(), "in an outage for all controllers, no other one would serve better");
         receive(10, peerStatus(1, true));
         assertFalse(controller.isHealthy());
     }
 
     @Test
-    void controllerWithOldViewLetsItsWorkersLeasesRunOut() {
+    void controllerWithOldReplicaLetsItsWorkersLeasesExpire() {
         receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         assertEquals(1, take(Effect.AnswerHeartbeat.class).size());
         receive(28_000, peerStatus(1, false));
         receiveHeartbeat(0, 2, heartbeat(1, 2, 0));
-        assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "what it renews still ends in time");
+        assertEquals(1, take(Effect.AnswerHeartbeat.class).size(), "a renewed lease still expires within cancel_s");
         receiveHeartbeat(1000, 3, heartbeat(1, 3, 0));
         assertEquals(1, take(Effect.RejectHeartbeat.class).size(), "a cancellation may have been missed");
     }
 
-    /** A fault the users named: without store and peers its lease is over, and others have its machines. */
+    /**
+     * Guards against a reported fault: a controller that reaches neither the store nor its peers renews its workers'
+     * leases, although its own lease has expired and others have taken over its machines.
+     */
     @Test
-    void isolatedControllerRefusesHeartbeatsButNotInStoreOutageForAll() {
+    void isolatedControllerRejectsHeartbeatsUnlessStoreIsDownForAll() {
         receiveHeartbeat(60, 1, heartbeat(1, 1, 0));
         assertEquals(1, take(Effect.AnswerHeartbeat.class).size());
         receiveHeartbeat(6000, 2, heartbeat(1, 2, 0));
@@ -119,7 +124,7 @@
     }
 
     @Test
-    void settingsThatLeaveNoTimeForCancellationAreWarnedOf() {
+    void warnsOfSettingsThatLeaveNoTimeForCancellation() {
         for (double cancelS : new double[] {31, 44}) {
             Controller tight =
                     new Controller(TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.LIMITS), 1, value -> 0);
