--- a/src/main/java/dewlane/core/membership/Authority.java
+++ b/src/main/java/dewlane/core/membership/Authority.java
@@ -6,25 +6,26 @@
  * @param member the controller has joined the partition map since it started, and has not been evicted
  * @param superseded a peer has a newer partition map, which this controller should have read by now
  * @param isolated neither the store nor a peer has been reached for longer than the lifetime of the controller's lease
- * @param reachesStore the store has answered within the last seconds
- * @param viewAllowsRenewal the replica, which may lack recent cancellations, is fresh enough to renew workers' leases
- * @param viewAllowsLaunch the replica, which may lack recent cancellations, is fresh enough to send launches
+ * @param storeReachable the store has answered within the last seconds
+ * @param replicaAllowsRenewal the replica, which may lack recent cancellations, is fresh enough to renew workers'
+ *     leases
+ * @param replicaAllowsLaunch the replica, which may lack recent cancellations, is fresh enough to send launches
  */
 public record Authority(
         boolean member,
         boolean superseded,
         boolean isolated,
-        boolean reachesStore,
-        boolean viewAllowsRenewal,
-        boolean viewAllowsLaunch) {
+        boolean storeReachable,
+        boolean replicaAllowsRenewal,
+        boolean replicaAllowsLaunch) {
     /** What limits a controller. If several restrictions apply, the first constant counts. */
     enum Restriction {
         NOT_A_MEMBER("decides nothing: it is not in the partition map"),
         SUPERSEDED("answers no worker: a peer has a newer partition map"),
         ISOLATED("answers no worker: it reaches neither the store nor a peer"),
-        VIEW_EXPIRED("answers no worker: its view of cancellations is too old to renew a lease"),
+        REPLICA_TOO_OLD("answers no worker: its view of cancellations is too old to renew a lease"),
         STORE_UNREACHABLE("keeps what runs and decides nothing new: the store does not answer"),
-        VIEW_STALE("keeps what runs and launches nothing: its view of cancellations is old"),
+        REPLICA_STALE("keeps what runs and launches nothing: its view of cancellations is old"),
         NONE("serves in full");
 
         private final String description;
@@ -41,17 +42,17 @@
 
     /** Returns true if workers' heartbeats may be answered, which renews the workers' leases. */
     public boolean mayRenewWorkerLeases() {
-        return member && !superseded && !isolated && viewAllowsRenewal;
+        return member && !superseded && !isolated && replicaAllowsRenewal;
     }
 
     /** Returns true if a launch that is recorded in the store may be sent to its worker. */
     public boolean maySendLaunches() {
-        return viewAllowsLaunch;
+        return replicaAllowsLaunch;
     }
 
     /** Returns true if new decisions may be made; they are then written with preconditions. */
     public boolean mayDecide() {
-        return member && reachesStore;
+        return member && storeReachable;
     }
 
     /** Returns the first restriction that applies. */
@@ -62,11 +63,11 @@
             return Restriction.SUPERSEDED;
         } else if (isolated) {
             return Restriction.ISOLATED;
-        } else if (!viewAllowsRenewal) {
-            return Restriction.VIEW_EXPIRED;
-        } else if (!reachesStore) {
+        } else if (!replicaAllowsRenewal) {
+            return Restriction.REPLICA_TOO_OLD;
+        } else if (!storeReachable) {
             return Restriction.STORE_UNREACHABLE;
         }
-        return viewAllowsLaunch ? Restriction.NONE : Restriction.VIEW_STALE;
+        return replicaAllowsLaunch ? Restriction.NONE : Restriction.REPLICA_STALE;
     }
 }
--- a/src/main/java/dewlane/core/membership/MissingMembers.java
+++ b/src/main/java/dewlane/core/membership/ExpiredMembers.java
@@ -13,7 +13,7 @@
  * Members of the partition map whose lease has expired, and the time at which this controller evicts them. The live
  * members wait for different times, in the order of the map, so that usually only the first one writes the next map.
  */
-final class MissingMembers {
+final class ExpiredMembers {
     /** Each live member waits for this much longer than the live member before it. */
     private static final long EVICTION_STAGGER_MS = 300;
 
@@ -22,7 +22,7 @@
     private final String self;
     private final Map<String, Long> expiredSinceMs = new HashMap<>();
 
-    MissingMembers(ControllerContext context, StoreReplica replica) {
+    ExpiredMembers(ControllerContext context, StoreReplica replica) {
         this.context = context;
         this.replica = replica;
         this.self = context.settings().controllerName();
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -42,7 +42,7 @@
     private final StoreConnectivity store;
     private final PeerTable peers;
     private final MemberLease lease;
-    private final MissingMembers missingMembers;
+    private final ExpiredMembers expiredMembers;
     private final MachineClaims claims;
     private final ControllerSchemaVersions schemaVersions;
     private final PartitionMapBuilder mapBuilder;
@@ -72,7 +72,7 @@
         this.peers = peers;
         this.self = context.settings().controllerName();
         this.lease = new MemberLease(context);
-        this.missingMembers = new MissingMembers(context, replica);
+        this.expiredMembers = new ExpiredMembers(context, replica);
         this.claims = new MachineClaims(context, replica);
         this.schemaVersions = new ControllerSchemaVersions(context, replica);
         this.mapBuilder = new PartitionMapBuilder(context, replica, schemaVersions, sizer);
@@ -80,7 +80,7 @@
     }
 
     /** Returns true if the store has answered within the last two seconds. */
-    public boolean reachesStore() {
+    public boolean isStoreReachable() {
         return store.isReachable();
     }
 
@@ -108,7 +108,7 @@
      */
     boolean isIsolated() {
         long timeoutMs = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
-        return store.silenceMs() > timeoutMs && peers.noneHeardWithin(timeoutMs);
+        return store.timeSinceLastContactMs() > timeoutMs && peers.receivedNoStatusWithin(timeoutMs);
     }
 
     /** Returns true if peers have named a newer map for longer than the watch should take to deliver it. */
@@ -180,7 +180,7 @@
             join();
             return;
         }
-        evictMissing();
+        evictExpired();
         if (mapWriter.isReady()) {
             writeClaims();
         }
@@ -201,15 +201,15 @@
         mapWriter.writeJoin(map, self, new Presence(epoch), lease.id(), onWritten(epoch));
     }
 
-    private void evictMissing() {
-        List<Member> evicted = missingMembers.dueForEviction();
+    private void evictExpired() {
+        List<Member> evicted = expiredMembers.dueForEviction();
         if (evicted.isEmpty()) {
             return;
         }
         for (Member member : evicted) {
             context.info("controller " + member.name() + " let its lease expire, evicting it from the partition map");
         }
-        missingMembers.reset();
+        expiredMembers.reset();
         List<Member> remaining = new ArrayList<>(replica.partitionMap().members());
         remaining.removeAll(evicted);
         mapWriter.writeEviction(mapBuilder.withMembers(remaining, Map.of()), evicted, onWritten(incarnation));
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -25,7 +25,7 @@
     }
 
     /** Called when a peer's status has been received. */
-    public void update(PeerStatus status) {
+    public void onStatusReceived(PeerStatus status) {
         latestByController.put(status.controller(), new ReceivedStatus(status, context.nowMs()));
     }
 
@@ -42,13 +42,13 @@
     }
 
     /** Returns true if a peer reported within the last five seconds that it reaches the store. */
-    public boolean anyReachesStore() {
+    public boolean anyPeerReachesStore() {
         return latestByController.values().stream()
                 .anyMatch(entry -> entry.status().storeReachable() && isWithin(entry, STATUS_TTL_MS));
     }
 
     /** Returns true if the controller's status was received within the last {@code ms} milliseconds. */
-    public boolean heardWithin(String controller, long ms) {
+    public boolean receivedStatusWithin(String controller, long ms) {
         ReceivedStatus entry = latestByController.get(controller);
         return entry != null && isWithin(entry, ms);
     }
@@ -57,7 +57,7 @@
      * Returns true if the deployment has other controllers and no status of any of them was received within the last
      * {@code ms} milliseconds.
      */
-    boolean noneHeardWithin(long ms) {
+    boolean receivedNoStatusWithin(long ms) {
         return !context.settings().peers().isEmpty()
                 && latestByController.values().stream().noneMatch(entry -> isWithin(entry, ms));
     }
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /** Decides which outcomes of attempts are written when: those of a slice gather for a while, to share a write. */
-public final class OutcomeBatching {
+public final class OutcomeBatcher {
     /** How long outcomes gather, and how long while writes are scarce. */
     private static final long DELAY_MS = 1000;
 
@@ -29,7 +29,7 @@
     private final QuotaEnforcer quota;
 
     /** Batches by the scarcity of writes in the queue and by the teams' quotas. */
-    public OutcomeBatching(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
+    public OutcomeBatcher(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
         this.context = context;
         this.transactions = transactions;
         this.quota = quota;
@@ -91,13 +91,13 @@
         long delayMs = delayMs(update.job().job());
         return value.isComplete()
                 || (update.job().isCancelled() && value.attempts().isEmpty())
-                || nowMs - progress.gatheringSince(slice.number(), nowMs) >= delayMs
+                || nowMs - progress.batchOpenedAtMs(slice.number(), nowMs) >= delayMs
                 || hasTaskToRetry(update, slice);
     }
 
     private long delayMs(Job job) {
-        boolean scarce = transactions.isScarce();
-        if (quota.isSerialized(job)) {
+        boolean scarce = transactions.isWriteRateLow();
+        if (quota.hasSerializedLimit(job)) {
             return scarce ? DELAY_SERIALIZED_MS : 0;
         }
         if (!scarce) {
--- a/src/main/java/dewlane/core/schema/StoreKeys.java
+++ b/src/main/java/dewlane/core/schema/StoreKeys.java
@@ -22,7 +22,7 @@
     /** The prefix of the slices of jobs. */
     public static final String SLICES = ROOT + "slice/";
     /** A key that is never set. It is read because each answer contains the store's latest revision. */
-    public static final String NEVER_SET = ROOT + "none";
+    public static final String REVISION_PROBE = ROOT + "none";
     /** The prefix of the teams' usage records. */
     public static final String TEAM_USAGES = ROOT + "team/";
 
--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -138,12 +138,12 @@
         }
 
         /** Returns the tasks that are done or may be on a machine, as offsets from {@code first}. */
-        public BitSet occupied() {
-            BitSet occupied = (BitSet) done.clone();
+        public BitSet nonPendingTasks() {
+            BitSet tasks = (BitSet) done.clone();
             for (Attempt attempt : attempts) {
-                occupied.set(attempt.task() - first);
+                tasks.set(attempt.task() - first);
             }
-            return occupied;
+            return tasks;
         }
 
         /** Returns the attempt that may be running the task, or null if there is none. */
@@ -294,8 +294,7 @@
     }
 
     /**
-     * A value that this release cannot read, and why. What depends on it is left unchanged until it can be read or is
-     * replaced.
+     * A value that this release cannot read, and why. Whatever depends on it is left unchanged until it can be read.
      */
     record Unreadable(String reason) implements StoredValue {}
 }
--- a/src/main/java/dewlane/core/store/InvalidTransactions.java
+++ b/src/main/java/dewlane/core/store/InvalidTransactions.java
@@ -7,14 +7,14 @@
 import dewlane.core.schema.ValueSizer;
 
 /**
- * Counts and logs the transactions that the store rejected as invalid, and detects from them that the smaller limit of
- * value sizes is in force.
+ * Counts and logs the transactions that the store rejected as invalid, and detects from them that the reduced size
+ * limit of values is in force.
  */
 final class InvalidTransactions {
     private final ControllerContext context;
     private final ControllerCounters counters;
     private final ValueSizer sizer;
-    private boolean sizeRejected;
+    private boolean reducedValueLimitDetected;
 
     InvalidTransactions(ControllerContext context, ControllerCounters counters, ValueSizer sizer) {
         this.context = context;
@@ -23,11 +23,11 @@
     }
 
     /**
-     * Returns true once a transaction was invalid whose largest value is within the initial limit but exceeds the
-     * smaller one that replaces it.
+     * Returns true once a transaction was invalid whose largest value exceeds the reduced size limit. Such a value is
+     * within the initial limit, which is therefore no longer in force.
      */
-    boolean wasSizeRejected() {
-        return sizeRejected;
+    boolean isReducedValueLimitDetected() {
+        return reducedValueLimitDetected;
     }
 
     /**
@@ -48,7 +48,7 @@
                 largestBytes = bytes;
             }
         }
-        sizeRejected |= largestBytes > context.settings().maxValueBytes();
+        reducedValueLimitDetected |= largestBytes > context.settings().maxValueBytes();
         context.info("the store rejected a transaction of "
                 + transaction.writes().size() + " writes as invalid; its largest value, of " + largestKey + ", has "
                 + largestBytes + " bytes");
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -123,8 +123,8 @@
     }
 
     /** Called when a dependency of the job has ended at the given time of day. */
-    public void dependencyEnded(long atMs) {
-        urgency.dependencyEnded(atMs);
+    public void onDependencyEnded(long atMs) {
+        urgency.onDependencyEnded(atMs);
     }
 
     /** Returns the job's slices in the order of their numbers. */
--- a/src/main/java/dewlane/core/store/JobResultReader.java
+++ b/src/main/java/dewlane/core/store/JobResultReader.java
@@ -20,13 +20,13 @@
     /** Receives the outcome of a read; exactly one method is called. */
     public interface Listener {
         /** Called if the job has ended. */
-        void found(JobResult result);
+        void onFound(JobResult result);
 
         /** Called if the job has no result: it has not ended, or was never accepted. */
-        void absent();
+        void onAbsent();
 
         /** Called if the store did not answer, or the stored result cannot be read. */
-        void unavailable();
+        void onUnavailable();
     }
 
     private record PendingRead(String job, Listener listener) {}
@@ -69,12 +69,12 @@
         }
         StoredValue value = in.value().orElse(null);
         if (value == null) {
-            read.listener().absent();
+            read.listener().onAbsent();
         } else if (value instanceof JobResult result) {
-            replica.recordResult(read.job(), result);
-            read.listener().found(result);
+            replica.cacheResult(read.job(), result);
+            read.listener().onFound(result);
         } else {
-            read.listener().unavailable();
+            read.listener().onUnavailable();
         }
     }
 
@@ -82,7 +82,7 @@
     public void onValueReadFailed(Input.ValueReadFailed in) {
         PendingRead read = inFlight.remove(in.id());
         if (read != null) {
-            read.listener().unavailable();
+            read.listener().onUnavailable();
         }
     }
 }
--- a/src/main/java/dewlane/core/store/JobUrgency.java
+++ b/src/main/java/dewlane/core/store/JobUrgency.java
@@ -30,7 +30,7 @@
     }
 
     /** Called when a dependency of the job has ended at the given time of day. */
-    void dependencyEnded(long atMs) {
+    void onDependencyEnded(long atMs) {
         waitingSinceMs = Math.max(waitingSinceMs, atMs);
     }
 
--- a/src/main/java/dewlane/core/store/ReducedRateDetector.java
+++ b/src/main/java/dewlane/core/store/ReducedRateDetector.java
@@ -41,7 +41,7 @@
 
     /** Returns the writes per second that all controllers together may make. */
     double writesPerS() {
-        return isReduced() ? limits.reducedWritesPerS() : limits.present().writesPerS();
+        return isReduced() ? limits.reducedWritesPerS() : limits.current().writesPerS();
     }
 
     /**
@@ -59,7 +59,7 @@
         }
         refusals++;
         if (refusals >= MIN_REFUSALS
-                && limits.reducedWritesPerS() < limits.present().writesPerS()) {
+                && limits.reducedWritesPerS() < limits.current().writesPerS()) {
             reduce(nowMs);
         }
     }
@@ -68,7 +68,7 @@
         boolean confirmed = nowMs - reducedUntilMs < 2 * REFUSAL_WINDOW_MS;
         doublings = confirmed ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
         reducedUntilMs = nowMs + (REDUCED_PERIOD_MS << doublings);
-        context.info("writes are refused at " + limits.present().writesPerS() + " a second, reducing the rate to "
+        context.info("writes are refused at " + limits.current().writesPerS() + " a second, reducing the rate to "
                 + limits.reducedWritesPerS());
     }
 }
--- a/src/main/java/dewlane/core/store/StoreConnectivity.java
+++ b/src/main/java/dewlane/core/store/StoreConnectivity.java
@@ -22,11 +22,11 @@
 
     /** Returns true if the store has answered within the last two seconds. */
     public boolean isReachable() {
-        return silenceMs() <= CONTACT_TIMEOUT_MS;
+        return timeSinceLastContactMs() <= CONTACT_TIMEOUT_MS;
     }
 
     /** Returns the milliseconds since the store last answered. */
-    public long silenceMs() {
+    public long timeSinceLastContactMs() {
         return context.nowMs() - lastContactMs;
     }
 }
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -128,7 +128,7 @@
 
     private void applyResult(String job, JobResult result) {
         if (result != null) {
-            recordResult(job, result);
+            cacheResult(job, result);
         }
     }
 
@@ -217,7 +217,7 @@
     }
 
     /** Adds the result of a job that has ended to the cache. */
-    public void recordResult(String id, JobResult result) {
+    public void cacheResult(String id, JobResult result) {
         results.put(id, result);
         listener.accept(new ReplicaChange.JobEnded(id, result));
     }
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -32,7 +32,7 @@
          * status is that of the last answer, which was a refusal or unknown, and the revision is 0; the transaction may
          * still be applied.
          */
-        void completed(Transaction.Status status, long revision);
+        void onCompleted(Transaction.Status status, long revision);
     }
 
     private static final int MAX_IN_FLIGHT = 8;
@@ -70,16 +70,16 @@
     }
 
     /** Sets the number of live controllers, which share the write rate. */
-    public void shareAmong(int controllers) {
-        rateLimiter.shareAmong(controllers);
+    public void setControllerCount(int controllers) {
+        rateLimiter.setControllerCount(controllers);
     }
 
     /**
      * Returns true once a value within the initial size limit was rejected as invalid. The reduced limit is then in
      * force, and it comes into force only after every controller has been upgraded.
      */
-    public boolean wasSizeRejected() {
-        return invalidTransactions.wasSizeRejected();
+    public boolean isReducedValueLimitDetected() {
+        return invalidTransactions.isReducedValueLimitDetected();
     }
 
     /** Queues a transaction; the listener receives its outcome. */
@@ -113,7 +113,7 @@
     }
 
     /** Returns true if less than half of the burst is left, so that callers should combine more into a transaction. */
-    public boolean isScarce() {
+    public boolean isWriteRateLow() {
         return rateLimiter.tokens() < rateLimiter.capacity() / 2;
     }
 
@@ -135,9 +135,9 @@
             case UNKNOWN -> {}
         }
         if (status.isDefinite()) {
-            pending.listener().completed(status, answer.revision());
+            pending.listener().onCompleted(status, answer.revision());
         } else if (retryPolicy.hasTimedOut(pending)) {
-            pending.listener().completed(status, 0);
+            pending.listener().onCompleted(status, 0);
         } else {
             retryPolicy.scheduleRetry(pending, status);
             enqueue(pending);
--- a/src/main/java/dewlane/core/store/UnresolvedWrite.java
+++ b/src/main/java/dewlane/core/store/UnresolvedWriteTracker.java
@@ -4,7 +4,7 @@
  * Tracks whether the last write of an object is unresolved: it is in flight, or the replica has not reached the
  * revision of its answer.
  */
-public final class UnresolvedWrite {
+public final class UnresolvedWriteTracker {
     private boolean inFlight;
     /** The revision of the last write's answer. Until the replica reaches it, the write may be missing from it. */
     private long answeredAtRevision;
--- a/src/main/java/dewlane/core/store/WriteRateLimiter.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -43,7 +43,7 @@
     }
 
     /** Sets the number of live controllers, which share the rate. */
-    void shareAmong(int liveControllers) {
+    void setControllerCount(int liveControllers) {
         controllers = Math.max(1, liveControllers);
     }
 
--- a/src/test/java/dewlane/core/membership/AuthorityTest.java
+++ b/src/test/java/dewlane/core/membership/AuthorityTest.java
@@ -28,12 +28,12 @@
             Authority authority = authority(bits);
             Restriction restriction = authority.restriction();
             boolean renewsLeases = restriction == Restriction.NONE
-                    || restriction == Restriction.VIEW_STALE
+                    || restriction == Restriction.REPLICA_STALE
                     || restriction == Restriction.STORE_UNREACHABLE;
             assertEquals(renewsLeases, authority.mayRenewWorkerLeases(), authority.toString());
             if (restriction == Restriction.NONE) {
                 assertTrue(authority.mayDecide() && authority.maySendLaunches(), authority.toString());
-            } else if (restriction == Restriction.VIEW_STALE) {
+            } else if (restriction == Restriction.REPLICA_STALE) {
                 assertFalse(authority.maySendLaunches(), authority.toString());
             } else if (restriction == Restriction.STORE_UNREACHABLE || restriction == Restriction.NOT_A_MEMBER) {
                 assertFalse(authority.mayDecide(), authority.toString());
@@ -42,8 +42,8 @@
     }
 
     /** The status of peer n1, with the epoch of its map and whether it reaches the store. */
-    private static Input peerStatus(long epoch, boolean reachesStore) {
-        return new Input.PeerStatusReceived(new PeerStatus("n1", epoch, reachesStore, List.of(), List.of()));
+    private static Input peerStatus(long epoch, boolean storeReachable) {
+        return new Input.PeerStatusReceived(new PeerStatus("n1", epoch, storeReachable, List.of(), List.of()));
     }
 
     /** Returns the restrictions that the controller has logged since effects were last taken. */
@@ -73,7 +73,7 @@
         receive(10, peerStatus(1, false));
         receive(40_000, peerStatus(1, false));
         tick(0);
-        assertEquals(List.of(Restriction.VIEW_EXPIRED.description()), takeLoggedRestrictions());
+        assertEquals(List.of(Restriction.REPLICA_TOO_OLD.description()), takeLoggedRestrictions());
         receive(10, new Input.WatchEvents(List.of(), revision()));
         receive(10, new Input.WatchEvents(List.of(), revision()));
         tick(1000);
@@ -126,8 +126,8 @@
     @Test
     void warnsOfSettingsThatLeaveNoTimeForCancellation() {
         for (double cancelS : new double[] {31, 44}) {
-            Controller tight =
-                    new Controller(TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.LIMITS), 1, value -> 0);
+            Controller tight = new Controller(
+                    TestSettings.of(List.of(), Map.of(), cancelS, TestSettings.STORE_LIMITS), 1, value -> 0);
             boolean warned = tight.handle(0, 0, new Input.Tick()).stream()
                     .anyMatch(e -> e instanceof Effect.Log l && l.text().contains("too short beside lease_s"));
             assertEquals(cancelS == 31, warned);
--- a/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
+++ b/src/test/java/dewlane/core/store/WriteRateLimiterTest.java
@@ -18,8 +18,8 @@
     private static final StoreLimits LIMITS =
             new StoreLimits(new StoreLimits.Limits(150, 30, 32_768, 16), new StoreLimits.Limits(150, 21, 2048, 5));
 
-    private final ControllerContext context =
-            new ControllerContext(TestSettings.of(List.of(), Map.of(), TestSettings.CANCEL_S, LIMITS), 1);
+    private final ControllerContext context = new ControllerContext(
+            TestSettings.of(List.of(), Map.of(), TestSettings.CANCELLATION_DEADLINE_S, LIMITS), 1);
     private final WriteRateLimiter limiter = new WriteRateLimiter(context);
     private long nowMs;
 
@@ -28,12 +28,12 @@
      * with a burst of one second. Returns the number of successful writes per second.
      */
     private double writeAtFullRate(double allowedPerS, int seconds) {
-        limiter.shareAmong(CONTROLLERS);
+        limiter.setControllerCount(CONTROLLERS);
         double storeTokens = allowedPerS;
         int written = 0;
         for (int i = 0; i < seconds * 10; i++) {
             nowMs += 100;
-            context.startMessage(nowMs, nowMs);
+            context.beginInput(nowMs, nowMs);
             storeTokens = Math.min(allowedPerS, storeTokens + allowedPerS / 10);
             while (limiter.tokens() >= 1) {
                 limiter.spend(1);
@@ -72,7 +72,7 @@
         writeAtFullRate(30, 10);
         for (int i = 0; i < 100; i++) {
             nowMs += 20;
-            context.startMessage(nowMs, nowMs);
+            context.beginInput(nowMs, nowMs);
             limiter.onRefused(false);
         }
         double later = writeAtFullRate(30, 30);
