--- a/src/main/java/dewlane/core/membership/AuthorityMonitor.java
+++ b/src/main/java/dewlane/core/membership/AuthorityMonitor.java
@@ -8,16 +8,19 @@
 public final class AuthorityMonitor {
     private final ControllerContext context;
     private final Membership membership;
-    private final StoreConnectivity store;
+    private final StoreConnectivity connectivity;
     private final ReplicaFreshness freshness;
     private Authority.Restriction lastLogged = Authority.Restriction.NOT_A_MEMBER;
 
     /** Creates a monitor, which logs nothing before the first tick. */
     public AuthorityMonitor(
-            ControllerContext context, Membership membership, StoreConnectivity store, ReplicaFreshness freshness) {
+            ControllerContext context,
+            Membership membership,
+            StoreConnectivity connectivity,
+            ReplicaFreshness freshness) {
         this.context = context;
         this.membership = membership;
-        this.store = store;
+        this.connectivity = connectivity;
         this.freshness = freshness;
     }
 
@@ -27,7 +30,7 @@
                 membership.isMember(),
                 membership.isSuperseded(),
                 membership.isIsolated(),
-                store.isReachable(),
+                connectivity.isReachable(),
                 freshness.allowsLeaseRenewal(),
                 freshness.allowsLaunch());
     }
--- a/src/main/java/dewlane/core/membership/ControllerSchemaVersions.java
+++ b/src/main/java/dewlane/core/membership/ControllerSchemaVersions.java
@@ -34,20 +34,20 @@
         Presence presence = replica.presences().get(controller);
         int version = presence != null
                 ? presence.schemaVersion()
-                : storedInMap().getOrDefault(controller, SchemaVersion.FIRST);
+                : versionsInMap().getOrDefault(controller, SchemaVersion.FIRST);
         return version >= SchemaVersion.CURRENT;
     }
 
     /** Returns the versions for the next partition map; controllers of the first version are left out. */
     Map<String, Integer> forNextMap() {
-        Map<String, Integer> versions = new HashMap<>(storedInMap());
+        Map<String, Integer> versions = new HashMap<>(versionsInMap());
         replica.presences().forEach((controller, presence) -> versions.put(controller, presence.schemaVersion()));
         versions.put(context.settings().controllerName(), SchemaVersion.CURRENT);
         versions.values().removeIf(version -> version <= SchemaVersion.FIRST);
         return Map.copyOf(versions);
     }
 
-    private Map<String, Integer> storedInMap() {
+    private Map<String, Integer> versionsInMap() {
         return replica.partitionMap() == null
                 ? Map.of()
                 : replica.partitionMap().schemaVersions();
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -39,7 +39,7 @@
 
     private final ControllerContext context;
     private final StoreReplica replica;
-    private final StoreConnectivity store;
+    private final StoreConnectivity connectivity;
     private final PeerTable peers;
     private final MemberLease lease;
     private final ExpiredMembers expiredMembers;
@@ -62,13 +62,13 @@
     public Membership(
             ControllerContext context,
             StoreReplica replica,
-            StoreConnectivity store,
+            StoreConnectivity connectivity,
             PeerTable peers,
             TransactionQueue transactions,
             ValueSizer sizer) {
         this.context = context;
         this.replica = replica;
-        this.store = store;
+        this.connectivity = connectivity;
         this.peers = peers;
         this.self = context.settings().controllerName();
         this.lease = new MemberLease(context);
@@ -81,7 +81,7 @@
 
     /** Returns true if the store has answered within the last two seconds. */
     public boolean isStoreReachable() {
-        return store.isReachable();
+        return connectivity.isReachable();
     }
 
     /** Returns true if this controller has joined the partition map since it started, and has not been evicted. */
@@ -108,7 +108,7 @@
      */
     boolean isIsolated() {
         long timeoutMs = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
-        return store.timeSinceLastContactMs() > timeoutMs && peers.receivedNoStatusWithin(timeoutMs);
+        return connectivity.timeSinceLastContactMs() > timeoutMs && peers.receivedNoStatusWithin(timeoutMs);
     }
 
     /** Returns true if peers have named a newer map for longer than the watch should take to deliver it. */
--- a/src/main/java/dewlane/core/store/JobTable.java
+++ b/src/main/java/dewlane/core/store/JobTable.java
@@ -19,7 +19,7 @@
     /** Jobs that have no record any more but still have slices. */
     private final Set<JobEntry> endedJobsWithSlices = new LinkedHashSet<>();
 
-    private final UnreadableKeys unreadable = new UnreadableKeys();
+    private final UnreadableKeys unreadableKeys = new UnreadableKeys();
     private final Consumer<ReplicaChange> listener;
 
     JobTable(Consumer<ReplicaChange> listener) {
@@ -36,7 +36,7 @@
         }
         jobs.clear();
         endedJobsWithSlices.clear();
-        unreadable.clear();
+        unreadableKeys.clear();
     }
 
     Collection<JobEntry> all() {
@@ -52,13 +52,13 @@
         return endedJobsWithSlices;
     }
 
-    UnreadableKeys unreadable() {
-        return unreadable;
+    UnreadableKeys unreadableKeys() {
+        return unreadableKeys;
     }
 
     /** Applies a change of a job's record. */
     void applyJob(String id, KeyChange change) {
-        unreadable.markReadable(id, change.key());
+        unreadableKeys.markReadable(id, change.key());
         if (change.value() != null) {
             storeRecord(getOrCreate(id), (JobRecord) change.value(), change.revision());
             return;
@@ -73,7 +73,7 @@
 
     /** Applies a change of a slice. */
     void applySlice(StoreKey.OfSlice key, KeyChange change) {
-        unreadable.markReadable(key.job(), change.key());
+        unreadableKeys.markReadable(key.job(), change.key());
         if (change.value() != null) {
             JobEntry job = getOrCreate(key.job());
             storeSlice(job, key.number(), (Slice) change.value(), change.revision());
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -38,7 +38,7 @@
     /** Reads that the request in flight serves. */
     private List<PendingRead> requested = List.of();
     /** Reads whose revision is known, in the order of the revisions. */
-    private final Deque<Batch> batches = new ArrayDeque<>();
+    private final Deque<Batch> awaitingReplica = new ArrayDeque<>();
 
     private boolean requestInFlight;
     private long requestedAtMs = ControllerContext.NEVER_MS;
@@ -63,7 +63,7 @@
 
     /** Called when the store has answered the request in flight. */
     public void onRevisionRead(Input.RevisionRead in) {
-        batches.add(new Batch(in.revision(), takeRequested()));
+        awaitingReplica.add(new Batch(in.revision(), takeRequested()));
         onReplicaAdvanced();
         sendRequest();
     }
@@ -83,15 +83,15 @@
 
     /** Called when the replica has reached a later revision. */
     void onReplicaAdvanced() {
-        while (!batches.isEmpty() && batches.peek().revision() <= replica.revision()) {
-            batches.poll().reads().forEach(read -> read.onCurrent().run());
+        while (!awaitingReplica.isEmpty() && awaitingReplica.peek().revision() <= replica.revision()) {
+            awaitingReplica.poll().reads().forEach(read -> read.onCurrent().run());
         }
     }
 
     /** Sends a request for the reads that have arrived if one is due, and fails those that timed out. */
     public void tick() {
-        while (!batches.isEmpty() && hasTimedOut(batches.peek())) {
-            batches.poll().reads().forEach(read -> read.onUnavailable().run());
+        while (!awaitingReplica.isEmpty() && hasTimedOut(awaitingReplica.peek())) {
+            awaitingReplica.poll().reads().forEach(read -> read.onUnavailable().run());
         }
         sendRequest();
     }
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -115,11 +115,11 @@
      */
     private void applyUnreadable(StoreKey key, String keyText, String reason) {
         if (key instanceof StoreKey.OfJob job) {
-            jobs.unreadable().markUnreadable(job.job(), keyText);
+            jobs.unreadableKeys().markUnreadable(job.job(), keyText);
         } else if (key instanceof StoreKey.OfSlice slice) {
-            jobs.unreadable().markUnreadable(slice.job(), keyText);
+            jobs.unreadableKeys().markUnreadable(slice.job(), keyText);
         } else if (key instanceof StoreKey.OfMalformedSlice slice) {
-            jobs.unreadable().markUnreadable(slice.job(), keyText);
+            jobs.unreadableKeys().markUnreadable(slice.job(), keyText);
         } else if (key instanceof StoreKey.OfPresence presence) {
             presences.put(presence.controller(), new Presence(0, SchemaVersion.FIRST));
         }
@@ -203,12 +203,12 @@
      * made.
      */
     public boolean isUnreadable(String job) {
-        return jobs.unreadable().contains(job);
+        return jobs.unreadableKeys().contains(job);
     }
 
     /** Returns the jobs whose record or one of whose slices cannot be read. */
     public Set<String> unreadableJobs() {
-        return jobs.unreadable().jobs();
+        return jobs.unreadableKeys().jobs();
     }
 
     /** Returns the result of a job if it is cached, or null; a job without a cached result may have ended. */
--- a/src/main/java/dewlane/core/store/StoreWatcher.java
+++ b/src/main/java/dewlane/core/store/StoreWatcher.java
@@ -27,7 +27,7 @@
 
     private boolean loaded;
     /** The revision that the replica must have reached to be consistent, see {@link #isCaughtUp()}. */
-    private long completeAtRevision;
+    private long consistentFromRevision;
 
     /** Creates a watcher; its first tick requests a listing. */
     public StoreWatcher(
@@ -55,7 +55,7 @@
      * nothing later.
      */
     public boolean isCaughtUp() {
-        return loaded && replica.revision() >= completeAtRevision;
+        return loaded && replica.revision() >= consistentFromRevision;
     }
 
     /** Requests a listing if the store is not being watched. */
@@ -74,7 +74,7 @@
         loaded = true;
         // Later pages of the listing may include changes that earlier pages lack. The replica is consistent once the
         // watch has reached the last page's revision.
-        completeAtRevision = in.latestRevision();
+        consistentFromRevision = in.latestRevision();
         replica.load(in.rows(), in.revision());
         freshness.onRefreshed(listRequestedAtMs);
         barrier.onReplicaAdvanced();
--- a/src/main/java/dewlane/core/store/TransactionQueue.java
+++ b/src/main/java/dewlane/core/store/TransactionQueue.java
@@ -94,11 +94,11 @@
      * transaction becomes outdated.
      */
     public boolean hasCapacity(TransactionPriority priority) {
-        int ahead = 0;
+        int queuedAhead = 0;
         for (int i = 0; i <= priority.ordinal(); i++) {
-            ahead += queuedByPriority[i];
+            queuedAhead += queuedByPriority[i];
         }
-        return ahead < MAX_QUEUED
+        return queuedAhead < MAX_QUEUED
                 && rateLimiter.tokens() >= Math.max(1, rateLimiter.capacity() * reserveFraction(priority));
     }
 
--- a/src/main/java/dewlane/core/store/WriteRateLimiter.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -16,7 +16,7 @@
     private static final double MAX_SHARES = 2.5;
 
     /** How fast the number of shares grows while no write is refused. */
-    private static final double SHARES_PER_S = 0.2;
+    private static final double SHARE_GROWTH_PER_S = 0.2;
     /** The fraction of the rate that submissions may use; the rest is for jobs that have been accepted. */
     private static final double SUBMISSION_FRACTION = 0.4;
     /**
@@ -105,11 +105,11 @@
         if (refilledAtMs == Long.MIN_VALUE) {
             tokens = capacity();
         } else {
-            double passedS = (context.nowMs() - refilledAtMs) / 1000.0;
-            tokens = Math.min(capacity(), tokens + tokensPerS() * passedS);
+            double elapsedS = (context.nowMs() - refilledAtMs) / 1000.0;
+            tokens = Math.min(capacity(), tokens + tokensPerS() * elapsedS);
             submissionTokens =
-                    Math.min(submissionCapacity(), submissionTokens + tokensPerS() * SUBMISSION_FRACTION * passedS);
-            shares = Math.min(MAX_SHARES, shares + SHARES_PER_S * passedS);
+                    Math.min(submissionCapacity(), submissionTokens + tokensPerS() * SUBMISSION_FRACTION * elapsedS);
+            shares = Math.min(MAX_SHARES, shares + SHARE_GROWTH_PER_S * elapsedS);
         }
         refilledAtMs = context.nowMs();
     }
