--- a/src/main/java/dewlane/core/store/InvalidTransactions.java
+++ b/src/main/java/dewlane/core/store/InvalidTransactions.java
@@ -6,12 +6,15 @@
 import dewlane.core.schema.Transaction;
 import dewlane.core.schema.ValueSizer;
 
-/** Counts and logs the transactions that the store called invalid, and concludes which limits are in force. */
+/**
+ * Counts and logs the transactions that the store rejected as invalid, and detects from them that the reduced size
+ * limit of values is in force.
+ */
 final class InvalidTransactions {
     private final ControllerContext context;
     private final ControllerCounters counters;
     private final ValueSizer sizer;
-    private boolean sizeRejected;
+    private boolean reducedValueLimitDetected;
 
     InvalidTransactions(ControllerContext context, ControllerCounters counters, ValueSizer sizer) {
         this.context = context;
@@ -19,14 +22,17 @@
         this.sizer = sizer;
     }
 
-    /** True once a value larger than the coming limits, though within the present ones, was called invalid. */
-    boolean wasSizeRejected() {
-        return sizeRejected;
+    /**
+     * Returns true once a transaction was invalid whose largest value exceeds the reduced size limit. Such a value is
+     * within the initial limit, which is therefore no longer in force.
+     */
+    boolean isReducedValueLimitDetected() {
+        return reducedValueLimitDetected;
     }
 
     /**
-     * The store called the transaction invalid. It is not sent again as it is: its writer makes another one. One that
-     * attaches a key to a lease proves nothing about sizes, as the lease may have expired in the meantime.
+     * Records that the store rejected the transaction as invalid. It is not sent again; its writer builds another one.
+     * A transaction that attaches a key to a lease shows nothing about sizes, as the lease may have expired.
      */
     void record(Transaction transaction) {
         counters.increment(Counter.INVALID_TRANSACTIONS);
@@ -42,7 +48,7 @@
                 largestBytes = bytes;
             }
         }
-        sizeRejected |= largestBytes > context.settings().maxValueBytes();
+        reducedValueLimitDetected |= largestBytes > context.settings().maxValueBytes();
         context.info("the store rejected a transaction of "
                 + transaction.writes().size() + " writes as invalid; its largest value, of " + largestKey + ", has "
                 + largestBytes + " bytes");
