--- a/src/main/java/dewlane/core/worker/AttemptOutcomes.java
+++ b/src/main/java/dewlane/core/worker/AttemptOutcomes.java
@@ -6,14 +6,14 @@
 import dewlane.core.model.Heartbeat.Phase;
 import dewlane.core.model.Heartbeat.TaskStatus;
 
-/** What a heartbeat proves about the end of an attempt. */
+/** Derives from a heartbeat what it proves about the end of an attempt. */
 final class AttemptOutcomes {
     private AttemptOutcomes() {}
 
     /**
-     * The outcome of an attempt that the heartbeat does not list, or null if it may yet run. It is proven gone only if
-     * the heartbeat is from a later incarnation of the worker than the launch, or if the worker had by then seen a
-     * fencing token above the launch's, so that a late copy of the launch is refused.
+     * Returns the outcome of an attempt that the heartbeat does not list, or null if the attempt may still run. It is
+     * proven to have ended only if the heartbeat is from a later incarnation of the worker than the launch, or if the
+     * worker had seen a fencing token above the launch's by then, so that it refuses delayed copies of the launch.
      */
     static Outcome ifMissing(Attempt attempt, Heartbeat heartbeat) {
         boolean laterIncarnation = heartbeat.incarnation() > attempt.incarnation();
@@ -22,7 +22,7 @@
         return laterIncarnation || launchFenced ? Outcome.GONE : null;
     }
 
-    /** The outcome of an attempt that the heartbeat lists, or null if it has not exited. */
+    /** Returns the outcome of an attempt that the heartbeat lists, or null if it has not exited. */
     static Outcome ofStatus(TaskStatus status) {
         if (status.phase() != Phase.EXITED) {
             return null;
--- a/src/main/java/dewlane/core/worker/AttemptReconciler.java
+++ b/src/main/java/dewlane/core/worker/AttemptReconciler.java
@@ -11,12 +11,12 @@
 import java.util.List;
 
 /**
- * Reconciles the attempts that a worker reports with the replica: finds those that the store does not hold against the
- * machine, which the worker is to stop while they run and to forget once they have exited.
+ * Reconciles the attempts that a worker reports with the replica: finds those that the store does not assign to the
+ * machine. The worker is to stop them while they run and to forget them once they have exited.
  */
 final class AttemptReconciler {
-    /** How long an attempt that the replica does not explain is left alone, as the replica may lag behind the store. */
-    private static final long REPLICA_LAG_GRACE_MS = 5000;
+    /** How long an attempt that the replica does not show is tolerated, as the replica may lag behind the store. */
+    private static final long REPLICA_LAG_GRACE_PERIOD_MS = 5000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -27,14 +27,14 @@
     }
 
     /**
-     * Reported attempts that the store does not hold against the machine.
+     * Reported attempts that the store does not assign to the machine.
      *
      * @param exited those that the worker is to forget
      * @param running those that the worker is to stop
      */
     record UnassignedAttempts(List<AttemptId> exited, List<AttemptId> running) {}
 
-    /** Finds the reported attempts that the store is known not to hold against the machine. */
+    /** Finds the reported attempts that the store is known not to assign to the machine. */
     UnassignedAttempts unassigned(Machine machine) {
         UnassignedAttempts found = new UnassignedAttempts(new ArrayList<>(), new ArrayList<>());
         machine.worker().tasks().forEach((id, status) -> {
@@ -46,8 +46,9 @@
     }
 
     /**
-     * True if the replica shows that the attempt was launched and is over, or has failed to explain it for longer than
-     * it may lag. What a value that cannot be read holds is not known.
+     * Returns true if the replica shows that the attempt was launched and has ended, or if the replica has not shown it
+     * for longer than it may lag behind. Returns false if a stored value of the job cannot be read, as its attempts are
+     * then unknown.
      */
     private boolean isKnownUnassigned(Machine machine, AttemptId id) {
         if (replica.isUnreadable(id.job())) {
@@ -57,6 +58,7 @@
         SliceEntry slice = job == null ? null : job.sliceOf(id.task());
         boolean shownByReplica =
                 slice != null ? slice.value().launchCount() >= id.number() : replica.result(id.job()) != null;
-        return shownByReplica || machine.commands().absentFromReplicaForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_MS;
+        return shownByReplica
+                || machine.commands().absentFromReplicaForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_PERIOD_MS;
     }
 }
--- a/src/main/java/dewlane/core/worker/CancelledTaskAge.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskAge.java
@@ -4,7 +4,9 @@
 import dewlane.core.job.CancellationTracker;
 import dewlane.core.message.ControllerContext;
 
-/** How much of the time until {@code cancel_s} has passed for cancelled tasks that may still be on a machine. */
+/**
+ * Determines how much of the time until {@code cancel_s} has passed for cancelled tasks that may still be on a machine.
+ */
 final class CancelledTaskAge {
     private final ControllerContext context;
     private final CancellationTracker cancellations;
@@ -14,8 +16,11 @@
         this.cancellations = cancellations;
     }
 
-    /** True if a task that may be on the machine was cancelled more than the given fraction of {@code cancel_s} ago. */
-    boolean exceedsOn(Machine machine, double deadlineFraction) {
+    /**
+     * Returns true if a task that may be on the machine was cancelled more than the given fraction of {@code cancel_s}
+     * ago.
+     */
+    boolean isFractionExceededOn(Machine machine, double deadlineFraction) {
         double limitMs = context.settings().cancellationDeadlineS() * 1000 * deadlineFraction;
         return machine.attempts().stream()
                 .anyMatch(assigned -> !assigned.hasEnded() && cancellations.cancelledForMs(assigned.job()) > limitMs);
--- a/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
@@ -10,21 +10,27 @@
 import java.util.List;
 
 /**
- * Has the cloud delete, without a decommission record, machines that keep a cancelled task for too long.
+ * Has the cloud delete, without a decommission record, machines on which a cancelled task may run for too long.
  *
- * <p>A machine that hangs, or does not hear, keeps a cancelled task past its deadline, also while the store is out for
- * all or refuses the leader. Its deletion needs no record: the machine then is as silent as before, the record and the
- * proof that its tasks are gone follow once they can be written, and the cloud ignores the name of a machine that is
- * deleted already.
+ * <p>A machine that hangs or is unreachable keeps running a cancelled task past its deadline, also while the store is
+ * unavailable to all controllers or refuses the leader's requests. Deleting it needs no record: the machine is then as
+ * unresponsive as before, the record and the proof that its tasks have ended follow once they can be written, and the
+ * cloud ignores names of machines that are already deleted.
  */
 final class CancelledTaskEviction {
-    /** Fraction of {@code cancel_s} after which a machine is deleted; a record should have been acted on by then. */
+    /**
+     * Fraction of {@code cancel_s} after which a machine is deleted; a decommission record should have taken effect by
+     * then.
+     */
     private static final double DEADLINE_FRACTION = 0.45;
 
-    /** The same while no record can be written: this controller, which knows of the cancellation, may fail first. */
+    /**
+     * The same while no record can be written: this controller, which knows of the cancellation, may fail before the
+     * deadline.
+     */
     private static final double DEADLINE_FRACTION_WITHOUT_STORE = 0.2;
 
-    private static final long RETRY_MS = 5000;
+    private static final long RETRY_INTERVAL_MS = 5000;
 
     private final ControllerContext context;
     private final MachineRegistry machines;
@@ -43,9 +49,9 @@
         this.cancelledTasks = cancelledTasks;
     }
 
-    /** Considers all machines of this partition, once a second. */
+    /** Checks all machines of this partition; called once a second. */
     void tick() {
-        if (context.nowMs() - requestedAtMs < RETRY_MS) {
+        if (context.nowMs() - requestedAtMs < RETRY_INTERVAL_MS) {
             return;
         }
         List<String> overdue = overdueMachines();
@@ -57,14 +63,16 @@
     }
 
     private List<String> overdueMachines() {
-        // There is less time left than for other silent machines: one that missed its heartbeats counts as silent.
+        // There is less time left than for other unresponsive machines, so a machine already counts as unresponsive
+        // when
+        // it has missed its heartbeats.
         long timeoutMs = context.settings().heartbeatTimeoutMs();
         double fraction = membership.isStoreReachable() ? DEADLINE_FRACTION : DEADLINE_FRACTION_WITHOUT_STORE;
         List<String> overdue = new ArrayList<>();
         for (Machine machine : machines.owned()) {
             if (overdue.size() < DecommissionBatches.MAX_MACHINES
                     && machine.reachability().timeSinceLastContactMs(context.nowMs()) > timeoutMs
-                    && cancelledTasks.exceedsOn(machine, fraction)) {
+                    && cancelledTasks.isFractionExceededOn(machine, fraction)) {
                 overdue.add(machine.name());
             }
         }
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -18,8 +18,8 @@
 import java.util.Set;
 
 /**
- * Sends commands to the workers of this partition, in the responses to heartbeats and directly, and probes machines
- * that are suspected not to hear this controller. Each machine's command channel is kept informed of what is in flight.
+ * Sends commands to the workers of this partition, directly and in the responses to heartbeats, and probes machines
+ * that are suspected unreachable. Each machine's command channel is notified of what is in flight.
  */
 public final class CommandDispatcher {
     /** How often a suspected machine is probed. */
@@ -32,7 +32,7 @@
     private final CommandPlanner planner;
     private final CommandLog commandLog;
 
-    /** Sends what the planner plans. */
+    /** Creates a dispatcher that sends the commands of the planner. */
     public CommandDispatcher(
             ControllerContext context,
             StoreReplica replica,
@@ -48,12 +48,14 @@
         this.commandLog = new CommandLog(context, replica);
     }
 
-    /** Responds to the machine's latest heartbeat, which shows that the response before has arrived or is dropped. */
+    /**
+     * Responds to the machine's latest heartbeat, which shows that the previous response was received or is dropped.
+     */
     void respond(Machine machine, long requestId) {
         machine.commandChannel().onResponseResolved();
         List<WorkerCommand> commands = planner.planResponse(machine);
         machine.commandChannel().onResponseSent(launches(commands));
-        commandLog.sentInResponse(machine, commands);
+        commandLog.onSentInResponse(machine, commands);
         context.emit(new Effect.AnswerHeartbeat(requestId, machine.fencingToken(), commands));
     }
 
@@ -67,7 +69,10 @@
         return launches;
     }
 
-    /** Sends what is new directly; the responses to heartbeats repeat it. One command at a time goes to a machine. */
+    /**
+     * Sends new commands directly; the responses to heartbeats repeat them. At most one direct command is in flight to
+     * a machine.
+     */
     public void sendDirectCommands() {
         if (!membership.isMember() || machines.changed().isEmpty()) {
             return;
@@ -89,7 +94,7 @@
 
     private void sendIfNeeded(Machine machine) {
         List<WorkerCommand> commands = planner.planDirectCommand(machine);
-        // Forgetting can wait for the next response.
+        // A command to forget an attempt can wait for the next response.
         boolean urgent = commands.stream().anyMatch(command -> command.action() != Action.FORGET);
         boolean probe = isProbeDue(machine);
         if (probe) {
@@ -101,12 +106,15 @@
         }
     }
 
-    /** A machine that was never heard is probed only to show it the present owner's token, if it may hold tasks. */
+    /**
+     * Returns true if the machine is to be probed. A machine from which no heartbeat was received yet is probed only if
+     * tasks may be on it, and only to send it the current owner's token.
+     */
     private boolean isProbeDue(Machine machine) {
-        boolean tokenUnseen =
+        boolean tokenNotSent =
                 !machine.reachability().isTokenSent() && !machine.attempts().isEmpty();
         return machine.reachability().isProbeDue(context.nowMs(), PROBE_INTERVAL_MS)
-                && (tokenUnseen || machine.worker().sequence() > 0);
+                && (tokenNotSent || machine.worker().sequence() > 0);
     }
 
     private void send(Machine machine, List<WorkerCommand> commands) {
@@ -116,23 +124,26 @@
             machine.commands().onCommandSent(command.attemptId(), context.nowMs());
         }
         machine.commandChannel().onCommandSent(launches(commands), context.nowMs());
-        commandLog.sentDirectly(machine, commands);
+        commandLog.onSentDirectly(machine, commands);
         context.emit(new Effect.SendCommands(
                 machine.name(), machine.address(), machine.worker().incarnation(), machine.fencingToken(), commands));
     }
 
-    /** A direct command to the machine was answered, was abandoned, or was never sent. */
+    /** Called when a direct command to the machine was answered, timed out, or was never sent. */
     void onCompleted(Machine machine, Input.CommandCompleted completed) {
-        commandLog.commandCompleted(machine, completed);
-        boolean abandoned = completed.heartbeat() == null && completed.mayHaveBeenSent();
-        if (!abandoned) {
+        commandLog.onCommandCompleted(machine, completed);
+        boolean timedOut = completed.heartbeat() == null && completed.mayHaveBeenSent();
+        if (!timedOut) {
             machine.commandChannel().onCommandResolved();
         } else if (machine.commandChannel().onCommandTimedOut()) {
             counters.increment(Counter.LAUNCHES_ABANDONED);
         }
     }
 
-    /** Considers machines again that are suspected or have yet to show a command carried out: it may be lost. */
+    /**
+     * Marks machines to be planned again that are suspected, have attempts to be preempted, or do not report an
+     * assigned attempt yet: the command about it may be lost.
+     */
     public void tick() {
         for (Machine machine : machines.owned()) {
             if (machine.reachability().isSuspected()
--- a/src/main/java/dewlane/core/worker/CommandLog.java
+++ b/src/main/java/dewlane/core/worker/CommandLog.java
@@ -10,8 +10,8 @@
 import java.util.StringJoiner;
 
 /**
- * Logs, at debug level, each command to a worker: the way it was sent, its fencing token and incarnation, and the
- * revision that the replica had reached when it was planned. Lines are composed only if the log wants them.
+ * Logs each command to a worker at debug level: how it was sent, its fencing token and incarnation, and the revision of
+ * the replica from which it was planned. Lines are composed only if command logging is enabled.
  */
 final class CommandLog {
     private final ControllerContext context;
@@ -22,17 +22,17 @@
         this.replica = replica;
     }
 
-    /** Commands are sent in the response to the machine's latest heartbeat. */
-    void sentInResponse(Machine machine, List<WorkerCommand> commands) {
-        sent(machine, "in the response to heartbeat " + machine.worker().sequence(), commands);
+    /** Called when commands are sent in the response to the machine's latest heartbeat. */
+    void onSentInResponse(Machine machine, List<WorkerCommand> commands) {
+        logSent(machine, "in the response to heartbeat " + machine.worker().sequence(), commands);
     }
 
-    /** Commands are sent straight to the worker. */
-    void sentDirectly(Machine machine, List<WorkerCommand> commands) {
-        sent(machine, "by direct command", commands);
+    /** Called when commands are sent directly to the worker. */
+    void onSentDirectly(Machine machine, List<WorkerCommand> commands) {
+        logSent(machine, "by direct command", commands);
     }
 
-    private void sent(Machine machine, String way, List<WorkerCommand> commands) {
+    private void logSent(Machine machine, String delivery, List<WorkerCommand> commands) {
         if (!context.isCommandLoggingEnabled() || commands.isEmpty()) {
             return;
         }
@@ -40,12 +40,12 @@
         for (WorkerCommand command : commands) {
             text.add(command.action() + " " + command.attemptId());
         }
-        context.debug("commands to " + machine.name() + " " + way + ", " + tokenAndIncarnation(machine)
+        context.debug("commands to " + machine.name() + " " + delivery + ", " + tokenAndIncarnation(machine)
                 + ", replica at revision " + replica.revision() + ": " + text);
     }
 
-    /** A direct command was answered, abandoned, or never sent. */
-    void commandCompleted(Machine machine, Input.CommandCompleted completed) {
+    /** Called when a direct command was answered, timed out, or was never sent. */
+    void onCommandCompleted(Machine machine, Input.CommandCompleted completed) {
         if (!context.isCommandLoggingEnabled()) {
             return;
         }
@@ -58,19 +58,19 @@
         if (completed.heartbeat() != null) {
             return "answered by heartbeat " + completed.heartbeat().sequence();
         }
-        return completed.mayHaveBeenSent() ? "abandoned" : "not sent";
+        return completed.mayHaveBeenSent() ? "timed out" : "not sent";
     }
 
-    /** An attempt has ended, and the command to forget it has to wait. */
-    void forgetDeferred(Machine machine, AttemptId id) {
+    /** Called when an attempt has ended, but the command to forget it is deferred. */
+    void onForgetDeferred(Machine machine, AttemptId id) {
         if (context.isCommandLoggingEnabled()) {
             context.debug("forget of " + id + " on " + machine.name() + " deferred, " + tokenAndIncarnation(machine)
                     + ": a launch of it is in flight");
         }
     }
 
-    /** All launches in flight to the machine are fenced off. */
-    void fenceRaised(Machine machine, String reason) {
+    /** Called when the fence is raised, so that the worker refuses all launches in flight. */
+    void onFenceRaised(Machine machine, String reason) {
         if (context.isCommandLoggingEnabled()) {
             context.debug("fence of " + machine.name() + " raised, " + tokenAndIncarnation(machine) + ": " + reason);
         }
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -18,15 +18,15 @@
 import java.util.List;
 
 /**
- * Plans the commands to a machine. All of them follow from the replica and the machine's latest heartbeat, so a command
- * that is lost is planned again, and one that arrives twice changes nothing.
+ * Plans the commands to a machine. All of them are derived from the replica and the machine's latest heartbeat, so a
+ * lost command is planned again, and a duplicated one has no effect.
  */
 public final class CommandPlanner {
-    /** As no response or command may be longer than 64 KiB. */
+    /** Limits the size of a response or direct command, which must not be longer than 64 KiB. */
     private static final int MAX_COMMANDS = 400;
 
-    private static final long RESEND_MS = 2000;
-    private static final double NO_GRACE_S = 0;
+    private static final long RESEND_INTERVAL_MS = 2000;
+    private static final double NO_GRACE_PERIOD_S = 0;
 
     private final ControllerContext context;
     private final JobProgressTable progress;
@@ -35,7 +35,7 @@
     private final AttemptReconciler reconciler;
     private final LaunchFence launchFence;
 
-    /** Plans from the replica, for as long as the controller's authority allows it. */
+    /** Creates a planner that plans from the replica, as far as the controller's authority allows. */
     public CommandPlanner(
             ControllerContext context,
             StoreReplica replica,
@@ -51,12 +51,18 @@
         this.launchFence = new LaunchFence(cancellations, counters, new CommandLog(context, replica));
     }
 
-    /** All commands that apply now, for a response: it repeats them until a heartbeat shows them carried out. */
+    /**
+     * Returns all commands that apply now, for a response. Responses repeat commands until a heartbeat shows that they
+     * were executed.
+     */
     List<WorkerCommand> planResponse(Machine machine) {
         return plan(machine, true);
     }
 
-    /** The commands that apply now, without launches and stops that were sent a moment ago, for a direct command. */
+    /**
+     * Returns the commands that apply now, for a direct command. It omits launches and stops that were sent directly
+     * within the resend interval.
+     */
     List<WorkerCommand> planDirectCommand(Machine machine) {
         return plan(machine, false);
     }
@@ -69,13 +75,13 @@
         addForAssigned(machine, repeat, commands);
         for (AttemptId id : unassigned.running()) {
             if (repeat || isDue(machine, id)) {
-                commands.add(command(Action.STOP, id, NO_GRACE_S));
+                commands.add(command(Action.STOP, id, NO_GRACE_PERIOD_S));
             }
         }
         for (AttemptId id : unassigned.exited()) {
-            commands.add(command(Action.FORGET, id, NO_GRACE_S));
+            commands.add(command(Action.FORGET, id, NO_GRACE_PERIOD_S));
         }
-        // The rest follows with the next response.
+        // The remaining commands follow with the next response.
         return commands.size() > MAX_COMMANDS ? commands.subList(0, MAX_COMMANDS) : commands;
     }
 
@@ -90,22 +96,22 @@
     }
 
     private boolean isDue(Machine machine, AttemptId id) {
-        return !machine.commands().wasCommandedWithin(id, context.nowMs(), RESEND_MS);
+        return !machine.commands().wasCommandedWithin(id, context.nowMs(), RESEND_INTERVAL_MS);
     }
 
-    /** The command about an attempt that the store holds against the machine, or null if there is none. */
+    /** Returns the command about an attempt that the store assigns to the machine, or null if there is none. */
     private WorkerCommand commandFor(Machine machine, AssignedAttempt assigned, boolean maySendLaunches) {
         TaskStatus status = machine.worker().task(assigned.id());
         if (status == null) {
             return maySendLaunches && mayLaunch(machine, assigned)
-                    ? command(Action.LAUNCH, assigned.id(), NO_GRACE_S)
+                    ? command(Action.LAUNCH, assigned.id(), NO_GRACE_PERIOD_S)
                     : null;
         }
         if (status.phase() == Phase.EXITED) {
             return null;
         }
         if (cancellations.mustNotRun(assigned.job())) {
-            return command(Action.STOP, assigned.id(), NO_GRACE_S);
+            return command(Action.STOP, assigned.id(), NO_GRACE_PERIOD_S);
         }
         if (!machine.commands().isPreempted(assigned.id()) || status.phase() == Phase.SAVING) {
             return null;
@@ -114,9 +120,9 @@
     }
 
     /**
-     * True if a launch of the attempt may be sent. Only the fencing token that was written with the launch may ever
-     * command it, or the proof that an attempt is gone would not hold. Nor may a launch that was written long ago be
-     * sent on a view that may lack its job's cancellation.
+     * Returns true if a launch of the attempt may be sent. A launch may be sent only with the fencing token that was
+     * stored with it; otherwise a heartbeat with a higher token would not prove that the attempt cannot start any more.
+     * Nor may a launch that was stored long ago be sent from a replica that may lack the cancellation of its job.
      */
     private boolean mayLaunch(Machine machine, AssignedAttempt assigned) {
         return !cancellations.mustNotRun(assigned.job())
--- a/src/main/java/dewlane/core/worker/ContactTimerReset.java
+++ b/src/main/java/dewlane/core/worker/ContactTimerReset.java
@@ -4,17 +4,20 @@
 import dewlane.core.membership.Membership;
 import dewlane.core.message.ControllerContext;
 
-/** Keeps time in which this controller could not hear its machines from counting as their silence. */
+/**
+ * Restarts the machines' time since the last contact after a period in which this controller could not receive
+ * heartbeats.
+ */
 final class ContactTimerReset {
     /** Ticks come every second; only a process that was paused has a longer gap between two of them. */
-    private static final long PROCESS_PAUSE_MS = 3000;
+    private static final long MIN_PROCESS_PAUSE_MS = 3000;
 
     private static final long NEVER = 0;
 
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final Membership membership;
-    private long tickedAtMs = NEVER;
+    private long lastTickAtMs = NEVER;
     private long incarnation;
 
     ContactTimerReset(ControllerContext context, MachineRegistry machines, Membership membership) {
@@ -23,25 +26,30 @@
         this.membership = membership;
     }
 
-    /** Silence during a pause of this process does not count: heartbeats of that time may still be on their way in. */
+    /**
+     * Ignores the time of a pause of this process: heartbeats sent during the pause may not have been processed yet.
+     */
     void resetAfterProcessPause() {
-        long gapMs = context.nowMs() - tickedAtMs;
-        if (tickedAtMs != NEVER && gapMs > PROCESS_PAUSE_MS) {
+        long gapMs = context.nowMs() - lastTickAtMs;
+        if (lastTickAtMs != NEVER && gapMs > MIN_PROCESS_PAUSE_MS) {
             context.info("process paused for " + gapMs + " ms");
-            reset();
+            restartContactTimers();
         }
-        tickedAtMs = context.nowMs();
+        lastTickAtMs = context.nowMs();
     }
 
-    /** Nor does silence from before this controller joined again: others may have heard the machines meanwhile. */
+    /**
+     * Ignores the time before this controller joined again: other controllers may have received the heartbeats
+     * meanwhile.
+     */
     void resetAfterRejoin() {
         if (membership.incarnation() != incarnation) {
             incarnation = membership.incarnation();
-            reset();
+            restartContactTimers();
         }
     }
 
-    private void reset() {
+    private void restartContactTimers() {
         machines.all().forEach(machine -> machine.reachability().restartContactTimer(context.nowMs()));
     }
 }
--- a/src/main/java/dewlane/core/worker/DecommissionPolicy.java
+++ b/src/main/java/dewlane/core/worker/DecommissionPolicy.java
@@ -5,23 +5,24 @@
 import dewlane.core.message.ControllerContext;
 import java.util.Optional;
 
-/** Decides which machines of this partition are to be decommissioned, as they are silent or faulty. */
+/** Decides which machines of this partition are to be decommissioned because they are unresponsive or faulty. */
 final class DecommissionPolicy {
-    /** Fraction of {@code cancel_s} after which a silent machine with a cancelled task is decommissioned. */
+    /** Fraction of {@code cancel_s} after which an unresponsive machine with a cancelled task is decommissioned. */
     private static final double CANCELLED_TASK_DEADLINE_FRACTION = 0.3;
 
-    /** How many times as long silence must last while most machines are silent. */
-    private static final int MASS_SILENCE_TIMEOUT_FACTOR = 3;
+    /** Factor by which the timeout is longer while most machines are unresponsive. */
+    private static final int UNRESPONSIVE_MAJORITY_TIMEOUT_FACTOR = 3;
 
+    // The reasons, as they are stored in decommission records.
     private static final String FAULTY = "faulty";
-    private static final String SILENT = "silent";
-    private static final String OUT_OF_REACH = "out of reach";
-    private static final String SILENT_WITH_CANCELLED_TASK = "silent with a cancelled task";
+    private static final String UNRESPONSIVE = "silent";
+    private static final String UNREACHABLE = "out of reach";
+    private static final String UNRESPONSIVE_WITH_CANCELLED_TASK = "silent with a cancelled task";
 
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final CancelledTaskAge cancelledTasks;
-    private long massSilenceAtMs = ControllerContext.NEVER_MS;
+    private long unresponsiveMajorityAtMs = ControllerContext.NEVER_MS;
 
     DecommissionPolicy(ControllerContext context, MachineRegistry machines, CancelledTaskAge cancelledTasks) {
         this.context = context;
@@ -29,75 +30,81 @@
         this.cancelledTasks = cancelledTasks;
     }
 
-    /** Notes whether most machines are silent now; called once a second, before machines are judged. */
-    void observeMassSilence() {
-        if (mostMachinesAreSilent()) {
-            massSilenceAtMs = context.nowMs();
+    /** Records whether most machines are unresponsive now; called once a second, before machines are assessed. */
+    void observeUnresponsiveMajority() {
+        if (areMostMachinesUnresponsive()) {
+            unresponsiveMajorityAtMs = context.nowMs();
         }
     }
 
-    /** Those suspected or just fallen silent count too: machines do not all fall silent at the same moment. */
-    private boolean mostMachinesAreSilent() {
+    /**
+     * Returns true if most machines are unresponsive. Machines that are suspected, or that have just missed their
+     * heartbeats, count as unresponsive too, because machines do not all become unresponsive at the same moment.
+     */
+    private boolean areMostMachinesUnresponsive() {
         long timeoutMs = Math.min(timeoutMs(), context.settings().heartbeatTimeoutMs());
         int reachable = 0;
-        int silent = 0;
+        int unresponsive = 0;
         for (Machine machine : machines.owned()) {
             if (!isExpectedToBeReachable(machine)) {
                 continue;
             }
-            if (machine.reachability().isSuspected() || silentForMs(machine) > timeoutMs) {
-                silent++;
+            if (machine.reachability().isSuspected() || timeSinceLastContactMs(machine) > timeoutMs) {
+                unresponsive++;
             } else {
                 reachable++;
             }
         }
-        return silent > reachable;
+        return unresponsive > reachable;
     }
 
     private long timeoutMs() {
         return (long) (context.settings().tuning().machineTimeoutS() * 1000);
     }
 
-    private long silentForMs(Machine machine) {
+    private long timeSinceLastContactMs(Machine machine) {
         return machine.reachability().timeSinceLastContactMs(context.nowMs());
     }
 
     /**
-     * Not a machine that is scaled in, nor one of which there is only a heartbeat, which may be a late copy from a
-     * machine that is long gone.
+     * Returns true for a machine with attempts. Without attempts, returns false for a machine that is being scaled in,
+     * and for one that was never confirmed reachable: its only heartbeat may be a delayed copy from a machine that was
+     * terminated long ago.
      */
     private static boolean isExpectedToBeReachable(Machine machine) {
         return (machine.reachability().wasConfirmed() && !machine.lifecycle().isScaleInExpected())
                 || !machine.attempts().isEmpty();
     }
 
-    /** Why the machine is to be decommissioned, as the record states it; empty if it is not. */
+    /** Returns why the machine is to be decommissioned, as stated in the record; empty if it is not to be. */
     Optional<String> reasonToDecommission(Machine machine) {
         if (!machine.failedJobs().isEmpty() && machines.isFaulty(machine)) {
             return Optional.of(FAULTY);
         }
-        long silentForMs = silentForMs(machine);
-        if (silentForMs <= timeoutMs()) {
+        long timeSinceLastContactMs = timeSinceLastContactMs(machine);
+        if (timeSinceLastContactMs <= timeoutMs()) {
             return Optional.empty();
         }
-        if (isExpectedToBeReachable(machine) && isConvincing(silentForMs)) {
+        if (isExpectedToBeReachable(machine) && isUnresponsiveLongEnough(timeSinceLastContactMs)) {
             boolean suspected =
                     machine.worker().sequence() > 0 && machine.reachability().isSuspected();
-            return Optional.of(suspected ? OUT_OF_REACH : SILENT);
+            return Optional.of(suspected ? UNREACHABLE : UNRESPONSIVE);
         }
-        // A hanging machine keeps a cancelled task; only its deletion ends that in time.
-        return cancelledTasks.exceedsOn(machine, CANCELLED_TASK_DEADLINE_FRACTION)
-                ? Optional.of(SILENT_WITH_CANCELLED_TASK)
+        // A machine that hangs keeps running a cancelled task; only deleting the machine ends the task in time.
+        return cancelledTasks.isFractionExceededOn(machine, CANCELLED_TASK_DEADLINE_FRACTION)
+                ? Optional.of(UNRESPONSIVE_WITH_CANCELLED_TASK)
                 : Optional.empty();
     }
 
     /**
-     * Where most machines are silent, or just were, it is more likely that this controller does not hear them or is not
-     * heard than that all of them failed.
+     * Returns true if the machine has been unresponsive for long enough. If most machines are unresponsive, or were
+     * until just now, it is more likely that this controller cannot receive from or send to them than that all of them
+     * failed; the timeout is then longer.
      */
-    private boolean isConvincing(long silentForMs) {
-        boolean massSilence =
-                context.nowMs() - massSilenceAtMs <= context.settings().heartbeatTimeoutMs();
-        return !massSilence || silentForMs > MASS_SILENCE_TIMEOUT_FACTOR * timeoutMs();
+    private boolean isUnresponsiveLongEnough(long timeSinceLastContactMs) {
+        boolean recentUnresponsiveMajority =
+                context.nowMs() - unresponsiveMajorityAtMs <= context.settings().heartbeatTimeoutMs();
+        return !recentUnresponsiveMajority
+                || timeSinceLastContactMs > UNRESPONSIVE_MAJORITY_TIMEOUT_FACTOR * timeoutMs();
     }
 }
--- a/src/main/java/dewlane/core/worker/FailureAttribution.java
+++ b/src/main/java/dewlane/core/worker/FailureAttribution.java
@@ -8,11 +8,11 @@
 import dewlane.core.message.ControllerContext;
 
 /**
- * Tells faulty machines from faulty jobs: counts each failed task against its job and its machine. A machine is at
- * fault once tasks of two jobs have failed on it since a task last completed there.
+ * Distinguishes faulty machines from faulty jobs by counting each failed task against its job and its machine. A
+ * machine is faulty once tasks of two jobs have failed on it since a task last completed there.
  */
 final class FailureAttribution {
-    /** A task that its worker refused is not launched again for this long. */
+    /** How long the job of a task that its worker refused is not launched again. */
     private static final long REFUSED_RETRY_MS = 1000;
 
     private final ControllerContext context;
@@ -23,19 +23,19 @@
         this.progress = progress;
     }
 
-    /** An attempt on the machine has ended; called once for each. */
-    void attemptEnded(Machine machine, AssignedAttempt assigned, Outcome outcome) {
+    /** Called when an attempt on the machine has ended, once for each attempt. */
+    void onAttemptEnded(Machine machine, AssignedAttempt assigned, Outcome outcome) {
         context.debug(assigned.id() + " on " + machine.name() + ": " + outcome);
         if (outcome == Outcome.DONE) {
             machine.clearFailedJobs();
         } else if (outcome == Outcome.ERROR) {
-            failed(machine, assigned);
+            recordFailure(machine, assigned);
         } else if (outcome == Outcome.REFUSED) {
             progress.getOrCreate(assigned.job().id()).setRetryAtMs(context.nowMs() + REFUSED_RETRY_MS);
         }
     }
 
-    private void failed(Machine machine, AssignedAttempt assigned) {
+    private void recordFailure(Machine machine, AssignedAttempt assigned) {
         machine.addFailedJob(assigned.job().id());
         JobProgress job = progress.getOrCreate(assigned.job().id());
         job.recordFailure(machine.name(), context.nowMs());
--- a/src/main/java/dewlane/core/worker/FailureDetector.java
+++ b/src/main/java/dewlane/core/worker/FailureDetector.java
@@ -18,22 +18,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Writes decommission records for machines of this partition that have fallen silent or are faulty. */
+/** Writes decommission records for machines of this partition that are unresponsive or faulty. */
 public final class FailureDetector {
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
     private final Membership membership;
     private final TransactionQueue transactions;
-    private final ContactTimerReset silenceBaseline;
+    private final ContactTimerReset contactTimerReset;
     private final DecommissionPolicy policy;
     private final CancelledTaskEviction eviction;
     /** Machines in records that are being written. */
-    private final Set<String> inFlight = new HashSet<>();
+    private final Set<String> machinesInFlight = new HashSet<>();
 
     private long recordsWritten;
 
-    /** Detects failures among the registry's machines of this partition. */
+    /** Creates a detector for the registry's machines in this partition. */
     public FailureDetector(
             ControllerContext context,
             StoreReplica replica,
@@ -47,14 +47,14 @@
         this.membership = membership;
         this.transactions = transactions;
         CancelledTaskAge cancelledTasks = new CancelledTaskAge(context, cancellations);
-        this.silenceBaseline = new ContactTimerReset(context, machines, membership);
+        this.contactTimerReset = new ContactTimerReset(context, machines, membership);
         this.policy = new DecommissionPolicy(context, machines, cancelledTasks);
         this.eviction = new CancelledTaskEviction(context, machines, membership, cancelledTasks);
     }
 
-    /** Considers all machines of this partition, once a second. */
+    /** Checks all machines of this partition; called once a second. */
     public void tick() {
-        silenceBaseline.resetAfterProcessPause();
+        contactTimerReset.resetAfterProcessPause();
         if (!membership.isMember()) {
             return;
         }
@@ -62,16 +62,16 @@
         if (!membership.isStoreReachable()) {
             return;
         }
-        silenceBaseline.resetAfterRejoin();
-        policy.observeMassSilence();
-        decommission(reasonsByMachine());
+        contactTimerReset.resetAfterRejoin();
+        policy.observeUnresponsiveMajority();
+        decommission(decommissionReasons());
     }
 
-    private Map<String, String> reasonsByMachine() {
+    private Map<String, String> decommissionReasons() {
         Map<String, String> reasons = new LinkedHashMap<>();
         for (Machine machine : machines.owned()) {
             boolean recorded = replica.isDecommissioned(machine.name());
-            if (!recorded && !inFlight.contains(machine.name())) {
+            if (!recorded && !machinesInFlight.contains(machine.name())) {
                 policy.reasonToDecommission(machine).ifPresent(reason -> reasons.put(machine.name(), reason));
             }
         }
@@ -88,13 +88,14 @@
         }
     }
 
-    /** One record names many machines, since many may fail at once. */
+    /** Writes one record for a batch of machines, since many machines may fail at the same time. */
     private void writeRecord(List<String> names, String reason) {
-        inFlight.addAll(names);
+        machinesInFlight.addAll(names);
         String key = StoreKeys.decommissionBatch(
                 context.settings().controllerName(), membership.incarnation(), ++recordsWritten);
         Transaction transaction = DecommissionBatches.transaction(
                 key, replica.partitionMapRevision(), DecommissionState.DELETE, reason, names);
-        transactions.submit(TransactionPriority.OUTCOME, transaction, (status, revision) -> inFlight.removeAll(names));
+        transactions.submit(
+                TransactionPriority.OUTCOME, transaction, (status, revision) -> machinesInFlight.removeAll(names));
     }
 }
--- a/src/main/java/dewlane/core/worker/HeartbeatAdmission.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatAdmission.java
@@ -15,17 +15,17 @@
 /**
  * Decides which heartbeats this controller may accept.
  *
- * <p>A controller whose view is stale may miss a cancellation. It lets its workers' leases expire while there is still
- * time for that: see {@link Authority} and {@link CancellationTracker}.
+ * <p>A controller with a stale replica may miss a cancellation. It stops renewing its workers' leases early enough for
+ * the leases to expire before the cancellation deadline: see {@link Authority} and {@link CancellationTracker}.
  */
 public final class HeartbeatAdmission {
-    /** What becomes of a heartbeat. */
+    /** How a heartbeat is handled. */
     enum Verdict {
-        /** It is from a machine of this partition and newer than the latest one. */
+        /** The heartbeat is from a machine in this controller's partition and newer than the latest one. */
         ACCEPT,
         /** The worker is to try the next controller. */
         REJECT,
-        /** The worker is to go to its machine's owner. */
+        /** The worker is to send its heartbeats to its machine's owner. */
         REDIRECT
     }
 
@@ -34,7 +34,7 @@
     private final ControllerCounters counters;
     private final MisroutedHeartbeatPolicy misrouted;
 
-    /** Admission by this controller's authority and the owners of the machines. */
+    /** Creates an admission that decides by this controller's authority and the owners of the machines. */
     public HeartbeatAdmission(
             ControllerContext context,
             MachineRegistry machines,
@@ -48,28 +48,28 @@
         this.misrouted = new MisroutedHeartbeatPolicy(context, machines, peers, membership);
     }
 
-    /** Decides about a heartbeat for whose response its worker waits; a machine of another owner may be claimed. */
+    /** Decides about a heartbeat whose worker awaits the response; may claim a machine that another controller owns. */
     Verdict admit(Heartbeat heartbeat) {
-        if (!isFromActiveMachine(heartbeat)) {
+        if (!passesCommonChecks(heartbeat)) {
             return Verdict.REJECT;
         }
         Machine machine = machines.getOrCreate(heartbeat.machine());
         if (!machines.owns(machine)) {
             return misrouted.claimIfOwnerUnreachable(machine, heartbeat) ? Verdict.REJECT : Verdict.REDIRECT;
         }
-        return isNews(machine, heartbeat) ? Verdict.ACCEPT : Verdict.REJECT;
+        return isNewer(machine, heartbeat) ? Verdict.ACCEPT : Verdict.REJECT;
     }
 
-    /** True if a heartbeat that answers a direct command may be accepted. */
+    /** Returns true if a heartbeat that answers a direct command may be accepted. */
     boolean admitCommandAnswer(Heartbeat heartbeat) {
-        if (!isFromActiveMachine(heartbeat)) {
+        if (!passesCommonChecks(heartbeat)) {
             return false;
         }
         Machine machine = machines.getOrCreate(heartbeat.machine());
-        return machines.owns(machine) && isNews(machine, heartbeat);
+        return machines.owns(machine) && isNewer(machine, heartbeat);
     }
 
-    private boolean isFromActiveMachine(Heartbeat heartbeat) {
+    private boolean passesCommonChecks(Heartbeat heartbeat) {
         counters.increment(Counter.HEARTBEATS);
         if (!authority.current().mayRenewWorkerLeases()) {
             counters.increment(Counter.HEARTBEATS_REJECTED);
@@ -78,8 +78,11 @@
         return !machines.isTerminated(heartbeat.machine());
     }
 
-    /** Copies may arrive late: a heartbeat that is no newer than the latest one proves nothing. */
-    private static boolean isNews(Machine machine, Heartbeat heartbeat) {
+    /**
+     * Returns true if the heartbeat is newer than the latest one and its fencing token was not issued by a later owner.
+     * Copies of heartbeats may be delayed, and one that is not newer proves nothing.
+     */
+    private static boolean isNewer(Machine machine, Heartbeat heartbeat) {
         return heartbeat.fencingToken() <= machine.fencingToken()
                 && machine.worker().isOlderThan(heartbeat);
     }
--- a/src/main/java/dewlane/core/worker/HeartbeatHandler.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -10,8 +10,8 @@
 import dewlane.core.store.StoreReplica;
 
 /**
- * Handles heartbeats: those that workers send, whose responses renew their leases, and those that answer direct
- * commands.
+ * Handles heartbeats: those that workers send on their own, whose responses renew the workers' leases, and those that
+ * answer direct commands.
  */
 public final class HeartbeatHandler {
     private final ControllerContext context;
@@ -20,7 +20,10 @@
     private final CommandDispatcher commands;
     private final MachineStateUpdater updater;
 
-    /** Accepts what the admission lets through; responses carry the commands of the dispatcher. */
+    /**
+     * Creates a handler that accepts the heartbeats the admission allows and responds with the commands of the
+     * dispatcher.
+     */
     public HeartbeatHandler(
             ControllerContext context,
             StoreReplica replica,
@@ -35,7 +38,7 @@
         this.updater = new MachineStateUpdater(context, replica, machines, counters);
     }
 
-    /** A worker sent a heartbeat and waits for the response to the given request. */
+    /** Called when a worker sent a heartbeat; it awaits the response to the given request. */
     public void onHeartbeat(long requestId, Heartbeat heartbeat) {
         switch (admission.admit(heartbeat)) {
             case ACCEPT -> acceptAndRespond(requestId, heartbeat);
@@ -56,7 +59,7 @@
         context.emit(new Effect.RedirectHeartbeat(requestId, owner));
     }
 
-    /** A direct command was answered with a heartbeat, was abandoned, or was never sent. */
+    /** Called when a direct command was answered with a heartbeat, timed out, or was never sent. */
     public void onCommandCompleted(Input.CommandCompleted completed) {
         Machine machine = machines.get(completed.machine());
         if (machine == null) {
--- a/src/main/java/dewlane/core/worker/LaunchFence.java
+++ b/src/main/java/dewlane/core/worker/LaunchFence.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Keeps launches in flight from being carried out when they no longer may: after their job's cancellation, or after the
- * worker was told to forget their attempt. Which launches are in flight is known to the {@link CommandChannel}.
+ * Prevents launches in flight from being executed after their job was cancelled, or after the worker was told to forget
+ * their attempt. Which launches are in flight is tracked by the {@link CommandChannel}.
  */
 final class LaunchFence {
     private final CancellationTracker cancellations;
@@ -25,34 +25,34 @@
     }
 
     /**
-     * Has the worker refuse, from the next response or command on, all launches that were sent before, if one of them
-     * must not be carried out any more.
+     * Raises the fence if a launch that was sent must not be executed any more. From the next response or command on,
+     * the worker then refuses all launches that were sent before.
      *
      * @param exited attempts that the worker is to forget
      */
     void raiseIfNeeded(Machine machine, List<AttemptId> exited) {
         if (exited.stream().anyMatch(machine.commandChannel()::isLaunchAbandoned)) {
-            raise(machine, "a command was abandoned that launches an attempt to be forgotten");
+            raise(machine, "an abandoned launch is of an attempt that is to be forgotten");
         } else if (machine.attempts().stream().anyMatch(assigned -> isForbiddenLaunchInFlight(machine, assigned))) {
-            raise(machine, "a launch in flight is of a job that is over or cancelled");
+            raise(machine, "a launch in flight is of a job that has ended or is cancelled");
         }
     }
 
     private void raise(Machine machine, String reason) {
         counters.increment(Counter.FENCES_RAISED);
         machine.commandChannel().raiseFence();
-        commandLog.fenceRaised(machine, reason);
+        commandLog.onFenceRaised(machine, reason);
     }
 
-    /** A launch that may still be in flight must not arrive after its job's cancellation. */
+    /** Returns true if a launch of the attempt may still arrive although its job is cancelled or has ended. */
     private boolean isForbiddenLaunchInFlight(Machine machine, AssignedAttempt assigned) {
         return cancellations.mustNotRun(assigned.job()) && machine.mayLaunchArrive(assigned);
     }
 
     /**
      * Removes the attempts that must not be forgotten yet, as a copy of their launch may still arrive and would start
-     * them again. Waiting is enough, since the copy's fate will be known; raising the fence would give up other
-     * launches too.
+     * them again. Deferring the command suffices, since the outcome of the launch in flight will become known; raising
+     * the fence would also invalidate other launches.
      */
     void removeDeferred(Machine machine, List<AttemptId> exited) {
         exited.removeIf(id -> isForgetDeferred(machine, id));
@@ -62,7 +62,7 @@
         boolean deferred = machine.commandChannel().isLaunchInFlight(id);
         if (deferred) {
             counters.increment(Counter.FORGETS_DEFERRED);
-            commandLog.forgetDeferred(machine, id);
+            commandLog.onForgetDeferred(machine, id);
         }
         return deferred;
     }
--- a/src/main/java/dewlane/core/worker/MachineStateUpdater.java
+++ b/src/main/java/dewlane/core/worker/MachineStateUpdater.java
@@ -7,7 +7,7 @@
 import dewlane.core.model.Heartbeat;
 import dewlane.core.store.StoreReplica;
 
-/** Updates what is known of a machine from an accepted heartbeat. */
+/** Updates this controller's view of a machine from an accepted heartbeat. */
 final class MachineStateUpdater {
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Takes an accepted heartbeat.
+     * Applies an accepted heartbeat.
      *
      * @param commandAnswer true if the heartbeat answers a direct command
      */
--- a/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
+++ b/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
@@ -8,27 +8,27 @@
 import dewlane.core.model.Heartbeat;
 
 /**
- * Decides what becomes of a machine whose worker sends heartbeats here although another controller owns it.
+ * Decides whether to claim a machine whose worker sends heartbeats here although another controller owns it.
  *
- * <p>A worker that comes here although its owner lives cannot reach that owner: it was redirected there already and has
- * come back. Unless this controller claims the machine, a network cut between the two lasts until the worker's lease
- * has expired.
+ * <p>A worker that comes here although its owner is up cannot reach that owner: it was redirected there already and has
+ * come back. Unless this controller claims the machine, a network partition between the worker and its owner lasts
+ * until the worker's lease has expired.
  */
 final class MisroutedHeartbeatPolicy {
     /** A worker that cannot reach its owner has tried all other controllers and is back here within this time. */
     private static final long RETURN_WINDOW_MS = 30_000;
 
-    /** For how long a worker must have been coming here before its machine is claimed. */
+    /** How long a worker must have been sending heartbeats here before its machine is claimed. */
     private static final long MIN_MISROUTED_MS = 500;
 
-    /** The same while the owner says that it hears the machine. */
+    /** The same while the owner lists the machine as one from which it receives heartbeats. */
     private static final long MIN_MISROUTED_WHILE_LISTED_MS = 3500;
 
-    /** An owner that was not heard for longer may be down. */
-    private static final long OWNER_HEARD_MS = 4000;
+    /** An owner from which no status was received for longer than this may be down. */
+    private static final long OWNER_STATUS_TTL_MS = 4000;
 
-    /** How long the worker of a machine that has changed hands may take to find its new owner. */
-    private static final long NEW_OWNER_GRACE_MS = 10_000;
+    /** How long the worker of a machine with a new owner may take to find that owner. */
+    private static final long NEW_OWNER_GRACE_PERIOD_MS = 10_000;
 
     private final ControllerContext context;
     private final MachineRegistry machines;
@@ -45,7 +45,7 @@
 
     /** Claims the machine for this controller if its worker cannot reach its owner; returns true if so. */
     boolean claimIfOwnerUnreachable(Machine machine, Heartbeat heartbeat) {
-        boolean claimed = cannotReachOwner(machine, heartbeat);
+        boolean claimed = isOwnerUnreachable(machine, heartbeat);
         if (claimed) {
             membership.claimMachine(machine.name());
         }
@@ -53,10 +53,10 @@
     }
 
     /**
-     * True once the worker has come back with a heartbeat that is newer than its first one here and than the latest one
-     * that its owner has: late copies of old heartbeats move no machine.
+     * Returns true once the worker has come back with a heartbeat that is newer than its first one here and than the
+     * latest one that its owner has received. Delayed copies of old heartbeats do not cause a claim.
      */
-    private boolean cannotReachOwner(Machine machine, Heartbeat heartbeat) {
+    private boolean isOwnerUnreachable(Machine machine, Heartbeat heartbeat) {
         machines.discover(
                 heartbeat.machine(), heartbeat.address(), heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         if (!membership.isStoreReachable()
@@ -64,7 +64,7 @@
                 || !machine.worker().isOlderThan(heartbeat)) {
             return false;
         }
-        if (!ownerIsEstablished(machine)) {
+        if (!isOwnerEstablished(machine)) {
             machine.misroutedHeartbeats().reset();
             return false;
         }
@@ -73,12 +73,13 @@
     }
 
     /**
-     * True if the worker should have reached its owner by now. Workers of an owner that died try one controller after
-     * the other until the partition map names the next one, and those of a new owner have yet to get there. Each claim
-     * makes a new map, which invalidates every launch in flight.
+     * Returns true if the worker should have reached its owner by now. Workers whose owner is down try one controller
+     * after the other until the partition map names a new owner, and workers with a new owner still have to find it.
+     * Neither justifies a claim, since each claim creates a new partition map, which invalidates every launch in
+     * flight.
      */
-    private boolean ownerIsEstablished(Machine machine) {
-        return peers.receivedStatusWithin(machine.owner(), OWNER_HEARD_MS)
-                && context.nowMs() - machine.ownerSinceMs() >= NEW_OWNER_GRACE_MS;
+    private boolean isOwnerEstablished(Machine machine) {
+        return peers.receivedStatusWithin(machine.owner(), OWNER_STATUS_TTL_MS)
+                && context.nowMs() - machine.ownerSinceMs() >= NEW_OWNER_GRACE_PERIOD_MS;
     }
 }
--- a/src/main/java/dewlane/core/worker/OutcomeRecorder.java
+++ b/src/main/java/dewlane/core/worker/OutcomeRecorder.java
@@ -12,7 +12,7 @@
 import dewlane.core.model.MachineType;
 
 /**
- * Records what a heartbeat proves about the attempts that the store holds against a machine: the outcomes, which are
+ * Records what a heartbeat proves about the attempts that the store assigns to a machine: their outcomes, which are
  * then to be made durable, and the images that the machine must hold by now.
  */
 final class OutcomeRecorder {
@@ -26,7 +26,9 @@
         this.failures = new FailureAttribution(context, machines.progress());
     }
 
-    /** Takes the machine's latest heartbeat, which its worker state holds already. */
+    /**
+     * Records what the machine's latest heartbeat proves; the machine's worker state must already be updated from it.
+     */
     void record(Machine machine, Heartbeat heartbeat) {
         MachineType type = machines.type(machine);
         for (AssignedAttempt assigned : machine.attempts()) {
@@ -53,7 +55,7 @@
                 machines.progress().getOrCreate(assigned.job().id()).recordOutcome(assigned, outcome, context.nowMs());
         if (first) {
             machines.onAttemptEnded(machine, assigned);
-            failures.attemptEnded(machine, assigned, outcome);
+            failures.onAttemptEnded(machine, assigned, outcome);
         }
     }
 }
--- a/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
+++ b/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
@@ -9,10 +9,10 @@
 import dewlane.core.model.Heartbeat;
 
 /**
- * Decides what a heartbeat says about whether its machine hears this controller, which being heard does not prove. The
- * answer to a direct command proves it. A worker's own heartbeat proves it as long as heartbeats come in time and each
- * shows what the response to the last one carried: the fencing token, and the launches. Otherwise the machine is
- * suspected: it gets no further tasks and is probed.
+ * Decides whether a heartbeat proves that this controller's messages reach its machine; its arrival alone proves only
+ * the other direction. The answer to a direct command proves it. A heartbeat that a worker sends on its own proves it
+ * as long as heartbeats arrive in time and each shows what the response to the previous one carried: the fencing token,
+ * and the launches. Otherwise the machine is suspected unreachable: it is given no further tasks and is probed.
  */
 final class ReachabilityAssessment {
     private final ControllerContext context;
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Takes the machine's latest heartbeat, which its worker state holds already.
+     * Assesses the machine's latest heartbeat; the machine's worker state must already be updated from it.
      *
      * @param commandAnswer true if the heartbeat answers a direct command
-     * @return true if it proves that the machine hears this controller
+     * @return true if it proves that the machine is reachable
      */
     boolean assess(Machine machine, Heartbeat heartbeat, boolean commandAnswer) {
         boolean missedResponse = hasMissedResponse(machine, heartbeat);
@@ -38,7 +38,9 @@
         if (!machine.reachability().isSuspected()) {
             counters.increment(Counter.SUSPICIONS);
             context.debug("machine " + machine.name() + " suspected unreachable: "
-                    + (missedResponse ? "it missed a response" : "it was silent"));
+                    + (missedResponse
+                            ? "it did not receive the last response"
+                            : "no contact within the heartbeat timeout"));
             machine.suspect(context.nowMs());
         }
         return false;
@@ -53,7 +55,9 @@
                         .wasConfirmedWithin(context.nowMs(), context.settings().heartbeatTimeoutMs());
     }
 
-    /** True if the heartbeat lacks the token, or a launch, of the response to the machine's last heartbeat. */
+    /**
+     * Returns true if the heartbeat lacks the token, or a launch, of the response to the machine's previous heartbeat.
+     */
     private static boolean hasMissedResponse(Machine machine, Heartbeat heartbeat) {
         if (machine.commandChannel().responseToken() > heartbeat.fencingToken()) {
             return true;
