--- a/src/main/java/dewlane/core/fleet/AssignedAttempt.java
+++ b/src/main/java/dewlane/core/fleet/AssignedAttempt.java
@@ -5,7 +5,7 @@
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
 
-/** An attempt that the store holds against a machine: it may be running there. */
+/** An attempt that the store assigns to a machine, where it may be running. */
 public final class AssignedAttempt {
     private final JobEntry job;
     private final SliceEntry slice;
@@ -21,27 +21,29 @@
         this.id = attempt.idIn(job.id());
     }
 
-    /** The job of the attempt's task. */
+    /** Returns the job of the attempt's task. */
     public JobEntry job() {
         return job;
     }
 
-    /** The slice that holds the attempt. */
+    /** Returns the slice that holds the attempt. */
     public SliceEntry slice() {
         return slice;
     }
 
-    /** The attempt as it is stored. */
+    /** Returns the attempt as it is stored. */
     public Attempt attempt() {
         return attempt;
     }
 
-    /** Identifies the attempt. */
+    /** Returns the attempt's id. */
     public AttemptId id() {
         return id;
     }
 
-    /** The controller against whose share of the team's limit the attempt counts; null without a partition map. */
+    /**
+     * Returns the controller against whose share of the team's limit the attempt counts; null without a partition map.
+     */
     String quotaOwner() {
         return quotaOwner;
     }
@@ -50,7 +52,9 @@
         quotaOwner = controller;
     }
 
-    /** True once a heartbeat proved its end, so that it needs no room on the machine any more. */
+    /**
+     * Returns true once a heartbeat has proved the attempt's end, so that it no longer uses resources on the machine.
+     */
     public boolean hasEnded() {
         return ended;
     }
--- a/src/main/java/dewlane/core/fleet/AttemptTracker.java
+++ b/src/main/java/dewlane/core/fleet/AttemptTracker.java
@@ -13,8 +13,9 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 
 /**
- * Follows the attempts that the replica holds against machines: which machine each is on, and what it uses there and of
- * its team's limit. It follows the replica change by change, so nothing is recounted but the owners of usage.
+ * Tracks the attempts that the replica assigns to machines: on which machine each one is, which resources it uses
+ * there, and how much of its team's limit. It applies the replica's changes one by one; only the usage by owner is ever
+ * recounted.
  */
 final class AttemptTracker {
     private final ControllerContext context;
@@ -39,7 +40,9 @@
         this.progress = progress;
     }
 
-    /** A job's record appeared or vanished: its attempts count while it is there. */
+    /**
+     * Called when a job's record was added, changed or removed: the job's attempts count only while the record exists.
+     */
     void onJobChanged(ReplicaChange.JobChanged change) {
         JobEntry job = change.job();
         if (change.before() == null && change.after() != null) {
@@ -47,24 +50,24 @@
         } else if (change.before() != null && change.after() == null) {
             Job spec = change.before().job();
             job.slices().forEach(slice -> update(job, spec, slice, slice.value(), null));
-            progress.jobEnded(job.id());
+            progress.onJobRemoved(job.id());
         } else if (change.after() != null && change.after().isCancelled()) {
             markMachinesChanged(job);
         }
     }
 
-    /** There may be something to command wherever the job has attempts. */
+    /** Marks all machines on which the job has attempts to have their commands planned again. */
     void markMachinesChanged(JobEntry job) {
         for (SliceEntry slice : job.slices()) {
             slice.value().attempts().forEach(attempt -> owned.markChanged(machines.getOrCreate(attempt.machine())));
         }
     }
 
-    /** A slice has changed; without its job's record its attempts do not count. */
+    /** Called when a slice has changed. Without its job's record its attempts do not count. */
     void onSliceChanged(ReplicaChange.SliceChanged change) {
         JobEntry job = change.job();
         if (job.job() != null) {
-            progress.sliceObserved(job.id(), change.slice().number(), change.after());
+            progress.onSliceObserved(job.id(), change.slice().number(), change.after());
             update(job, job.job(), change.slice(), change.before(), change.after());
         }
     }
@@ -113,22 +116,25 @@
             machine.load().usage().remove(spec);
         }
         teamUsage.add(spec, assigned.quotaOwner(), -1);
-        machine.commands().attemptRemoved(id);
-        progress.attemptRemoved(id);
+        machine.commands().onAttemptRemoved(id);
+        progress.onAttemptRemoved(id);
         machine.load().markIdleIfEmpty(context.nowMs());
         owned.markChanged(machine);
         machines.removeIfTerminated(machine);
     }
 
-    /** A heartbeat proves the attempt's end: its room is free, but its team's limit counts it until that is durable. */
-    void attemptEnded(Machine machine, AssignedAttempt assigned) {
+    /**
+     * Called when a heartbeat proves that the attempt ended. Its resources on the machine are free at once; it counts
+     * against its team's limit until the end is durable.
+     */
+    void onAttemptEnded(Machine machine, AssignedAttempt assigned) {
         if (!assigned.hasEnded()) {
             assigned.markEnded();
             machine.load().usage().remove(assigned.job().job());
         }
     }
 
-    /** Under another partition map slices have other owners, so usage is recounted by owner. */
+    /** Recounts the usage by owner, as slices have other owners under another partition map. */
     void recountOwners() {
         teamUsage.clearOwners();
         for (Machine machine : machines.all()) {
--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -6,16 +6,17 @@
 import java.util.Set;
 
 /**
- * The commands to one machine: the fencing token that they carry, and which launches may still arrive there.
+ * The commands in flight to one machine: the fencing token that they carry, and the launches that may still arrive
+ * there.
  *
- * <p>A launch reaches a worker in two ways: by a direct command, of which at most one is in flight, and in the response
- * to a heartbeat, of which the worker awaits at most one. A direct command is answered, or is abandoned and may then be
- * carried out at any later time. A response has been received or dropped by the time the worker sends its next
- * heartbeat.
+ * <p>A launch reaches a worker in one of two ways: in a direct command, of which at most one is in flight, or in the
+ * response to a heartbeat, of which the worker awaits at most one. A direct command is answered, or times out and may
+ * then still be executed at any later time. By the time the worker sends its next heartbeat, it has either received the
+ * response to the previous one or drops it.
  *
- * <p>Invariant: a worker is told to forget an attempt only with a token that is higher than those of all copies of its
- * launch that may still arrive. Otherwise such a copy starts the attempt again, although its end is written and the
- * task may run elsewhere.
+ * <p>Invariant: a worker is told to forget an attempt only with a token that is higher than those of all copies of the
+ * attempt's launch that may still arrive. Otherwise such a copy would start the attempt again, although its end is
+ * stored and the task may be running elsewhere.
  */
 public final class CommandChannel {
     private static final int FENCE_BITS = 20;
@@ -24,7 +25,7 @@
     private long epoch;
     private int fence;
 
-    /** The launches of the direct command in flight. */
+    /** The launches in the direct command in flight. */
     private final Set<AttemptId> commandLaunches = new HashSet<>();
     /** The token of the direct command in flight. */
     private long commandToken = NO_TOKEN;
@@ -36,17 +37,22 @@
     /** The token of that response. */
     private long responseToken = NO_TOKEN;
 
-    /** Launches of abandoned direct commands, under the present token. */
+    /** Launches with the current token whose direct command timed out. */
     private final Set<AttemptId> abandonedLaunches = new HashSet<>();
 
-    /** The token of the present owner: the epoch at which it acquired the machine, then the machine's own fence. */
+    /**
+     * Returns the token of the current owner: the epoch at which it acquired the machine in the upper bits, the
+     * machine's own fence counter in the lower {@link #FENCE_BITS}.
+     */
     long fencingToken() {
         return (epoch << FENCE_BITS) | fence;
     }
 
-    /** This controller becomes the machine's owner; the token is higher than those of any owner before. */
+    /**
+     * Called when this controller becomes the machine's owner; the token is higher than those of all earlier owners.
+     */
     void acquire(long newEpoch) {
-        // The same map may be read anew: its tokens up to the present fence have been used.
+        // The same partition map may be read again; its tokens up to the current fence were already used.
         fence = newEpoch == epoch ? fence + 1 : 0;
         epoch = newEpoch;
         abandonedLaunches.clear();
@@ -54,46 +60,50 @@
         responseToken = NO_TOKEN;
     }
 
-    /** From now on each command and response has the worker refuse all launches that were sent before. */
+    /**
+     * Raises the fence: every command and response sent from now on makes the worker refuse all launches sent before.
+     */
     public void raiseFence() {
         fence++;
         abandonedLaunches.clear();
     }
 
-    /** The worker began another incarnation, in which no launch of an earlier one is carried out. */
+    /** Called when the worker began a new incarnation, in which it executes no launch of an earlier one. */
     public void onNewIncarnation() {
         commandLaunches.clear();
         responseLaunches.clear();
         abandonedLaunches.clear();
     }
 
-    /** True while a direct command is in flight. */
+    /** Returns true while a direct command is in flight. */
     public boolean isCommandInFlight() {
         return commandToken != NO_TOKEN;
     }
 
-    /** A direct command is sent. */
+    /** Called when a direct command is sent. */
     public void onCommandSent(Set<AttemptId> launches, long nowMs) {
         commandToken = fencingToken();
         commandSentAtMs = nowMs;
         commandLaunches.addAll(launches);
     }
 
-    /** The time since the latest direct command was sent. */
+    /** Returns the time since the latest direct command was sent. */
     public long commandAgeMs(long nowMs) {
         return nowMs - commandSentAtMs;
     }
 
-    /** The worker answered the direct command, or it was never sent: no copy of it can arrive. */
+    /**
+     * Called when the worker answered the direct command, or when it was never sent: no copy of it can arrive any more.
+     */
     public void onCommandResolved() {
         commandToken = NO_TOKEN;
         commandLaunches.clear();
     }
 
     /**
-     * No answer to the direct command came in time; it may be carried out at any later time.
+     * Called when the direct command timed out; the worker may still execute it at any later time.
      *
-     * @return true if it had launches
+     * @return true if it contained launches
      */
     public boolean onCommandTimedOut() {
         boolean hadLaunches = !commandLaunches.isEmpty();
@@ -104,35 +114,42 @@
         return hadLaunches;
     }
 
-    /** A heartbeat is responded to. */
+    /** Called when the response to a heartbeat is sent. */
     public void onResponseSent(Set<AttemptId> launches) {
         responseToken = fencingToken();
         responseLaunches.clear();
         responseLaunches.addAll(launches);
     }
 
-    /** The worker sent another heartbeat, so it has received the response to its last one or will drop it. */
+    /**
+     * Called when the worker sent another heartbeat: it has received the response to the previous one or will drop it.
+     */
     public void onResponseResolved() {
         responseLaunches.clear();
     }
 
-    /** The token of the latest response, which the next heartbeat must show; 0 before the first. */
+    /** Returns the token of the latest response, which the next heartbeat must show; 0 before the first. */
     public long responseToken() {
         return responseToken;
     }
 
-    /** The launches in the latest response, which the next heartbeat must show. */
+    /** Returns the launches in the latest response, which the next heartbeat must list. */
     public Set<AttemptId> responseLaunches() {
         return Collections.unmodifiableSet(responseLaunches);
     }
 
-    /** True if a launch of the attempt is in flight with the present token, and its fate will be known. */
+    /**
+     * Returns true if a launch of the attempt is in flight with the current token, in a message whose outcome will
+     * still become known.
+     */
     public boolean isLaunchInFlight(AttemptId attempt) {
         return (commandToken == fencingToken() && commandLaunches.contains(attempt))
                 || (responseToken == fencingToken() && responseLaunches.contains(attempt));
     }
 
-    /** True if a launch of the attempt may arrive with the present token at any time. */
+    /**
+     * Returns true if a launch of the attempt with the current token was abandoned, so that it may arrive at any time.
+     */
     public boolean isLaunchAbandoned(AttemptId attempt) {
         return abandonedLaunches.contains(attempt);
     }
--- a/src/main/java/dewlane/core/fleet/CommandHistory.java
+++ b/src/main/java/dewlane/core/fleet/CommandHistory.java
@@ -8,66 +8,69 @@
 import java.util.Set;
 
 /**
- * What this controller remembers of commands about single attempts on one machine. All of it can be lost: commands
- * follow from the replica and the latest heartbeat, and are then just sent again.
+ * Recent commands about single attempts on one machine. This state may be lost: commands are derived from the replica
+ * and the latest heartbeat, and are then only sent again.
  */
 public final class CommandHistory {
-    private final Object2LongOpenHashMap<AttemptId> commandedAtMs = new Object2LongOpenHashMap<>();
-    /** Attempts to be preempted, and the grace period that each gets, in seconds. */
+    private final Object2LongOpenHashMap<AttemptId> lastCommandAtMs = new Object2LongOpenHashMap<>();
+    /** The attempts to be preempted, with the grace period of each in seconds. */
     private final Map<AttemptId, Double> preemptions = new HashMap<>();
 
-    private final Object2LongOpenHashMap<AttemptId> unaccountedSinceMs = new Object2LongOpenHashMap<>();
+    private final Object2LongOpenHashMap<AttemptId> absentSinceMs = new Object2LongOpenHashMap<>();
 
-    /** A command about the attempt is sent. */
+    /** Called when a command about the attempt is sent. */
     public void onCommandSent(AttemptId id, long nowMs) {
-        commandedAtMs.put(id, nowMs);
+        lastCommandAtMs.put(id, nowMs);
     }
 
-    /** True if a command about the attempt was sent within the given time. */
+    /** Returns true if a command about the attempt was sent within the given time. */
     public boolean wasCommandedWithin(AttemptId id, long nowMs, long withinMs) {
-        return commandedAtMs.containsKey(id) && nowMs - commandedAtMs.getLong(id) <= withinMs;
+        return lastCommandAtMs.containsKey(id) && nowMs - lastCommandAtMs.getLong(id) <= withinMs;
     }
 
     /**
-     * Has an attempt stopped although its job goes on.
+     * Requests that an attempt be stopped although its job continues.
      *
-     * @param graceS seconds in which it may save a checkpoint
-     * @return false if it was to be stopped already; its grace period then stays as it was
+     * @param graceS seconds in which the task may save a checkpoint
+     * @return false if the attempt was already to be preempted; its grace period then stays unchanged
      */
     public boolean preempt(AttemptId id, double graceS) {
         return preemptions.putIfAbsent(id, graceS) == null;
     }
 
-    /** The attempts to be preempted. */
+    /** Returns the attempts to be preempted. */
     public Set<AttemptId> preempted() {
         return Collections.unmodifiableSet(preemptions.keySet());
     }
 
-    /** True if the attempt is to be preempted. */
+    /** Returns true if the attempt is to be preempted. */
     public boolean isPreempted(AttemptId id) {
         return preemptions.containsKey(id);
     }
 
-    /** The grace period of an attempt that is to be preempted, in seconds. */
+    /** Returns the grace period, in seconds, of an attempt that is to be preempted. */
     public double preemptionGraceS(AttemptId id) {
         return preemptions.get(id);
     }
 
-    /** For how long it has been noticed that the replica does not explain the attempt, from its first call on. */
+    /**
+     * Returns for how long the replica has been observed not to contain the attempt, counted from the first call about
+     * it.
+     */
     public long absentFromReplicaForMs(AttemptId id, long nowMs) {
-        unaccountedSinceMs.putIfAbsent(id, nowMs);
-        return nowMs - unaccountedSinceMs.getLong(id);
+        absentSinceMs.putIfAbsent(id, nowMs);
+        return nowMs - absentSinceMs.getLong(id);
     }
 
-    /** The store does not hold the attempt any more. */
-    void attemptRemoved(AttemptId id) {
+    /** Called when the store no longer holds the attempt. */
+    void onAttemptRemoved(AttemptId id) {
         preemptions.remove(id);
     }
 
-    /** The worker has another incarnation, or the machine another owner: nothing remembered holds any more. */
+    /** Clears the history, which is invalid once the worker has a new incarnation or the machine a new owner. */
     public void clear() {
-        commandedAtMs.clear();
+        lastCommandAtMs.clear();
         preemptions.clear();
-        unaccountedSinceMs.clear();
+        absentSinceMs.clear();
     }
 }
--- a/src/main/java/dewlane/core/fleet/DecommissionBatches.java
+++ b/src/main/java/dewlane/core/fleet/DecommissionBatches.java
@@ -8,22 +8,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Splits machines to be decommissioned into batches, each of which one record in the store can name. */
+/** Splits machines to be decommissioned into batches that each fit into one stored record. */
 public final class DecommissionBatches {
-    /** As many as the cloud deletes by one request. */
+    /** The number of machines that the cloud deletes in one request. */
     public static final int MAX_MACHINES = Effect.DeleteInstances.MAX_INSTANCES;
 
-    /** The names of a record's fields, its state and its reason, with quotes and brackets. */
+    /** Space for the field names, state and reason of a record, with quotes and brackets. */
     private static final int RECORD_OVERHEAD_BYTES = 128;
-    /** Quotes and a comma. */
+    /** Two quotes and a comma. */
     private static final int NAME_OVERHEAD_BYTES = 3;
 
     private DecommissionBatches() {}
 
     /**
-     * Writes the record of one batch under a key of its own, on condition of the partition map: under that nobody but
-     * the owner launches on its machines, and a controller that was cut off must not decommission machines that others
-     * have taken over and hear.
+     * Returns the transaction that writes the record of one batch under a new key, on condition that the partition map
+     * has the given revision. Under that map only the owner launches tasks on its machines; the condition also keeps a
+     * disconnected controller from decommissioning machines that others have taken over and receive heartbeats from.
      */
     public static Transaction transaction(
             String key, long partitionMapRevision, DecommissionState state, String reason, List<String> batch) {
@@ -34,7 +34,7 @@
                 .build();
     }
 
-    /** Splits names, in order, into as few batches as the size of a value and the number of names allow. */
+    /** Splits names, in order, into as few batches as the size limit of a value and the limit on names allow. */
     public static List<List<String>> split(List<String> names, int valueBytes) {
         List<List<String>> batches = new ArrayList<>();
         List<String> batch = new ArrayList<>();
--- a/src/main/java/dewlane/core/fleet/FailureBackoff.java
+++ b/src/main/java/dewlane/core/fleet/FailureBackoff.java
@@ -9,14 +9,14 @@
     private static final long MAX_BACKOFF_MS = 30_000;
     private static final int MAX_DOUBLINGS = 7;
 
-    /** A job that fails on so many machines is itself at fault. */
-    private static final int FAULTY_MACHINES = 3;
+    /** A job whose tasks fail on this many machines is itself faulty. */
+    private static final int FAULTY_JOB_MIN_MACHINES = 3;
 
     private final Set<String> failedMachines = new HashSet<>();
     private int failureCount;
     private long retryAtMs;
 
-    /** A task failed on the machine. */
+    /** Records that a task failed on the machine. */
     void recordFailure(String machine, long nowMs) {
         failureCount++;
         failedMachines.add(machine);
@@ -24,23 +24,23 @@
         retryAtMs = nowMs + Math.min(MAX_BACKOFF_MS, backoffMs);
     }
 
-    /** Replaces the steady time before which nothing is launched. */
-    void retryNotBefore(long atMs) {
+    /** Sets the steady time before which nothing is launched. */
+    void setRetryAtMs(long atMs) {
         retryAtMs = atMs;
     }
 
-    /** Steady time before which nothing is launched. */
+    /** Returns the steady time before which nothing is launched. */
     long retryAtMs() {
         return retryAtMs;
     }
 
-    /** How many tasks have failed. */
+    /** Returns how many tasks have failed. */
     int failureCount() {
         return failureCount;
     }
 
-    /** True if tasks failed on so many machines that the job is itself at fault. */
+    /** Returns true if tasks failed on so many machines that the job itself is faulty. */
     boolean isFaulty() {
-        return failedMachines.size() >= FAULTY_MACHINES;
+        return failedMachines.size() >= FAULTY_JOB_MIN_MACHINES;
     }
 }
--- a/src/main/java/dewlane/core/fleet/ImageCache.java
+++ b/src/main/java/dewlane/core/fleet/ImageCache.java
@@ -2,19 +2,22 @@
 
 import it.unimi.dsi.fastutil.objects.Object2DoubleLinkedOpenHashMap;
 
-/** The images that a machine is taken to hold: the least recently used ones leave a full cache. */
+/**
+ * The images that a machine's cache is assumed to hold. When the cache is full, the least recently used images are
+ * evicted.
+ */
 public final class ImageCache {
     /** Sizes in GB, most recently used last. */
     private final Object2DoubleLinkedOpenHashMap<String> sizesGb = new Object2DoubleLinkedOpenHashMap<>();
 
     private double totalGb;
 
-    /** True if the cache holds the image, as far as is known. */
+    /** Returns true if the cache is assumed to hold the image. */
     public boolean contains(String image) {
         return sizesGb.containsKey(image);
     }
 
-    /** The machine uses an image, and so holds it. */
+    /** Records that the machine uses an image, and so holds it. */
     public void use(String image, double sizeGb, double capacityGb) {
         if (!sizesGb.containsKey(image)) {
             totalGb += sizeGb;
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -11,11 +11,11 @@
 import java.util.List;
 
 /**
- * What this controller is doing for one job: the write in flight, outcomes to be made durable, launches that the
- * replica does not show yet, the backoff after failures, and handovers to other partitions.
+ * What this controller is doing for one job: the write in flight, outcomes that are still to be written, launches that
+ * the replica does not show yet, the backoff after failures, and handovers to other partitions.
  */
 public final class JobProgress {
-    /** What became of an attempt. */
+    /** How an attempt ended. */
     public enum Outcome {
         DONE,
         STOPPED,
@@ -30,82 +30,91 @@
     private final UnresolvedWriteTracker write = new UnresolvedWriteTracker();
     private final PendingOutcomes outcomes = new PendingOutcomes();
     private final FailureBackoff failures = new FailureBackoff();
-    /** Launches in the write in flight, or in one that the replica does not show yet. */
+    /** Launches in the write in flight, or in a committed one that the replica does not show yet. */
     private final List<Launch> launchesInFlight = new ArrayList<>();
 
-    private long pausedUntilMs;
+    private long writesBlockedUntilMs;
     private long handedOverAtMs;
     private long handoverCheckedAtMs;
 
-    /** A write about the job is sent. */
+    /** Called when a write about the job is sent. */
     public void beginWrite() {
         write.begin();
     }
 
-    /** The write was answered at the revision, which the replica has yet to reach. */
+    /** Called when the write was answered at the revision, which the replica has yet to reach. */
     public void completeWrite(long revision) {
         write.complete(revision);
     }
 
-    /** Nothing is written before the given steady time, as a write was called invalid. */
+    /** Prevents writes about the job until the given steady time, after the store called one invalid. */
     public void blockWritesUntil(long atMs) {
-        pausedUntilMs = atMs;
+        writesBlockedUntilMs = atMs;
     }
 
-    /** True while a write is in flight, its revision is not yet in the replica, or the job is paused. */
+    /**
+     * Returns true while a write is in flight, the replica has not reached the revision of its answer, or writes are
+     * blocked for a time.
+     */
     public boolean isWriteBlocked(long revision, long now) {
-        return write.isUnresolved(revision) || now < pausedUntilMs;
+        return write.isUnresolved(revision) || now < writesBlockedUntilMs;
     }
 
-    /** True while a write is in flight or its revision is not yet in the replica. */
+    /** Returns true while a write is in flight or the replica has not reached the revision of its answer. */
     boolean isWriteUnresolved(long revision) {
         return write.isUnresolved(revision);
     }
 
-    /** True if there are outcomes that the replica does not show yet. */
+    /** Returns true if there are outcomes that the replica does not show yet. */
     public boolean hasOutcomes() {
         return !outcomes.isEmpty();
     }
 
-    /** The outcome of an attempt, or null if none is known or the replica shows it. */
+    /** Returns the outcome of an attempt, or null if none is known or the replica already shows it. */
     public Outcome outcome(AttemptId attempt) {
         return outcomes.get(attempt);
     }
 
-    /** Notes an outcome that is to be made durable; true if it is the first one of the attempt, which counts. */
+    /**
+     * Adds an outcome that is to be made durable. Only the first outcome of an attempt counts.
+     *
+     * @return true if it is the attempt's first outcome
+     */
     public boolean recordOutcome(AssignedAttempt attempt, Outcome outcome, long nowMs) {
         return outcomes.add(attempt, outcome, nowMs);
     }
 
-    /** The replica shows that the attempt is gone. */
+    /** Called when the replica no longer contains the attempt. */
     void removeOutcome(AttemptId attempt) {
         outcomes.remove(attempt);
     }
 
-    /** Since when outcomes of the slice gather, in steady time; now if none do. */
+    /** Returns the steady time of the first outcome in the slice's current batch; now if the batch is empty. */
     public long batchOpenedAtMs(int slice, long now) {
-        return outcomes.gatheringSinceMs(slice, now);
+        return outcomes.batchOpenedAtMs(slice, now);
     }
 
     /**
-     * Outcomes of the slice are being written: they stay listed until the replica shows them, and later ones gather
-     * anew.
+     * Called when outcomes of the slice are being written: they stay listed until the replica shows them, and later
+     * ones start a new batch.
      */
     public void closeBatch(int slice) {
-        outcomes.resetGathering(slice);
+        outcomes.closeBatch(slice);
     }
 
-    /** A launch was decided. */
+    /** Adds a launch that was decided. */
     void addLaunch(Launch launch) {
         launchesInFlight.add(launch);
     }
 
-    /** The launches that the replica does not show yet. */
+    /** Returns the launches that the replica does not show yet. */
     List<Launch> launchesInFlight() {
         return Collections.unmodifiableList(launchesInFlight);
     }
 
-    /** Removes and returns the launches that the stored slice shows: those up to its latest. */
+    /**
+     * Removes and returns the launches that the stored slice already contains: those up to its latest launch number.
+     */
     List<Launch> removeLaunchesShownIn(int sliceNumber, Slice slice) {
         List<Launch> shown = new ArrayList<>();
         for (Iterator<Launch> launches = launchesInFlight.iterator(); launches.hasNext(); ) {
@@ -119,54 +128,56 @@
         return shown;
     }
 
-    /** Removes and returns all launches: the replica has reached the answer to their write and does not show them. */
+    /**
+     * Removes and returns all launches, once the replica has reached the answer to their write and does not show them.
+     */
     List<Launch> removeAllLaunches() {
         List<Launch> removed = List.copyOf(launchesInFlight);
         launchesInFlight.clear();
         return removed;
     }
 
-    /** A task failed on the machine: the job backs off, longer with each failure. */
+    /** Records that a task failed on the machine: the job backs off, longer with each failure. */
     public void recordFailure(String machine, long nowMs) {
         failures.recordFailure(machine, nowMs);
     }
 
-    /** How many tasks of the job have failed. */
+    /** Returns how many tasks of the job have failed. */
     public int failureCount() {
         return failures.failureCount();
     }
 
-    /** True if the job failed on several machines, so that it is itself at fault. */
+    /** Returns true if the job failed on several machines, so that the job itself is faulty. */
     public boolean isFaulty() {
         return failures.isFaulty();
     }
 
-    /** Nothing of the job is launched before the given steady time. */
+    /** Sets the steady time before which no task of the job is launched. */
     public void setRetryAtMs(long atMs) {
-        failures.retryNotBefore(atMs);
+        failures.setRetryAtMs(atMs);
     }
 
-    /** Steady time before which nothing of the job is launched. */
+    /** Returns the steady time before which no task of the job is launched. */
     public long retryAtMs() {
         return failures.retryAtMs();
     }
 
-    /** When tasks of the job were last handed over to another partition, in steady time; 0: never. */
+    /** Returns the steady time at which tasks of the job were last handed over to another partition; 0 if never. */
     public long handedOverAtMs() {
         return handedOverAtMs;
     }
 
-    /** Tasks of the job are handed over to another partition. */
+    /** Records that tasks of the job are handed over to another partition. */
     public void markHandedOver(long nowMs) {
         handedOverAtMs = nowMs;
     }
 
-    /** When another partition with room was last looked for, in steady time; 0: never. */
+    /** Returns the steady time of the last search for another partition with free capacity; 0 if never. */
     public long handoverCheckedAtMs() {
         return handoverCheckedAtMs;
     }
 
-    /** Another partition with room is looked for. */
+    /** Records that another partition with free capacity is searched for. */
     public void markHandoverChecked(long nowMs) {
         handoverCheckedAtMs = nowMs;
     }
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * What this controller is doing for each job. A launch counts on its machine and for its team from the moment it is
- * decided, until the replica shows it or it turns out that it was not written.
+ * What this controller is doing for each job. A launch counts as usage of its machine and its team from the moment it
+ * is decided, until the replica shows it or it turns out that it was not written.
  */
 public final class JobProgressTable {
     private final ControllerContext context;
@@ -20,7 +20,7 @@
     private final TeamUsage teamUsage;
     private final String self;
     private final Map<String, JobProgress> byJob = new HashMap<>();
-    /** Jobs with launches that the replica does not show yet, and jobs that are over. */
+    /** Jobs with launches that the replica does not show yet, and jobs without a record any more. */
     private final Set<String> unreconciled = new LinkedHashSet<>();
 
     JobProgressTable(ControllerContext context, StoreReplica replica, TeamUsage teamUsage) {
@@ -30,17 +30,17 @@
         this.self = context.settings().controllerName();
     }
 
-    /** What is being done for the job. */
+    /** Returns what is being done for the job, adding an empty entry if there is none. */
     public JobProgress getOrCreate(String job) {
         return byJob.computeIfAbsent(job, id -> new JobProgress());
     }
 
-    /** What is being done for the job, or null if that was nothing so far. */
+    /** Returns what is being done for the job, or null if nothing was done so far. */
     public JobProgress get(String job) {
         return byJob.get(job);
     }
 
-    /** A launch was decided. */
+    /** Called when a launch was decided. */
     public void onLaunchDecided(String job, JobProgress.Launch launch) {
         getOrCreate(job).addLaunch(launch);
         unreconciled.add(job);
@@ -48,37 +48,40 @@
         teamUsage.add(launch.spec(), self, 1);
     }
 
-    /** The replica shows a slice, null if it is gone: launches up to its latest are counted from there. */
-    void sliceObserved(String job, int sliceNumber, Slice slice) {
+    /**
+     * Called when the replica shows a slice, or null if it was removed. Launches that the slice contains are counted
+     * from the replica instead.
+     */
+    void onSliceObserved(String job, int sliceNumber, Slice slice) {
         JobProgress progress = byJob.get(job);
         if (progress != null && slice != null) {
             progress.removeLaunchesShownIn(sliceNumber, slice).forEach(this::releaseLaunch);
         }
     }
 
-    /** The replica shows that the attempt is gone, so its outcome is durable. */
-    void attemptRemoved(AttemptId attempt) {
+    /** Called when the replica no longer contains the attempt: its outcome is durable. */
+    void onAttemptRemoved(AttemptId attempt) {
         JobProgress progress = byJob.get(attempt.job());
         if (progress != null) {
             progress.removeOutcome(attempt);
         }
     }
 
-    /** The job has no record any more. */
-    void jobEnded(String job) {
+    /** Called when the job's record was removed. */
+    void onJobRemoved(String job) {
         if (byJob.containsKey(job)) {
             unreconciled.add(job);
         }
     }
 
-    /** Takes back what was counted for a launch when it was decided. */
+    /** Removes the usage that was counted for a launch when it was decided. */
     private void releaseLaunch(JobProgress.Launch launch) {
         launch.machine().load().usage().remove(launch.spec());
         teamUsage.add(launch.spec(), self, -1);
         launch.machine().load().markIdleIfEmpty(context.nowMs());
     }
 
-    /** Counts the launches in flight for this controller, after the usage of all owners was reset. */
+    /** Adds the launches in flight to this controller's usage, after the usage of all owners was reset. */
     void recountLaunches() {
         for (JobProgress progress : byJob.values()) {
             progress.launchesInFlight().forEach(launch -> teamUsage.addToOwner(launch.spec(), self, 1));
@@ -86,8 +89,8 @@
     }
 
     /**
-     * Takes back what was counted for launches whose write was refused: once the answer is in and the replica has
-     * reached it, whatever it does not show by then was not launched.
+     * Removes the usage counted for launches whose write failed. Once the write is answered and the replica has reached
+     * the revision of the answer, launches that it does not show were not written.
      */
     public void reconcile() {
         for (Iterator<String> jobs = unreconciled.iterator(); jobs.hasNext(); ) {
@@ -98,12 +101,12 @@
             } else if (!progress.isWriteUnresolved(replica.revision())) {
                 jobs.remove();
                 progress.removeAllLaunches().forEach(this::releaseLaunch);
-                removeIfOver(job);
+                removeIfEnded(job);
             }
         }
     }
 
-    private void removeIfOver(String id) {
+    private void removeIfEnded(String id) {
         if (replica.activeJob(id) == null) {
             byJob.remove(id);
         }
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * What this controller knows of a machine: what it is, who owns it, what may be running there, and what was sent to its
- * worker. It is confined to the controller's one thread.
+ * This controller's view of one machine: its description, its owner, the attempts that may be running on it, and the
+ * commands sent to its worker. Confined to the controller's single thread.
  */
 public final class Machine {
     private final String name;
@@ -22,7 +22,7 @@
     private String typeName;
     private String zone;
     private boolean spot;
-    /** Null until it is looked up. */
+    /** Null until it is resolved from {@link #typeName}. */
     private MachineType resolvedType;
 
     private final WorkerState worker = new WorkerState();
@@ -34,7 +34,7 @@
     private final ImageCache images = new ImageCache();
     private final PeerListing peerListing = new PeerListing();
 
-    /** Jobs of which a task failed here since a task last completed. */
+    /** The jobs with a task that failed on this machine since a task last completed on it. */
     private final Set<String> failedJobs = new HashSet<>();
 
     private final MachineLoad load;
@@ -45,25 +45,29 @@
         this.load = new MachineLoad(nowMs);
     }
 
-    /** The machine's name, which is never used twice. */
+    /** Returns the machine's name. Names are never reused. */
     public String name() {
         return name;
     }
 
-    /** The controller whose partition the machine is in, under the present map; null before the first map. */
+    /**
+     * Returns the controller whose partition contains the machine under the current partition map; null before the
+     * first map.
+     */
     public String owner() {
         return owner;
     }
 
-    /** Since when it has that owner, in steady time. */
+    /** Returns the steady time at which the current owner became the owner. */
     public long ownerSinceMs() {
         return ownerSinceMs;
     }
 
     /**
-     * Sets the owner under the present map.
+     * Sets the owner under the current partition map.
      *
-     * @param reacquired true if its time as the owner begins now in any case, as there may have been another meanwhile
+     * @param reacquired true to restart the time of ownership even if the owner is the same, because another controller
+     *     may have owned the machine in between
      */
     void setOwner(String newOwner, boolean reacquired, long nowMs) {
         if (reacquired || newOwner == null || !newOwner.equals(owner)) {
@@ -73,43 +77,47 @@
     }
 
     /**
-     * This controller becomes the machine's owner. Its fencing tokens are above those of any owner before, and go on
-     * from there as long as it owns the machine: a map that changes elsewhere fences off no launch of this partition.
+     * Called when this controller becomes the machine's owner. The fencing tokens that it issues are higher than those
+     * of every earlier owner, and only increase while it owns the machine. A partition map that changes nothing for
+     * this controller's partition does not raise them, so it fences off none of the launches in flight there.
      */
     void acquire(long epoch, long nowMs) {
         commandChannel.acquire(epoch);
-        reachability.acquired(nowMs, fencingToken());
+        reachability.onAcquired(nowMs, fencingToken());
         lifecycle.cancelTermination();
-        worker.forgetTasks();
+        worker.clearTasks();
         commands.clear();
     }
 
-    /** Host and port of the worker; null until it is known. */
+    /** Returns the worker's host and port; null until known. */
     public String address() {
         return address;
     }
 
-    /** The name of the machine's type; null until it is known. */
+    /** Returns the name of the machine's type; null until known. */
     public String typeName() {
         return typeName;
     }
 
-    /** The zone; null until it is known. */
+    /** Returns the zone; null until known. */
     public String zone() {
         return zone;
     }
 
-    /** True for a spot instance, which the cloud may take back at any time. */
+    /** Returns true for a spot instance, which the cloud may reclaim at any time. */
     public boolean isSpot() {
         return spot;
     }
 
-    /** Takes the address from a heartbeat or a list. */
+    /** Sets the address, as stated in a heartbeat or in a listing by the cloud or a peer. */
     public void setAddress(String newAddress) {
         address = newAddress;
     }
 
-    /** Takes the description in a heartbeat or a list; it never changes, unless a list was wrong. */
+    /**
+     * Sets the description, as stated in a heartbeat or in a listing by the cloud or a peer. It never changes, unless a
+     * listing was wrong.
+     */
     public void describe(String newTypeName, String newZone, boolean isSpot) {
         if (!newTypeName.equals(typeName)) {
             typeName = newTypeName;
@@ -119,7 +127,7 @@
         spot = isSpot;
     }
 
-    /** The machine's type among those that the cloud offers, or null if it is not known. */
+    /** Returns the machine's type, or null if its name is unknown or the cloud does not offer it. */
     MachineType resolveType(MachineTypeCatalog types) {
         if (resolvedType == null && typeName != null) {
             resolvedType = types.get(typeName);
@@ -127,128 +135,137 @@
         return resolvedType;
     }
 
-    /** The machine types were replaced. */
-    void forgetResolvedType() {
+    /** Called when the machine types were replaced: the type is resolved again on its next use. */
+    void clearResolvedType() {
         resolvedType = null;
     }
 
-    /** The worker's latest heartbeat. */
+    /** Returns the worker's state as of its latest heartbeat. */
     public WorkerState worker() {
         return worker;
     }
 
-    /** Whether the machine hears this controller. */
+    /** Returns the record of whether this controller's messages reach the machine. */
     public Reachability reachability() {
         return reachability;
     }
 
-    /** What was sent to the worker, and with which fencing token. */
+    /** Returns the commands in flight to the worker, with the machine's fencing token. */
     public CommandChannel commandChannel() {
         return commandChannel;
     }
 
-    /** What is remembered of commands about single attempts. */
+    /** Returns the recent commands about single attempts on the machine. */
     public CommandHistory commands() {
         return commands;
     }
 
-    /** Heartbeats that came here although another controller owns the machine. */
+    /** Returns the record of heartbeats that arrived here although another controller owns the machine. */
     public MisroutedHeartbeats misroutedHeartbeats() {
         return misroutedHeartbeats;
     }
 
-    /** Whether the machine is being scaled in or terminated. */
+    /** Returns the record of whether the machine is being scaled in or terminated. */
     public MachineLifecycle lifecycle() {
         return lifecycle;
     }
 
-    /** The images in the machine's cache. */
+    /** Returns the images that the machine's cache is expected to hold. */
     public ImageCache images() {
         return images;
     }
 
-    /** Which peer last said that it hears the machine. */
+    /** Returns which peer last listed the machine as one from which it receives heartbeats. */
     PeerListing peerListing() {
         return peerListing;
     }
 
-    /** Jobs of which a task failed here since a task last completed. */
+    /** The jobs with a task that failed on this machine since a task last completed on it. */
     public Set<String> failedJobs() {
         return Collections.unmodifiableSet(failedJobs);
     }
 
-    /** A task of the job failed here. */
+    /** Records that a task of the job failed on this machine. */
     public void addFailedJob(String job) {
         failedJobs.add(job);
     }
 
-    /** A task completed here, so earlier failures are no sign of a faulty machine. */
+    /**
+     * Clears the failed jobs after a task completed on this machine: earlier failures are then no sign of a faulty
+     * machine.
+     */
     public void clearFailedJobs() {
         failedJobs.clear();
     }
 
-    /** The attempts and resources counted on the machine, for those who count them. */
+    /** Returns the attempts and resources counted on the machine, for the classes that update these counts. */
     MachineLoad load() {
         return load;
     }
 
-    /** The attempts that the store holds against the machine. */
+    /** Returns the attempts that the store assigns to the machine. */
     public Collection<AssignedAttempt> attempts() {
         return load.attempts();
     }
 
-    /** The attempt, or null if the store does not hold it against the machine. */
+    /** Returns the attempt, or null if the store does not assign it to the machine. */
     public AssignedAttempt attempt(AttemptId id) {
         return load.attempt(id);
     }
 
-    /** The resources taken by attempts that may be on the machine, those in a write in flight included. */
+    /**
+     * Returns the resources used by attempts that may be on the machine, including launches whose write is in flight.
+     */
     public ResourceUsage usage() {
         return load.usage();
     }
 
-    /** True if tasks of the job may run on the machine, as far as its other tasks do not matter. */
+    /**
+     * Returns true if the job may use a machine of this type, zone and spot status, regardless of the other tasks on
+     * it.
+     */
     public boolean isAllowedFor(Job job) {
         return job.allows(typeName, zone, spot);
     }
 
-    /** The number of tasks of the job that fit beside what is used and reserved. */
+    /** Returns the number of tasks of the job that fit into the resources that are neither used nor reserved. */
     public int capacityFor(MachineType type, Job job) {
         return load.capacityFor(type, job);
     }
 
-    /** Reserves room for one task of the job until the next scheduling cycle. */
+    /** Reserves resources for one task of the job until the next scheduling cycle. */
     public void reserve(Job job) {
         load.reserve(job);
     }
 
-    /** Drops all reservations. */
+    /** Releases all reservations. */
     public void clearReservations() {
         load.clearReservations();
     }
 
-    /** Since when nothing has been on the machine, in steady time. */
+    /** Returns the steady time since which the machine has been idle. */
     public long idleSinceMs() {
         return load.idleSinceMs();
     }
 
-    /** The fencing token that commands to the machine carry. */
+    /** Returns the fencing token that commands to the machine carry. */
     public long fencingToken() {
         return commandChannel.fencingToken();
     }
 
     /**
-     * The machine may not hear this controller, which being heard does not disprove. From now on only an answer to a
-     * command, or a heartbeat with a fencing token that was issued after this moment, proves that it does. A late copy
-     * has neither.
+     * Marks the machine as suspected unreachable: this controller's messages may not reach it, even though its
+     * heartbeats arrive here. From now on only the answer to a command, or a heartbeat with a fencing token issued
+     * after this moment, proves that it is reachable. A delayed copy of an earlier heartbeat is neither.
      */
     public void suspect(long nowMs) {
         if (isAnyLaunchInFlight()) {
-            // A token can only prove it if the fence is raised, which would give the launch up.
-            reachability.suspected(nowMs, Reachability.NO_TOKEN_ENDS_IT);
+            // A heartbeat can show a newer token only if the fence is raised, which would invalidate the launch in
+            // flight.
+            reachability.onSuspected(nowMs, Reachability.NO_TOKEN_ENDS_IT);
         } else {
             commandChannel.raiseFence();
-            reachability.suspected(nowMs, fencingToken());
+            reachability.onSuspected(nowMs, fencingToken());
         }
     }
 
@@ -261,13 +278,16 @@
         return false;
     }
 
-    /** True if a launch of the attempt may still arrive: the worker would carry it out and does not report it yet. */
+    /**
+     * Returns true if a launch of the attempt may still arrive: the worker would execute it and does not report it yet.
+     */
     public boolean mayLaunchArrive(AssignedAttempt assigned) {
         return acceptsLaunch(assigned) && !worker.reports(assigned.id());
     }
 
     /**
-     * True if the worker would carry out a launch of the attempt: its incarnation and its token are the present ones.
+     * Returns true if the worker would execute a launch of the attempt: the attempt has the worker's current
+     * incarnation and the machine's current fencing token.
      */
     public boolean acceptsLaunch(AssignedAttempt assigned) {
         return assigned.attempt().fencingToken() == fencingToken()
--- a/src/main/java/dewlane/core/fleet/MachineDiscovery.java
+++ b/src/main/java/dewlane/core/fleet/MachineDiscovery.java
@@ -4,9 +4,9 @@
 import dewlane.core.message.ControllerContext;
 import dewlane.core.model.PeerStatus;
 
-/** Learns machines from the cloud's list and from peers, before or without a heartbeat of their own. */
+/** Adds machines listed by the cloud or by peers, from which this controller may not have received a heartbeat. */
 final class MachineDiscovery {
-    /** How long a peer's listing of a machine counts. */
+    /** How long a peer's listing of a machine is valid. */
     private static final long PEER_LISTING_TTL_MS = 5000;
 
     private final ControllerContext context;
@@ -22,7 +22,8 @@
     }
 
     /**
-     * Learns a machine. Its own heartbeats are better informed, so they are not overruled.
+     * Adds a machine or updates its description. What the machine's own heartbeats stated is more reliable and is not
+     * overwritten.
      *
      * @return the machine, or null if it is proven terminated
      */
@@ -41,7 +42,7 @@
         return machine;
     }
 
-    /** Learns the machines that a peer lists: those that it owns and hears. */
+    /** Adds the machines that a peer lists: those that it owns and receives heartbeats from. */
     void discoverFrom(PeerStatus status) {
         String incarnationId = peers.incarnationId(status.controller());
         for (PeerStatus.MachineStatus listed : status.machines()) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** True if the machine's owner, another controller, has listed it within the last few seconds. */
+    /** Returns true if the machine's owner, another controller, has listed it within the last few seconds. */
     boolean isListedByOwner(Machine machine) {
         return machine.owner() != null
                 && machine.peerListing()
--- a/src/main/java/dewlane/core/fleet/MachineLifecycle.java
+++ b/src/main/java/dewlane/core/fleet/MachineLifecycle.java
@@ -1,6 +1,6 @@
 package dewlane.core.fleet;
 
-/** Whether a machine is to go, and by whose decision: scale-in by its owner, or termination by the cloud. */
+/** Whether a machine is to be removed, and by whom: scaled in by its owner, or terminated by the cloud. */
 public final class MachineLifecycle {
     private static final long NOT_SCHEDULED = 0;
 
@@ -8,52 +8,55 @@
     private boolean scalingIn;
     private long terminationAtMs = NOT_SCHEDULED;
 
-    /** A record says that the machine is scaled in: if it falls silent, that is no failure. */
+    /** Called when a stored record says that the machine is scaled in: it is then expected to become unresponsive. */
     void expectScaleIn() {
         scaleInExpected = true;
     }
 
-    /** The machine is heard, and no record says any more that it is scaled in. */
+    /** Called when the machine is confirmed reachable and no stored record says any more that it is scaled in. */
     public void withdrawScaleIn() {
         scaleInExpected = false;
     }
 
-    /** True if the machine was to be scaled in when it was last heard. */
+    /**
+     * Returns true if the machine was being scaled in as of the last contact with it, so that a lack of contact is no
+     * failure.
+     */
     public boolean isScaleInExpected() {
         return scaleInExpected;
     }
 
-    /** A record that scales the machine in is being written, so it takes no more tasks. */
+    /** Called when a record that scales the machine in is being written: the machine then takes no more tasks. */
     public void beginScaleIn() {
         scalingIn = true;
     }
 
-    /** That record was not written. */
+    /** Called when the record that scales the machine in was not written. */
     public void abortScaleIn() {
         scalingIn = false;
     }
 
-    /** True while such a record is being written, and once it is. */
+    /** Returns true while a record that scales the machine in is being written, and after it was written. */
     public boolean isScalingIn() {
         return scalingIn;
     }
 
-    /** The cloud announced that it takes the machine away at the given steady time. */
+    /** Records that the cloud announced that it will terminate the machine at the given steady time. */
     public void scheduleTermination(long atMs) {
         terminationAtMs = atMs;
     }
 
-    /** The cloud does not take the machine away, as far as is known. */
+    /** Records that no termination by the cloud is announced. */
     public void cancelTermination() {
         terminationAtMs = NOT_SCHEDULED;
     }
 
-    /** True if the cloud announced that it takes the machine away. */
+    /** Returns true if the cloud announced that it will terminate the machine. */
     public boolean isTerminationScheduled() {
         return terminationAtMs != NOT_SCHEDULED;
     }
 
-    /** Milliseconds until the cloud takes the machine away; only if that is scheduled. */
+    /** Returns the milliseconds until the cloud terminates the machine; valid only while a termination is scheduled. */
     public long msUntilTermination(long nowMs) {
         return terminationAtMs - nowMs;
     }
--- a/src/main/java/dewlane/core/fleet/MachineLoad.java
+++ b/src/main/java/dewlane/core/fleet/MachineLoad.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What may be running on a machine: the attempts held against it, and the resources that are used or reserved. */
+/** The attempts that the store assigns to a machine, and the resources that are used or reserved on it. */
 final class MachineLoad {
     private final Map<AttemptId, AssignedAttempt> attempts = new LinkedHashMap<>();
     private final ResourceUsage usage = new ResourceUsage();
@@ -21,56 +21,60 @@
         idleSinceMs = nowMs;
     }
 
-    /** The attempts that the store holds against the machine, in the order in which they were added. */
+    /** Returns the attempts that the store assigns to the machine, in the order in which they were added. */
     Collection<AssignedAttempt> attempts() {
         return attempts.values();
     }
 
-    /** The attempt, or null if the store does not hold it against the machine. */
+    /** Returns the attempt, or null if the store does not assign it to the machine. */
     AssignedAttempt attempt(AttemptId id) {
         return attempts.get(id);
     }
 
-    /** The store holds another attempt against the machine. */
+    /** Adds an attempt that the store assigns to the machine. */
     void add(AssignedAttempt attempt) {
         attempts.put(attempt.id(), attempt);
     }
 
-    /** Removes an attempt; null if there was none. */
+    /** Removes and returns an attempt; returns null if there was none. */
     AssignedAttempt remove(AttemptId id) {
         return attempts.remove(id);
     }
 
-    /** The resources taken by attempts that may be on the machine, updated in place by those who count attempts. */
+    /**
+     * Returns the resources used by attempts that may be on the machine. The classes that count attempts update it in
+     * place.
+     */
     ResourceUsage usage() {
         return usage;
     }
 
-    /** The number of tasks of the job that fit beside what is used and reserved. */
+    /** Returns the number of tasks of the job that fit into the resources that are neither used nor reserved. */
     int capacityFor(MachineType type, Job job) {
         return reserved == null
                 ? usage.capacityFor(type, job)
                 : new ResourceUsage(usage).add(reserved).capacityFor(type, job);
     }
 
-    /** Reserves room for one task of the job. */
+    /** Reserves resources for one task of the job. */
     void reserve(Job job) {
         reserved = reserved == null ? new ResourceUsage() : reserved;
         reserved.add(job);
     }
 
-    /** Drops all reservations. */
+    /** Releases all reservations. */
     void clearReservations() {
         reserved = null;
     }
 
-    /** Since when nothing has been on the machine, in steady time. */
+    /** Returns the steady time since which the machine has been idle. */
     long idleSinceMs() {
         return idleSinceMs;
     }
 
     /**
-     * An attempt ended or a launch was taken back: if nothing may be on the machine any more, it is idle from now on.
+     * Called when an attempt ended or a launch was taken back. If no attempt can be on the machine any more, the
+     * machine is idle from now on.
      */
     void markIdleIfEmpty(long nowMs) {
         if (attempts.isEmpty() && usage.isEmpty()) {
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -12,12 +12,12 @@
 import java.util.List;
 
 /**
- * All known machines, whoever owns them, with what the replica and the writes in flight put on them. It is the facade
- * of the components that keep this, and passes changes of the replica on to them.
+ * All known machines, regardless of their owner, with the attempts that the replica and the writes in flight assign to
+ * them. It is the facade of the classes that track these, and forwards changes of the replica to them.
  */
 public final class MachineRegistry {
-    /** A machine is faulty once tasks of so many jobs failed on it that do not fail everywhere. */
-    private static final int FAULTY_JOBS = 2;
+    /** A machine is faulty once tasks of this many jobs failed on it, not counting jobs that are themselves faulty. */
+    private static final int FAULTY_MACHINE_MIN_JOBS = 2;
 
     private final String self;
     private final MachineTypeCatalog types = new MachineTypeCatalog();
@@ -28,7 +28,7 @@
     private final AttemptTracker attempts;
     private final MachineDiscovery discovery;
 
-    /** A registry without machines, which follows the replica. */
+    /** Creates a registry without machines, which follows the replica. */
     public MachineRegistry(ControllerContext context, StoreReplica replica, PeerTable peers) {
         this.self = context.settings().controllerName();
         this.owned = new OwnedMachines(context, replica);
@@ -39,87 +39,89 @@
     }
 
     /** Replaces the machine types that the cloud offers. */
-    public void setTypes(List<MachineType> read) {
-        types.replaceAll(read);
-        machines.all().forEach(Machine::forgetResolvedType);
+    public void setTypes(List<MachineType> newTypes) {
+        types.replaceAll(newTypes);
+        machines.all().forEach(Machine::clearResolvedType);
     }
 
-    /** The machine types that the cloud offers. */
+    /** Returns the machine types that the cloud offers. */
     public Collection<MachineType> types() {
         return types.all();
     }
 
-    /** The contention of jobs for machine types. */
+    /** Returns the contention of jobs for machine types. */
     public MachineTypeContention typeContention() {
         return types.contention();
     }
 
-    /** The machine type of that name, or null if the cloud offers none. */
+    /** Returns the machine type with the given name, or null if the cloud does not offer it. */
     public MachineType type(String name) {
         return types.get(name);
     }
 
-    /** The machine's type, or null while it is not known. */
+    /** Returns the machine's type, or null while it is not known. */
     public MachineType type(Machine machine) {
         return machine.resolveType(types);
     }
 
-    /** The machine, or null if it is not known. */
+    /** Returns the machine, or null if it is not known. */
     public Machine get(String name) {
         return machines.get(name);
     }
 
-    /** The machine, which is added if it is not known. */
+    /** Returns the machine, adding it if it is not known. */
     public Machine getOrCreate(String name) {
         return machines.getOrCreate(name);
     }
 
-    /** All known machines. */
+    /** Returns all known machines. */
     public Collection<Machine> all() {
         return machines.all();
     }
 
-    /** Machines of this controller's partition. */
+    /** Returns the machines in this controller's partition. */
     public Collection<Machine> owned() {
         return owned.all();
     }
 
-    /** True if the machine is in this controller's partition. */
+    /** Returns true if the machine is in this controller's partition. */
     public boolean owns(Machine machine) {
         return owned.owns(machine);
     }
 
-    /** There may be something to command to the machine, if it is in this controller's partition. */
+    /** Marks the machine to have its commands planned again, if it is in this controller's partition. */
     public void markChanged(Machine machine) {
         owned.markChanged(machine);
     }
 
-    /** There may be something to command wherever the job has attempts. */
+    /** Marks all machines on which the job has attempts to have their commands planned again. */
     public void markChangedFor(JobEntry job) {
         attempts.markMachinesChanged(job);
     }
 
-    /** Machines of this partition for which there may be something to command; the caller clears it. */
+    /**
+     * Returns the machines of this partition whose commands are to be planned again; the caller clears the collection.
+     */
     public Collection<Machine> changed() {
         return owned.changed();
     }
 
-    /** True if the machine is proven terminated. */
+    /** Returns true if the machine is proven terminated. */
     public boolean isTerminated(String name) {
         return machines.isTerminated(name);
     }
 
-    /** What this controller is doing for each job. */
+    /** Returns what this controller is doing for each job. */
     public JobProgressTable progress() {
         return progress;
     }
 
-    /** What the teams' tasks may be using. */
+    /** Returns the resources that the teams' tasks may be using. */
     public TeamUsage teamUsage() {
         return teamUsage;
     }
 
-    /** Follows the slices, job records, partition map and decommissions. */
+    /** Applies changes of slices, job records, the partition map and decommission records. */
     public void onReplicaChange(ReplicaChange change) {
         if (change instanceof ReplicaChange.SliceChanged slice) {
             attempts.onSliceChanged(slice);
@@ -135,13 +137,16 @@
 
     private void updateContention(ReplicaChange.JobChanged change) {
         if (change.before() == null && change.after() != null) {
-            types.contention().jobAdded(change.after().job().requirements());
+            types.contention().onJobAdded(change.after().job().requirements());
         } else if (change.before() != null && change.after() == null) {
-            types.contention().jobRemoved(change.before().job().requirements());
+            types.contention().onJobRemoved(change.before().job().requirements());
         }
     }
 
-    /** A map that was missed may have given this controller's machines to another and back: they count as new to it. */
+    /**
+     * Updates the owners of all machines. If a map was missed, this controller's machines may have been transferred to
+     * another controller and back; they then count as newly acquired.
+     */
     private void onPartitionMapChanged(ReplicaChange.PartitionMapChanged change) {
         long incarnationBefore = change.before() == null ? 0 : change.before().incarnation(self);
         boolean memberThroughout = change.complete()
@@ -160,13 +165,16 @@
         }
     }
 
-    /** A heartbeat proves the attempt's end: its room is free, but its team's limit counts it until that is durable. */
+    /**
+     * Called when a heartbeat proves that the attempt ended. Its resources on the machine are free at once; it counts
+     * against its team's limit until the end is durable.
+     */
     public void onAttemptEnded(Machine machine, AssignedAttempt attempt) {
-        attempts.attemptEnded(machine, attempt);
+        attempts.onAttemptEnded(machine, attempt);
     }
 
     /**
-     * Learns a machine from a list or a peer; its own heartbeats are not overruled.
+     * Adds a machine or updates its description; what the machine's own heartbeats stated is not overwritten.
      *
      * @return the machine, or null if it is proven terminated
      */
@@ -174,17 +182,17 @@
         return discovery.discover(name, address, type, zone, spot);
     }
 
-    /** Learns the machines that a peer lists. */
+    /** Adds the machines that a peer lists. */
     public void discoverFrom(PeerStatus status) {
         discovery.discoverFrom(status);
     }
 
-    /** True if the machine's owner, another controller, has listed it within the last few seconds. */
+    /** Returns true if the machine's owner, another controller, has listed it within the last few seconds. */
     public boolean isListedByOwner(Machine machine) {
         return discovery.isListedByOwner(machine);
     }
 
-    /** True if tasks of two jobs failed on the machine that do not fail everywhere. */
+    /** Returns true if tasks of two jobs failed on the machine, not counting jobs that are themselves faulty. */
     public boolean isFaulty(Machine machine) {
         int failedJobs = 0;
         for (String job : machine.failedJobs()) {
@@ -193,6 +201,6 @@
                 failedJobs++;
             }
         }
-        return failedJobs >= FAULTY_JOBS;
+        return failedJobs >= FAULTY_MACHINE_MIN_JOBS;
     }
 }
--- a/src/main/java/dewlane/core/fleet/MachineTable.java
+++ b/src/main/java/dewlane/core/fleet/MachineTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All known machines by name, whoever owns them, and the names of those proven terminated. */
+/** All known machines by name, regardless of their owner, and the names of those proven terminated. */
 final class MachineTable {
     private final ControllerContext context;
     private final OwnedMachines owned;
@@ -19,12 +19,12 @@
         this.owned = owned;
     }
 
-    /** The machine, or null if it is not known. */
+    /** Returns the machine, or null if it is not known. */
     Machine get(String name) {
         return byName.get(name);
     }
 
-    /** The machine, which is added if it is not known. */
+    /** Returns the machine, adding it if it is not known. */
     Machine getOrCreate(String name) {
         Machine machine = byName.get(name);
         if (machine == null) {
@@ -35,12 +35,12 @@
         return machine;
     }
 
-    /** All known machines, in the order in which they became known. */
+    /** Returns all known machines, in the order in which they became known. */
     Collection<Machine> all() {
         return byName.values();
     }
 
-    /** The machine is proven terminated. It stays known while the store holds attempts against it. */
+    /** Records that the machine is proven terminated. It stays in the table while the store assigns attempts to it. */
     void markTerminated(String name) {
         terminated.add(name);
         Machine machine = byName.get(name);
@@ -49,12 +49,12 @@
         }
     }
 
-    /** True if the machine is proven terminated. */
+    /** Returns true if the machine is proven terminated. */
     boolean isTerminated(String name) {
         return terminated.contains(name);
     }
 
-    /** Removes the machine once it is proven terminated and no attempts are held against it. */
+    /** Removes the machine if it is proven terminated and the store assigns no attempts to it. */
     void removeIfTerminated(Machine machine) {
         if (machine.attempts().isEmpty() && terminated.contains(machine.name())) {
             byName.remove(machine.name());
--- a/src/main/java/dewlane/core/fleet/MachineTypeCatalog.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeCatalog.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The machine types that the cloud offers, by name, and how jobs contend for them. */
+/** The machine types that the cloud offers, by name, and the contention of jobs for them. */
 final class MachineTypeCatalog {
     private final Map<String, MachineType> byName = new LinkedHashMap<>();
     private final MachineTypeContention contention = new MachineTypeContention(byName.values());
@@ -16,20 +16,20 @@
     void replaceAll(List<MachineType> types) {
         byName.clear();
         types.forEach(type -> byName.put(type.name(), type));
-        contention.typesChanged();
+        contention.onTypesChanged();
     }
 
-    /** All types, in the order in which the cloud lists them. */
+    /** Returns all types, in the order in which the cloud lists them. */
     Collection<MachineType> all() {
         return Collections.unmodifiableCollection(byName.values());
     }
 
-    /** The type of that name, or null if the cloud offers none. */
+    /** Returns the type with the given name, or null if the cloud does not offer it. */
     MachineType get(String name) {
         return byName.get(name);
     }
 
-    /** The contention of jobs for the types. */
+    /** Returns the contention of jobs for the types. */
     MachineTypeContention contention() {
         return contention;
     }
--- a/src/main/java/dewlane/core/fleet/MachineTypeContention.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeContention.java
@@ -7,42 +7,46 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The contention of jobs for machine types: a type should be left to jobs that can use fewer others. */
+/**
+ * Determines the contention of jobs for machine types: a type should be left to jobs that can use fewer other types.
+ */
 public final class MachineTypeContention {
     private record RequirementsOnType(Job.Requirements requirements, String type) {}
 
     private final Collection<MachineType> types;
-    /** The requirements of the jobs that are not over, and how many jobs have each. */
+    /** The requirements of the active jobs, and how many jobs have each. */
     private final Object2IntOpenHashMap<Job.Requirements> activeJobs = new Object2IntOpenHashMap<>();
-    /** Cached until active requirements or types change, as it is asked for with every job and type. */
+    /** Cached until the active requirements or the types change, as it is needed for every job and type. */
     private final Map<RequirementsOnType, Integer> cachedContention = new HashMap<>();
 
-    /** Contention for the given types, a live view: whoever changes it calls {@link #typesChanged}. */
+    /**
+     * Creates the contention for the given types, a live view: whoever changes the types calls {@link #onTypesChanged}.
+     */
     MachineTypeContention(Collection<MachineType> types) {
         this.types = types;
     }
 
-    /** The machine types have changed. */
-    void typesChanged() {
+    /** Called when the machine types have changed. */
+    void onTypesChanged() {
         cachedContention.clear();
     }
 
-    /** There is one more job with the requirements. */
-    void jobAdded(Job.Requirements requirements) {
+    /** Called when a job with the requirements was added. */
+    void onJobAdded(Job.Requirements requirements) {
         if (activeJobs.addTo(requirements, 1) == 0) {
             cachedContention.clear();
         }
     }
 
-    /** There is one job less with the requirements. */
-    void jobRemoved(Job.Requirements requirements) {
+    /** Called when a job with the requirements was removed. */
+    void onJobRemoved(Job.Requirements requirements) {
         if (activeJobs.addTo(requirements, -1) == 1) {
             activeJobs.removeInt(requirements);
             cachedContention.clear();
         }
     }
 
-    /** The number of types that tasks with the requirements fit on and may use. */
+    /** Returns the number of types that a task with the requirements fits on and may use. */
     public int usableTypeCount(Job.Requirements requirements) {
         int count = 0;
         for (MachineType type : types) {
@@ -58,8 +62,8 @@
     }
 
     /**
-     * 1 if an active job that can use fewer types could use this one, so that a job with the requirements should use
-     * another; 0 if not.
+     * Returns 1 if an active job that can use fewer types could use this one, so that a job with the requirements
+     * should use another type; otherwise 0. Jobs whose tasks need the same CPUs and memory are not compared.
      */
     public int contention(Job.Requirements requirements, MachineType type) {
         return cachedContention.computeIfAbsent(
--- a/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
+++ b/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
@@ -2,29 +2,31 @@
 
 import dewlane.core.model.Heartbeat;
 
-/** Heartbeats of a machine's worker that came here although another controller owns the machine. */
+/** Records heartbeats of a machine's worker that arrived here although another controller owns the machine. */
 public final class MisroutedHeartbeats {
-    /** The first heartbeat counts for nothing by itself, nor does a copy of it. */
+    /**
+     * Returned for the first heartbeat of a series and for copies of it, which do not show that the worker came back.
+     */
     private static final long NOT_RETURNED = -1;
 
     private static final long NONE = 0;
 
-    /** When the first one that counts came. */
+    /** When the first heartbeat of the series arrived. */
     private long firstAtMs = NONE;
 
     private long firstIncarnation;
     private long firstSequence;
 
-    /** None so far count: the worker may just be looking for its new owner. */
+    /** Drops the series: the worker may only have been looking for the machine's new owner. */
     public void reset() {
         firstAtMs = NONE;
     }
 
     /**
-     * Counts a heartbeat. It begins a new series if the first one came longer than the window ago.
+     * Records a heartbeat. It begins a new series if the first one of the series arrived longer ago than the window.
      *
-     * @return for how many milliseconds the worker has been coming here; negative unless the heartbeat is newer than
-     *     the first one that counts
+     * @return the milliseconds since the first heartbeat of the series; negative unless this heartbeat is newer than
+     *     that
      */
     public long record(Heartbeat heartbeat, long nowMs, long windowMs) {
         if (firstAtMs == NONE || nowMs - firstAtMs > windowMs) {
--- a/src/main/java/dewlane/core/fleet/OwnedMachines.java
+++ b/src/main/java/dewlane/core/fleet/OwnedMachines.java
@@ -8,13 +8,13 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The machines of this controller's partition, under the replica's partition map. */
+/** The machines in this controller's partition, according to the replica's partition map. */
 final class OwnedMachines {
     private final ControllerContext context;
     private final StoreReplica replica;
     private final String self;
     private final Set<Machine> owned = new LinkedHashSet<>();
-    /** Those for which there may be something to command. */
+    /** The owned machines whose commands are to be planned again. */
     private final Set<Machine> changed = new LinkedHashSet<>();
 
     OwnedMachines(ControllerContext context, StoreReplica replica) {
@@ -23,22 +23,24 @@
         this.self = context.settings().controllerName();
     }
 
-    /** True if the machine is in this controller's partition. */
+    /** Returns true if the machine is in this controller's partition. */
     boolean owns(Machine machine) {
         return self.equals(machine.owner());
     }
 
-    /** The machines of this partition. */
+    /** Returns the machines in this partition. */
     Collection<Machine> all() {
         return owned;
     }
 
-    /** Machines of this partition for which there may be something to command; the caller clears it. */
+    /**
+     * Returns the machines in this partition whose commands are to be planned again; the caller clears the collection.
+     */
     Collection<Machine> changed() {
         return changed;
     }
 
-    /** There may be something to command to the machine, if it is in this partition. */
+    /** Marks the machine to have its commands planned again, if it is in this partition. */
     void markChanged(Machine machine) {
         if (owns(machine)) {
             changed.add(machine);
@@ -46,10 +48,10 @@
     }
 
     /**
-     * Sets the machine's owner under the present map.
+     * Sets the machine's owner under the current partition map.
      *
-     * @param reacquire true if this controller may not have owned its machines all along: those that it owns now count
-     *     as new to it
+     * @param reacquire true if this controller may not have owned its machines throughout: those that it owns now count
+     *     as newly acquired
      */
     void updateOwner(Machine machine, boolean reacquire) {
         PartitionMap map = replica.partitionMap();
@@ -57,7 +59,7 @@
         machine.setOwner(Partitioner.ownerOf(map, machine.name()), reacquire, context.nowMs());
         if (!owns(machine)) {
             remove(machine);
-            machine.reachability().handedOver();
+            machine.reachability().onNotOwned();
         } else if (reacquire || !wasOwned) {
             machine.acquire(map.epoch(), context.nowMs());
             owned.add(machine);
@@ -65,7 +67,7 @@
         }
     }
 
-    /** The machine is not in this partition, or not there, any more. */
+    /** Removes a machine that is terminated or not in this partition any more. */
     void remove(Machine machine) {
         owned.remove(machine);
         changed.remove(machine);
--- a/src/main/java/dewlane/core/fleet/PartitionCapacity.java
+++ b/src/main/java/dewlane/core/fleet/PartitionCapacity.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * How many tasks fit on the machines of each partition, as far as this controller knows. Counts are cached for a
- * moment, as they are asked for with every job.
+ * Estimates how many tasks fit on the machines of each partition, from this controller's view. Counts are cached
+ * briefly, as they are needed for every job.
  */
 public final class PartitionCapacity {
     private static final long CACHE_TTL_MS = 250;
@@ -19,21 +19,28 @@
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
-    /** By requirements, the number of tasks that fit into each partition, in the order of the map's members. */
+    /**
+     * For each set of requirements, the number of tasks that fit into each partition, in the order of the map's
+     * members.
+     */
     private final Map<Job.Requirements, int[]> cached = new HashMap<>();
 
     private long countedAtMs = ControllerContext.NEVER_MS;
     private long countedForRevision;
     private long generation;
 
-    /** Counts over the registry's machines and the replica's partition map. */
+    /** Creates an estimator over the registry's machines and the replica's partition map. */
     public PartitionCapacity(ControllerContext context, StoreReplica replica, MachineRegistry machines) {
         this.context = context;
         this.replica = replica;
         this.machines = machines;
     }
 
-    /** Drops counts that are too old; returns a number that changes whenever counts were dropped. */
+    /**
+     * Drops counts that are out of date.
+     *
+     * @return a number that increases whenever counts are dropped
+     */
     public long refresh() {
         if (context.nowMs() - countedAtMs > CACHE_TTL_MS || replica.partitionMapRevision() != countedForRevision) {
             cached.clear();
@@ -44,7 +51,7 @@
         return generation;
     }
 
-    /** The number of the job's tasks that fit into each partition, in the order of the map's members. */
+    /** Returns the number of the job's tasks that fit into each partition, in the order of the map's members. */
     public int[] byPartition(Job job, Job.Requirements requirements) {
         refresh();
         return cached.computeIfAbsent(requirements, key -> count(job, key));
@@ -63,9 +70,9 @@
     }
 
     /**
-     * The position of a controller among the members.
+     * Returns the position of a controller among the members.
      *
-     * @throws IllegalStateException if it is no member
+     * @throws IllegalStateException if it is not a member
      */
     public static int indexOf(List<Member> members, String controller) {
         for (int i = 0; i < members.size(); i++) {
--- a/src/main/java/dewlane/core/fleet/PendingOutcomes.java
+++ b/src/main/java/dewlane/core/fleet/PendingOutcomes.java
@@ -5,39 +5,46 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The outcomes of a job's attempts that the replica does not show yet, and since when they gather for a write. */
+/**
+ * The outcomes of a job's attempts that the replica does not show yet. Outcomes of a slice are collected in a batch
+ * until they are written.
+ */
 final class PendingOutcomes {
     private final Map<AttemptId, Outcome> byAttempt = new HashMap<>();
-    /** By slice, in steady time. */
-    private final Map<Integer, Long> gatheringSinceMs = new HashMap<>();
+    /** By slice, the steady time of the first outcome in the current batch. */
+    private final Map<Integer, Long> batchOpenedAtMs = new HashMap<>();
 
     boolean isEmpty() {
         return byAttempt.isEmpty();
     }
 
-    /** The outcome of the attempt, or null if none is pending. */
+    /** Returns the outcome of the attempt, or null if none is pending. */
     Outcome get(AttemptId attempt) {
         return byAttempt.get(attempt);
     }
 
-    /** Notes an outcome that is to be made durable; true if it is the first one of the attempt, which counts. */
+    /**
+     * Adds an outcome that is to be made durable. Only the first outcome of an attempt counts.
+     *
+     * @return true if it is the attempt's first outcome
+     */
     boolean add(AssignedAttempt attempt, Outcome outcome, long nowMs) {
-        gatheringSinceMs.putIfAbsent(attempt.slice().number(), nowMs);
+        batchOpenedAtMs.putIfAbsent(attempt.slice().number(), nowMs);
         return byAttempt.putIfAbsent(attempt.id(), outcome) == null;
     }
 
-    /** The replica shows that the attempt is gone. */
+    /** Called when the replica no longer contains the attempt. */
     void remove(AttemptId attempt) {
         byAttempt.remove(attempt);
     }
 
-    /** Since when outcomes of the slice gather; now if none do. */
-    long gatheringSinceMs(int slice, long nowMs) {
-        return gatheringSinceMs.getOrDefault(slice, nowMs);
+    /** Returns the steady time of the first outcome in the slice's current batch; now if the batch is empty. */
+    long batchOpenedAtMs(int slice, long nowMs) {
+        return batchOpenedAtMs.getOrDefault(slice, nowMs);
     }
 
-    /** Outcomes of the slice are being written, so later ones gather anew. */
-    void resetGathering(int slice) {
-        gatheringSinceMs.remove(slice);
+    /** Called when outcomes of the slice are being written: later ones start a new batch. */
+    void closeBatch(int slice) {
+        batchOpenedAtMs.remove(slice);
     }
 }
--- a/src/main/java/dewlane/core/fleet/Reachability.java
+++ b/src/main/java/dewlane/core/fleet/Reachability.java
@@ -1,122 +1,132 @@
 package dewlane.core.fleet;
 
 /**
- * Whether a machine hears this controller, which being heard does not prove. It is confirmed by an answer to a command,
- * or by heartbeats that come in time and show what the response to the last one carried. Otherwise the machine is
- * suspected not to hear, and counts as silent.
+ * Tracks whether this controller's messages reach a machine; a heartbeat that arrives proves only the other direction.
+ * The machine is confirmed reachable by the answer to a command, or by heartbeats that arrive in time and each show
+ * what the response to the previous one carried. Otherwise it is suspected unreachable and counts as unresponsive.
  *
- * <p>Invariant: a suspicion ends only by an answer to a command, or by a heartbeat with a fencing token that was issued
- * after the suspicion began. A late copy has neither.
+ * <p>Invariant: a suspicion ends only with the answer to a command, or with a heartbeat whose fencing token was issued
+ * after the suspicion began. A delayed copy of an earlier heartbeat is neither.
  */
 public final class Reachability {
-    /** No token is as high: nothing but an answer to a command ends the suspicion. */
+    /** Higher than every token: only the answer to a command ends the suspicion. */
     static final long NO_TOKEN_ENDS_IT = Long.MAX_VALUE;
 
     private static final long NEVER = 0;
 
-    /** Since when silence counts. */
-    private long silenceBaselineMs;
-    /** When the machine last proved under the present owner that it hears this controller. */
+    /** Time before this moment does not count as time without contact. */
+    private long contactTimerStartMs;
+    /** When the machine was last confirmed reachable, under its current owner. */
     private long confirmedAtMs = NEVER;
-    /** When a heartbeat of its own came last, not an answer to a command. */
-    private long heartbeatAtMs = NEVER;
-    /** {@link #NEVER} while it is not suspected. */
+    /** When the last heartbeat was accepted, not counting heartbeats that answer commands. */
+    private long lastHeartbeatAtMs = NEVER;
+    /** {@link #NEVER} while the machine is not suspected. */
     private long suspectedSinceMs = NEVER;
     /** A heartbeat with this token or a higher one ends the suspicion. */
     private long suspicionEndingToken;
 
-    private long probedAtMs = NEVER;
-    /** True once the worker was sent the present owner's token. */
+    private long lastProbeAtMs = NEVER;
+    /** False from the acquisition of the machine until the current owner's token is sent to the worker. */
     private boolean tokenSent = true;
 
     Reachability(long nowMs) {
-        silenceBaselineMs = nowMs;
+        contactTimerStartMs = nowMs;
     }
 
-    /** This controller becomes the machine's owner and has not heard it as such. */
-    void acquired(long nowMs, long token) {
-        silenceBaselineMs = nowMs;
+    /**
+     * Called when this controller becomes the machine's owner: it has received no heartbeat as the owner yet, so the
+     * machine is suspected until it shows the given token.
+     */
+    void onAcquired(long nowMs, long token) {
+        contactTimerStartMs = nowMs;
         confirmedAtMs = NEVER;
         suspectedSinceMs = nowMs;
         suspicionEndingToken = token;
-        probedAtMs = NEVER;
+        lastProbeAtMs = NEVER;
         tokenSent = false;
     }
 
-    /** Another controller owns the machine. */
-    void handedOver() {
+    /** Called when the machine is not in this controller's partition. */
+    void onNotOwned() {
         confirmedAtMs = NEVER;
     }
 
-    /** The machine has proved that it hears this controller. */
+    /** Called when the machine has proved that this controller's messages reach it. */
     public void onConfirmed(long nowMs) {
         confirmedAtMs = nowMs;
         suspectedSinceMs = NEVER;
     }
 
-    /** It may not hear this controller; a heartbeat with the given token proves that it does. */
-    void suspected(long nowMs, long endingToken) {
+    /**
+     * Called when the machine may be unreachable. A heartbeat with the given token or a higher one ends the suspicion.
+     */
+    void onSuspected(long nowMs, long endingToken) {
         suspectedSinceMs = nowMs;
-        probedAtMs = NEVER;
+        lastProbeAtMs = NEVER;
         suspicionEndingToken = endingToken;
     }
 
-    /** True while it is suspected not to hear this controller. */
+    /** Returns true while the machine is suspected unreachable. */
     public boolean isSuspected() {
         return suspectedSinceMs != NEVER;
     }
 
-    /** True if a heartbeat with the token ends the suspicion. */
+    /** Returns true if a heartbeat with the token ends the suspicion. */
     public boolean endsSuspicion(long token) {
         return token >= suspicionEndingToken;
     }
 
-    /** True if it was confirmed under the present owner. */
+    /** Returns true if the machine was confirmed reachable under its current owner. */
     public boolean wasConfirmed() {
         return confirmedAtMs != NEVER;
     }
 
-    /** True if it proved within the given time that it hears this controller. */
+    /** Returns true if the machine was confirmed reachable within the given time. */
     public boolean wasConfirmedWithin(long nowMs, long withinMs) {
         return confirmedAtMs != NEVER && nowMs - confirmedAtMs <= withinMs;
     }
 
-    /** For how long it has not proved that it hears this controller. */
+    /**
+     * Returns the time since the machine was last confirmed reachable, or since the contact timer was restarted if that
+     * was later.
+     */
     public long timeSinceLastContactMs(long nowMs) {
-        return nowMs - Math.max(confirmedAtMs, silenceBaselineMs);
+        return nowMs - Math.max(confirmedAtMs, contactTimerStartMs);
     }
 
-    /** Silence before this moment does not count. */
+    /**
+     * Restarts the time since the last contact: time before the given moment no longer counts as time without contact.
+     */
     public void restartContactTimer(long nowMs) {
-        silenceBaselineMs = nowMs;
+        contactTimerStartMs = nowMs;
     }
 
-    /** A heartbeat of its own was accepted. */
+    /** Called when a heartbeat was accepted that does not answer a command. */
     public void onHeartbeatAccepted(long nowMs) {
-        heartbeatAtMs = nowMs;
+        lastHeartbeatAtMs = nowMs;
     }
 
-    /** When a heartbeat of its own was last accepted; 0: never. */
+    /** Returns when a heartbeat was last accepted, not counting those that answer commands; 0 if never. */
     public long lastHeartbeatAtMs() {
-        return heartbeatAtMs;
+        return lastHeartbeatAtMs;
     }
 
-    /** True if it is suspected and was not probed for so long. */
+    /** Returns true if the machine is suspected and was not probed within the given interval. */
     public boolean isProbeDue(long nowMs, long intervalMs) {
-        return isSuspected() && nowMs - probedAtMs > intervalMs;
+        return isSuspected() && nowMs - lastProbeAtMs > intervalMs;
     }
 
-    /** It is asked for a proof that it hears this controller. */
+    /** Called when the machine is probed: it is sent a command whose answer proves that it is reachable. */
     public void onProbeSent(long nowMs) {
-        probedAtMs = nowMs;
+        lastProbeAtMs = nowMs;
     }
 
-    /** The worker is sent the present owner's fencing token by a direct command. */
+    /** Records that a direct command carries the current owner's fencing token to the worker. */
     public void markTokenSent() {
         tokenSent = true;
     }
 
-    /** True if the worker was sent the present owner's fencing token by a direct command. */
+    /** Returns true if a direct command carried the current owner's fencing token to the worker. */
     public boolean isTokenSent() {
         return tokenSent;
     }
--- a/src/main/java/dewlane/core/fleet/WorkerState.java
+++ b/src/main/java/dewlane/core/fleet/WorkerState.java
@@ -6,49 +6,49 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The state of a machine's worker by its latest heartbeat, whether this controller or a peer received it. */
+/** The state of a machine's worker according to its latest heartbeat, whether this controller or a peer received it. */
 public final class WorkerState {
     private long incarnation;
     private long sequence;
     private long fencingToken;
     private Map<AttemptId, TaskStatus> tasks = Map.of();
 
-    /** The worker's incarnation, which grows with each of its starts; 0 before the first heartbeat. */
+    /** Returns the worker's incarnation, which increases with each of its starts; 0 before the first heartbeat. */
     public long incarnation() {
         return incarnation;
     }
 
-    /** The number of the latest heartbeat within the incarnation; 0 before the first. */
+    /** Returns the sequence number of the latest heartbeat within the incarnation; 0 before the first. */
     public long sequence() {
         return sequence;
     }
 
-    /** True before the first heartbeat that this controller accepts. */
+    /** Returns true until this controller accepts a first heartbeat. */
     public boolean hasNoHeartbeat() {
         return fencingToken == 0 && sequence == 0;
     }
 
-    /** True if the heartbeat is newer than the latest one. */
+    /** Returns true if the given heartbeat is newer than the latest one. */
     public boolean isOlderThan(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(incarnation, sequence);
     }
 
-    /** The attempts that the worker lists. */
+    /** Returns the attempts that the worker reports, with their status. */
     public Map<AttemptId, TaskStatus> tasks() {
         return tasks;
     }
 
-    /** The worker's status of an attempt, or null if it does not list it. */
+    /** Returns the worker's status of an attempt, or null if the worker does not report it. */
     public TaskStatus task(AttemptId id) {
         return tasks.get(id);
     }
 
-    /** True if the worker lists the attempt. */
+    /** Returns true if the worker reports the attempt. */
     public boolean reports(AttemptId id) {
         return tasks.containsKey(id);
     }
 
-    /** Takes a heartbeat in place of the latest one. */
+    /** Replaces the state by that of an accepted heartbeat. */
     public void accept(Heartbeat heartbeat) {
         incarnation = heartbeat.incarnation();
         sequence = heartbeat.sequence();
@@ -59,7 +59,7 @@
         }
     }
 
-    /** A peer received a heartbeat with these numbers; an older one changes nothing. */
+    /** Called when a peer received a heartbeat with these numbers; numbers older than the latest are ignored. */
     void advanceTo(long newIncarnation, long newSequence) {
         if (newIncarnation < incarnation) {
             return;
@@ -68,8 +68,8 @@
         incarnation = newIncarnation;
     }
 
-    /** The machine has another owner, which waits for a heartbeat of its own. */
-    void forgetTasks() {
+    /** Clears the reported attempts when the machine has a new owner, which has to receive a heartbeat first. */
+    void clearTasks() {
         tasks = Map.of();
     }
 }
--- a/src/main/java/dewlane/core/fleet/package-info.java
+++ b/src/main/java/dewlane/core/fleet/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The machines and what may be running on them: attempts, resource usage, the command channel to each worker, and the
- * writes that are in flight for each job.
+ * The machines and the tasks that may be running on them: attempts, resource usage, the command channel to each worker,
+ * and the writes in flight for each job.
  *
- * <p>{@code MachineRegistry} is the facade: it passes changes of the replica on to the components that follow them. A
- * {@code Machine} is composed of components with one job each; {@code worker} updates them from heartbeats.
+ * <p>{@code MachineRegistry} is the facade: it forwards changes of the replica to the components that track them. A
+ * {@code Machine} is composed of components with one responsibility each; {@code worker} updates them from heartbeats.
  *
- * <p>Guards the rules that fencing tokens are never used twice, and that an attempt is forgotten only once no copy of
- * its launch can arrive. May depend on {@code membership} and below.
+ * <p>This package ensures that a fencing token is never used twice, and that a worker is told to forget an attempt only
+ * when no copy of the attempt's launch can still take effect. It may depend on {@code membership} and the packages
+ * below it.
  */
 package dewlane.core.fleet;
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -10,11 +10,12 @@
 import java.util.function.Consumer;
 
 /**
- * A controller and a worker with two attempts, joined by a {@link CommandChannel}, at one moment: what is recorded,
- * what is on the worker, and all messages under way. It is copied, changed by one action, and then left alone.
+ * State of a model with a controller and a worker with two attempts, connected by a {@link CommandChannel}: what is
+ * stored, what is on the worker, and all messages in flight. Each action is applied to a copy, which is not changed
+ * after that.
  */
 final class ChannelModel {
-    /** The attempts, both launched under the first token. */
+    /** The attempts, both launched with the first token. */
     enum Task {
         ONE,
         TWO;
@@ -31,7 +32,7 @@
         END_DURABLE
     }
 
-    /** What the worker has of an attempt. */
+    /** The state of an attempt on the worker. */
     enum OnWorker {
         NEVER_SEEN,
         RUNNING,
@@ -39,7 +40,7 @@
         FORGOTTEN
     }
 
-    /** Orders under way to the worker. */
+    /** Commands in flight to the worker, directly or in a response. */
     record Message(long token, Set<Task> launches, Set<Task> forgets) {
         Set<AttemptId> launchKeys() {
             Set<AttemptId> keys = new HashSet<>();
@@ -48,61 +49,64 @@
         }
     }
 
-    /** A report under way. */
+    /** A heartbeat in flight. */
     record WorkerReport(long sequence, long tokenSeen, Map<Task, OnWorker> tasks) {}
 
-    /** What has been done with the channel since the beginning; it is made anew from that for each model. */
+    /** The calls on the channel since the beginning. Each model creates its channel by repeating them. */
     private final List<Consumer<CommandChannel>> steps = new ArrayList<>();
 
-    final Map<Task, Recorded> recorded = new EnumMap<>(Task.class);
-    final Map<Task, OnWorker> worker = new EnumMap<>(Task.class);
+    final Map<Task, Recorded> stored = new EnumMap<>(Task.class);
+    final Map<Task, OnWorker> onWorker = new EnumMap<>(Task.class);
     final Map<Task, OnWorker> reported = new EnumMap<>(Task.class);
-    final List<Message> commands = new ArrayList<>();
-    /** The command whose answer the controller awaits, or null if it awaits none or that one's answer is lost. */
-    Message awaited;
-
-    boolean controllerWaits;
-    /** The report on its way, or the answer to it; the worker waits for that, and at most one is there. */
-    WorkerReport report;
-
-    Message answer;
-    boolean workerWaits;
-    /** A report that the worker has given up on and that still arrives. */
-    WorkerReport lateReport;
-
-    int fences;
+    final List<Message> commandsInFlight = new ArrayList<>();
+    /** The direct command whose answer the controller awaits; null if it awaits none or if that answer is lost. */
+    Message awaitedCommand;
+
+    boolean controllerAwaitsAnswer;
+    /**
+     * The heartbeat in flight, or else the response to it. The worker awaits the response, so at most one of them is in
+     * flight.
+     */
+    WorkerReport heartbeat;
+
+    Message response;
+    boolean workerAwaitsResponse;
+    /** A heartbeat whose response the worker no longer awaits and that still arrives. */
+    WorkerReport delayedHeartbeat;
+
+    int raisedFences;
     boolean launchedAgain;
     private long tokenSeen;
     private long sequence;
-    private long sequenceTaken;
+    private long acceptedSequence;
 
     ChannelModel() {
         for (Task task : Task.values()) {
-            recorded.put(task, Recorded.LIVE);
-            worker.put(task, OnWorker.NEVER_SEEN);
+            stored.put(task, Recorded.LIVE);
+            onWorker.put(task, OnWorker.NEVER_SEEN);
         }
         step(channel -> channel.acquire(1));
     }
 
     ChannelModel(ChannelModel from) {
         steps.addAll(from.steps);
-        recorded.putAll(from.recorded);
-        worker.putAll(from.worker);
+        stored.putAll(from.stored);
+        onWorker.putAll(from.onWorker);
         reported.putAll(from.reported);
-        commands.addAll(from.commands);
-        awaited = from.awaited;
-        controllerWaits = from.controllerWaits;
-        report = from.report;
-        answer = from.answer;
-        workerWaits = from.workerWaits;
-        lateReport = from.lateReport;
+        commandsInFlight.addAll(from.commandsInFlight);
+        awaitedCommand = from.awaitedCommand;
+        controllerAwaitsAnswer = from.controllerAwaitsAnswer;
+        heartbeat = from.heartbeat;
+        response = from.response;
+        workerAwaitsResponse = from.workerAwaitsResponse;
+        delayedHeartbeat = from.delayedHeartbeat;
         tokenSeen = from.tokenSeen;
         sequence = from.sequence;
-        sequenceTaken = from.sequenceTaken;
-        fences = from.fences;
+        acceptedSequence = from.acceptedSequence;
+        raisedFences = from.raisedFences;
     }
 
-    private CommandChannel channel() {
+    private CommandChannel newChannel() {
         CommandChannel channel = new CommandChannel();
         steps.forEach(step -> step.accept(channel));
         return channel;
@@ -112,18 +116,28 @@
         steps.add(step);
     }
 
-    /** Two models with the same description have the same future. */
+    /** Returns a description of the state. Models with equal descriptions have the same possible continuations. */
     String description() {
-        CommandChannel channel = channel();
-        CommandChannel withoutCommand = channel();
+        CommandChannel channel = newChannel();
+        CommandChannel withoutCommand = newChannel();
         withoutCommand.onCommandResolved();
-        CommandChannel withoutAnswer = channel();
+        CommandChannel withoutAnswer = newChannel();
         withoutAnswer.onResponseResolved();
         StringBuilder text = new StringBuilder();
-        text.append(recorded).append(worker).append(reported).append(commands).append(controllerWaits);
-        text.append(awaited == null ? -1 : commands.indexOf(awaited));
-        text.append(describe(report)).append(answer).append(workerWaits).append(describe(lateReport));
-        text.append(tokenSeen).append(fences).append(channel.fencingToken()).append(channel.isCommandInFlight());
+        text.append(stored)
+                .append(onWorker)
+                .append(reported)
+                .append(commandsInFlight)
+                .append(controllerAwaitsAnswer);
+        text.append(awaitedCommand == null ? -1 : commandsInFlight.indexOf(awaitedCommand));
+        text.append(describe(heartbeat))
+                .append(response)
+                .append(workerAwaitsResponse)
+                .append(describe(delayedHeartbeat));
+        text.append(tokenSeen)
+                .append(raisedFences)
+                .append(channel.fencingToken())
+                .append(channel.isCommandInFlight());
         for (Task task : Task.values()) {
             text.append(channel.isLaunchAbandoned(task.key()))
                     .append(withoutCommand.isLaunchInFlight(task.key()))
@@ -132,32 +146,34 @@
         return text.toString();
     }
 
-    private String describe(WorkerReport of) {
-        return of == null ? "-" : isNews(of) + " " + of.tokenSeen + of.tasks;
+    private String describe(WorkerReport received) {
+        return received == null ? "-" : isNewer(received) + " " + received.tokenSeen + received.tasks;
     }
 
-    private boolean isNews(WorkerReport of) {
-        return of.sequence > sequenceTaken;
+    private boolean isNewer(WorkerReport received) {
+        return received.sequence > acceptedSequence;
     }
 
-    /** What the planner of orders sends, with the rule for forgetting that it asks the channel for. */
-    Message orders() {
+    /**
+     * Returns the commands that the planner would send, with the channel's rule for when an attempt may be forgotten.
+     */
+    Message planCommands() {
         Set<Task> launches = new HashSet<>();
         Set<Task> forgets = new HashSet<>();
         for (Task task : Task.values()) {
-            if (recorded.get(task) == Recorded.END_DURABLE && reported.get(task) == OnWorker.ENDED) {
+            if (stored.get(task) == Recorded.END_DURABLE && reported.get(task) == OnWorker.ENDED) {
                 forgets.add(task);
             }
         }
-        CommandChannel before = channel();
-        if (forgets.stream().anyMatch(task -> before.isLaunchAbandoned(task.key()))) {
+        CommandChannel beforeFence = newChannel();
+        if (forgets.stream().anyMatch(task -> beforeFence.isLaunchAbandoned(task.key()))) {
             step(CommandChannel::raiseFence);
         }
-        CommandChannel channel = channel();
+        CommandChannel channel = newChannel();
         forgets.removeIf(task -> channel.isLaunchInFlight(task.key()));
         for (Task task : Task.values()) {
             if (channel.fencingToken() == firstToken()
-                    && recorded.get(task) == Recorded.LIVE
+                    && stored.get(task) == Recorded.LIVE
                     && !reported.containsKey(task)) {
                 launches.add(task);
             }
@@ -171,61 +187,61 @@
         return channel.fencingToken();
     }
 
-    /** The worker carries out orders; a task that they launch runs, or ends at once. */
-    void execute(Message orders, OnWorker started) {
-        if (orders.token() < tokenSeen) {
+    /** The worker executes commands. A task that they launch runs, or ends at once. */
+    void execute(Message commands, OnWorker started) {
+        if (commands.token() < tokenSeen) {
             return;
         }
-        tokenSeen = orders.token();
-        for (Task task : orders.launches()) {
-            launchedAgain |= worker.get(task) == OnWorker.FORGOTTEN;
-            if (worker.get(task) == OnWorker.NEVER_SEEN) {
-                worker.put(task, started);
+        tokenSeen = commands.token();
+        for (Task task : commands.launches()) {
+            launchedAgain |= onWorker.get(task) == OnWorker.FORGOTTEN;
+            if (onWorker.get(task) == OnWorker.NEVER_SEEN) {
+                onWorker.put(task, started);
             }
         }
-        for (Task task : orders.forgets()) {
-            if (worker.get(task) == OnWorker.ENDED) {
-                worker.put(task, OnWorker.FORGOTTEN);
+        for (Task task : commands.forgets()) {
+            if (onWorker.get(task) == OnWorker.ENDED) {
+                onWorker.put(task, OnWorker.FORGOTTEN);
             }
         }
     }
 
-    WorkerReport newReport() {
+    WorkerReport nextHeartbeat() {
         Map<Task, OnWorker> tasks = new EnumMap<>(Task.class);
-        worker.forEach((task, on) -> {
-            if (on == OnWorker.RUNNING || on == OnWorker.ENDED) {
-                tasks.put(task, on);
+        onWorker.forEach((task, state) -> {
+            if (state == OnWorker.RUNNING || state == OnWorker.ENDED) {
+                tasks.put(task, state);
             }
         });
         return new WorkerReport(++sequence, tokenSeen, tasks);
     }
 
-    /** The controller takes a report, unless it is older than one that it has taken. */
-    boolean take(WorkerReport taken) {
-        if (!isNews(taken)) {
+    /** The controller accepts a heartbeat unless it is older than one that it accepted; returns whether it did. */
+    boolean accept(WorkerReport received) {
+        if (!isNewer(received)) {
             return false;
         }
-        sequenceTaken = taken.sequence;
+        acceptedSequence = received.sequence;
         reported.clear();
-        reported.putAll(taken.tasks);
+        reported.putAll(received.tasks);
         for (Task task : Task.values()) {
-            boolean ended = taken.tasks.get(task) == OnWorker.ENDED;
-            boolean gone = !taken.tasks.containsKey(task) && taken.tokenSeen > firstToken();
-            if (recorded.get(task) == Recorded.LIVE && (ended || gone)) {
-                recorded.put(task, Recorded.END_REPORTED);
+            boolean ended = received.tasks.get(task) == OnWorker.ENDED;
+            boolean fencedOff = !received.tasks.containsKey(task) && received.tokenSeen > firstToken();
+            if (stored.get(task) == Recorded.LIVE && (ended || fencedOff)) {
+                stored.put(task, Recorded.END_REPORTED);
             }
         }
         return true;
     }
 
-    /** The controller takes a report and answers it; null if it refuses it. */
-    Message answerTo(WorkerReport taken) {
-        if (!take(taken)) {
+    /** The controller accepts a heartbeat and returns the response; null if it rejects the heartbeat. */
+    Message respondTo(WorkerReport received) {
+        if (!accept(received)) {
             return null;
         }
         step(CommandChannel::onResponseResolved);
-        Message orders = orders();
-        step(channel -> channel.onResponseSent(orders.launchKeys()));
-        return orders;
+        Message commands = planCommands();
+        step(channel -> channel.onResponseSent(commands.launchKeys()));
+        return commands;
     }
 }
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -16,35 +16,38 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays every order in which commands, reports and answers about one machine with two attempts may be sent, delivered,
- * delivered late, lost and given up on, with two commands under way and one raised fence at most, and looks whether an
- * attempt is launched again after the worker was told to forget it.
+ * Checks that no launch starts an attempt again after the worker was told to forget it. A delayed copy of the launch
+ * would do so if the forget command carried a token that is not above the launch's.
+ *
+ * <p>Explores every order in which commands, heartbeats and responses of one machine with two attempts can be sent,
+ * delivered, delayed, lost and timed out, with at most two commands in flight and one raised fence.
  */
 class CommandChannelTest {
-    private static final int MAX_COMMANDS_UNDER_WAY = 2;
+    private static final int MAX_COMMANDS_IN_FLIGHT = 2;
     private static final int MAX_RAISED_FENCES = 1;
-    /** What a launch may bring about: the task runs, or is refused or fails at once. */
+    /** What a launch may lead to: the task runs, or it is refused or fails at once. */
     private static final List<OnWorker> STARTED = List.of(OnWorker.RUNNING, OnWorker.ENDED);
 
-    private final Set<String> seen = new HashSet<>();
-    private final Deque<ChannelModel> open = new ArrayDeque<>();
+    private final Set<String> visited = new HashSet<>();
+    private final Deque<ChannelModel> pending = new ArrayDeque<>();
     private int bothForgotten;
-    private int forgottenBeforeLaunch;
+    private int launchesAfterForget;
     private int actions;
 
     @Test
     void noOrderOfMessagesLaunchesForgottenAttemptAgain() {
         add(new ChannelModel());
-        while (!open.isEmpty()) {
-            expand(open.poll());
+        while (!pending.isEmpty()) {
+            expand(pending.poll());
         }
-        System.out.println("interleavings of one machine and two attempts: " + seen.size() + " states by " + actions
-                + " actions, in " + forgottenBeforeLaunch + " a launch is under way of an attempt that was forgotten");
+        System.out.println("message interleavings of one machine with two attempts: " + visited.size() + " states by "
+                + actions + " actions, in " + launchesAfterForget
+                + " a launch is in flight of an attempt that was forgotten");
         assertTrue(bothForgotten > 0, "both attempts can end and be forgotten");
-        assertTrue(forgottenBeforeLaunch > 0, "launches arrive after their attempt was forgotten");
+        assertTrue(launchesAfterForget > 0, "launches arrive after their attempt was forgotten");
     }
 
-    /** Looks at the model that an action makes of another one. */
+    /** Adds the model that results from an action on another model. */
     private void branch(ChannelModel at, Consumer<ChannelModel> action) {
         ChannelModel next = new ChannelModel(at);
         action.accept(next);
@@ -55,159 +58,159 @@
         actions++;
         String description = model.description();
         assertFalse(model.launchedAgain, () -> "an attempt was launched again: " + description);
-        if (seen.add(description)) {
-            open.add(model);
+        if (visited.add(description)) {
+            pending.add(model);
             count(model);
         }
     }
 
     private void count(ChannelModel model) {
-        bothForgotten += model.worker.values().stream().allMatch(on -> on == OnWorker.FORGOTTEN) ? 1 : 0;
-        boolean late = model.commands.stream()
+        bothForgotten += model.onWorker.values().stream().allMatch(state -> state == OnWorker.FORGOTTEN) ? 1 : 0;
+        boolean launchAfterForget = model.commandsInFlight.stream()
                 .flatMap(command -> command.launches().stream())
-                .anyMatch(task -> model.worker.get(task) == OnWorker.FORGOTTEN);
-        forgottenBeforeLaunch += late ? 1 : 0;
+                .anyMatch(task -> model.onWorker.get(task) == OnWorker.FORGOTTEN);
+        launchesAfterForget += launchAfterForget ? 1 : 0;
     }
 
     private void expand(ChannelModel at) {
         sendCommand(at);
         for (OnWorker started : STARTED) {
-            for (Message command : at.commands) {
+            for (Message command : at.commandsInFlight) {
                 deliverCommand(at, command, started, true);
                 deliverCommand(at, command, started, false);
             }
-            deliverAnswer(at, started);
+            deliverResponse(at, started);
         }
-        giveUpOnCommand(at);
-        sendReport(at);
-        takeReport(at);
-        takeLateReport(at);
-        giveUpOnAnswer(at);
+        timeOutCommand(at);
+        sendHeartbeat(at);
+        receiveHeartbeat(at);
+        receiveDelayedHeartbeat(at);
+        timeOutResponse(at);
         raiseFence(at);
         for (Task task : Task.values()) {
-            endOnWorker(at, task);
-            writeEnd(at, task);
+            endTaskOnWorker(at, task);
+            storeTaskEnd(at, task);
         }
     }
 
     private void sendCommand(ChannelModel at) {
-        if (at.controllerWaits || at.commands.size() >= MAX_COMMANDS_UNDER_WAY) {
+        if (at.controllerAwaitsAnswer || at.commandsInFlight.size() >= MAX_COMMANDS_IN_FLIGHT) {
             return;
         }
         ChannelModel next = new ChannelModel(at);
-        Message orders = next.orders();
-        if (orders.launches().isEmpty() && orders.forgets().isEmpty()) {
+        Message commands = next.planCommands();
+        if (commands.launches().isEmpty() && commands.forgets().isEmpty()) {
             return;
         }
-        next.step(channel -> channel.onCommandSent(orders.launchKeys(), 0));
-        next.commands.add(orders);
-        next.awaited = orders;
-        next.controllerWaits = true;
+        next.step(channel -> channel.onCommandSent(commands.launchKeys(), 0));
+        next.commandsInFlight.add(commands);
+        next.awaitedCommand = commands;
+        next.controllerAwaitsAnswer = true;
         add(next);
     }
 
-    /** A command arrives, on time or late; its answer reaches a controller that still waits, or is lost. */
+    /** A command arrives, in time or delayed. Its answer reaches a controller that still awaits it, or is lost. */
     private void deliverCommand(ChannelModel at, Message command, OnWorker started, boolean answerArrives) {
-        boolean awaited = at.awaited == command;
-        if (answerArrives && !awaited) {
+        boolean isAwaited = at.awaitedCommand == command;
+        if (answerArrives && !isAwaited) {
             return;
         }
         branch(at, next -> {
-            next.commands.remove(command);
+            next.commandsInFlight.remove(command);
             next.execute(command, started);
-            if (awaited) {
-                next.awaited = null;
+            if (isAwaited) {
+                next.awaitedCommand = null;
             }
             if (answerArrives) {
-                next.controllerWaits = false;
+                next.controllerAwaitsAnswer = false;
                 next.step(CommandChannel::onCommandResolved);
-                next.take(next.newReport());
+                next.accept(next.nextHeartbeat());
             }
         });
     }
 
-    private void giveUpOnCommand(ChannelModel at) {
-        if (at.controllerWaits) {
+    private void timeOutCommand(ChannelModel at) {
+        if (at.controllerAwaitsAnswer) {
             branch(at, next -> {
-                next.controllerWaits = false;
-                next.awaited = null;
+                next.controllerAwaitsAnswer = false;
+                next.awaitedCommand = null;
                 next.step(CommandChannel::onCommandTimedOut);
             });
         }
     }
 
-    private void sendReport(ChannelModel at) {
-        if (!at.workerWaits) {
+    private void sendHeartbeat(ChannelModel at) {
+        if (!at.workerAwaitsResponse) {
             branch(at, next -> {
-                next.workerWaits = true;
-                next.report = next.newReport();
+                next.workerAwaitsResponse = true;
+                next.heartbeat = next.nextHeartbeat();
             });
         }
     }
 
-    private void takeReport(ChannelModel at) {
-        if (at.report != null) {
+    private void receiveHeartbeat(ChannelModel at) {
+        if (at.heartbeat != null) {
             branch(at, next -> {
-                next.report = null;
-                next.answer = next.answerTo(at.report);
+                next.heartbeat = null;
+                next.response = next.respondTo(at.heartbeat);
             });
         }
     }
 
-    /** A report that the worker no longer waits for is answered as any other, and nobody hears it. */
-    private void takeLateReport(ChannelModel at) {
-        if (at.lateReport != null) {
+    /** A heartbeat whose response the worker no longer awaits is handled like any other; the response is dropped. */
+    private void receiveDelayedHeartbeat(ChannelModel at) {
+        if (at.delayedHeartbeat != null) {
             branch(at, next -> {
-                next.lateReport = null;
-                next.answerTo(at.lateReport);
+                next.delayedHeartbeat = null;
+                next.respondTo(at.delayedHeartbeat);
             });
         }
     }
 
-    private void deliverAnswer(ChannelModel at, OnWorker started) {
-        if (at.answer != null) {
+    private void deliverResponse(ChannelModel at, OnWorker started) {
+        if (at.response != null) {
             branch(at, next -> {
-                next.answer = null;
-                next.workerWaits = false;
-                next.execute(at.answer, started);
+                next.response = null;
+                next.workerAwaitsResponse = false;
+                next.execute(at.response, started);
             });
         }
     }
 
-    /** The worker's time for an answer is over: it drops one that comes later. */
-    private void giveUpOnAnswer(ChannelModel at) {
-        if (at.workerWaits) {
+    /** The worker stops awaiting the response and drops it if it arrives later. */
+    private void timeOutResponse(ChannelModel at) {
+        if (at.workerAwaitsResponse) {
             branch(at, next -> {
-                next.workerWaits = false;
-                next.answer = null;
-                next.lateReport = at.report == null ? at.lateReport : at.report;
-                next.report = null;
+                next.workerAwaitsResponse = false;
+                next.response = null;
+                next.delayedHeartbeat = at.heartbeat == null ? at.delayedHeartbeat : at.heartbeat;
+                next.heartbeat = null;
             });
         }
     }
 
-    /** As when the machine is suspected not to hear. */
+    /** Raises the fence, as happens when the machine is suspected unreachable. */
     private void raiseFence(ChannelModel at) {
-        if (at.fences < MAX_RAISED_FENCES) {
+        if (at.raisedFences < MAX_RAISED_FENCES) {
             branch(at, next -> {
-                next.fences++;
+                next.raisedFences++;
                 next.step(CommandChannel::raiseFence);
             });
         }
     }
 
-    private void endOnWorker(ChannelModel at, Task task) {
-        if (at.worker.get(task) == OnWorker.RUNNING) {
+    private void endTaskOnWorker(ChannelModel at, Task task) {
+        if (at.onWorker.get(task) == OnWorker.RUNNING) {
             branch(at, next -> {
-                next.worker.put(task, OnWorker.ENDED);
+                next.onWorker.put(task, OnWorker.ENDED);
             });
         }
     }
 
-    private void writeEnd(ChannelModel at, Task task) {
-        if (at.recorded.get(task) == Recorded.END_REPORTED) {
+    private void storeTaskEnd(ChannelModel at, Task task) {
+        if (at.stored.get(task) == Recorded.END_REPORTED) {
             branch(at, next -> {
-                next.recorded.put(task, Recorded.END_DURABLE);
+                next.stored.put(task, Recorded.END_DURABLE);
             });
         }
     }
