--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -128,7 +128,10 @@
         responseLaunches.clear();
     }
 
-    /** Returns the token of the latest response, which the next heartbeat must show; 0 before the first. */
+    /**
+     * Returns the token of the latest response, which the next heartbeat must show; 0 before the first under this
+     * owner.
+     */
     public long responseToken() {
         return responseToken;
     }
--- a/src/main/java/dewlane/core/fleet/FailureBackoff.java
+++ b/src/main/java/dewlane/core/fleet/FailureBackoff.java
@@ -3,7 +3,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The failures of a job's tasks, and the backoff before its next launch, which doubles with each failure. */
+/**
+ * The failures of a job's tasks, and the backoff before its next launch, which doubles with each failure up to a limit.
+ */
 final class FailureBackoff {
     private static final long BASE_BACKOFF_MS = 250;
     private static final long MAX_BACKOFF_MS = 30_000;
--- a/src/main/java/dewlane/core/fleet/WorkerState.java
+++ b/src/main/java/dewlane/core/fleet/WorkerState.java
@@ -23,7 +23,7 @@
         return sequence;
     }
 
-    /** Returns true until this controller accepts a first heartbeat. */
+    /** Returns true until this controller accepts a first heartbeat or a peer reports one. */
     public boolean hasNoHeartbeat() {
         return fencingToken == 0 && sequence == 0;
     }
--- a/src/main/java/dewlane/core/worker/FailureAttribution.java
+++ b/src/main/java/dewlane/core/worker/FailureAttribution.java
@@ -9,7 +9,8 @@
 
 /**
  * Distinguishes faulty machines from faulty jobs by counting each failed task against its job and its machine. A
- * machine is faulty once tasks of two jobs have failed on it since a task last completed there.
+ * machine is faulty once tasks of two jobs that are not themselves faulty have failed on it since a task last completed
+ * there.
  */
 final class FailureAttribution {
     /** How long the job of a task that its worker refused is not launched again. */
