--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * The deploy file and the operators' own settings, as far as the core needs them.
+ * Settings from the deploy file and from the operators' file, as far as the core needs them.
  *
- * @param controllerName the name of this controller
- * @param peers the names of the other controllers of the deployment
- * @param teams the teams' quotas by name
- * @param objectives the service-level objectives
- * @param zones the zones in which machines may be created
+ * @param controllerName name of this controller
+ * @param peers names of the other controllers of the deployment
+ * @param teams quotas by team name
+ * @param objectives service-level objectives
+ * @param zones zones in which machines may be created
  * @param heartbeatIntervalS seconds between two heartbeats of a worker
  * @param workerLeaseS seconds after which a worker whose heartbeats are not answered kills its tasks
  * @param cancellationDeadlineS seconds within which the tasks of a cancelled job must have ended
- * @param store the limits of the store
- * @param cloudRequestsPerS requests a second that the cloud takes of all controllers
- * @param cloudListLagS seconds by which the cloud's list of instances usually lags
- * @param tuning what operators may change
+ * @param store limits of the store
+ * @param cloudRequestsPerS requests per second that the cloud accepts from all controllers together
+ * @param cloudListLagS seconds by which the cloud's list of instances usually lags behind
+ * @param tuning parameters with defaults, most of which operators can set
  */
 public record Settings(
         String controllerName,
@@ -32,28 +32,31 @@
         double cloudRequestsPerS,
         double cloudListLagS,
         Tuning tuning) {
-    /** The store takes so many times as many preconditions as writes. */
+    /** The store accepts this many preconditions in a transaction for each write that it allows. */
     private static final int PRECONDITIONS_PER_WRITE = 4;
-    /** Version 0.1 does not start where a transaction may make fewer writes. */
-    private static final int MIN_WRITES_OF_0_1 = 8;
-    /** Writes of the transaction by which version 0.1 ends a job, besides one for each slice. */
+    /** Version 0.1 does not start if the store allows fewer writes per transaction. */
+    private static final int MIN_TRANSACTION_WRITES_OF_0_1 = 8;
+    /** Writes in the transaction with which version 0.1 ends a job, in addition to one per slice. */
     private static final int WRITES_TO_END_JOB = 3;
 
     private static final long MS_PER_S = 1000;
-    /** A heartbeat counts as missed after so many intervals: one may be late, or lost on the way. */
+    /**
+     * Heartbeat intervals after which a heartbeat counts as missed. Less than two, so a heartbeat may be delayed, but a
+     * machine whose heartbeat is lost gets no tasks until the next one arrives.
+     */
     private static final double HEARTBEAT_TIMEOUT_INTERVALS = 1.8;
 
     /**
-     * What a team is entitled to and limited to.
+     * Guarantee and limit of a team.
      *
-     * @param name the team's name
-     * @param guaranteedCpus CPUs up to which the team's work comes before that of others
-     * @param guaranteedGpus GPUs up to which the team's work comes before that of others
-     * @param maxCpus the most CPUs that the team may use at once; 0 for no limit
-     * @param maxGpus the most GPUs that the team may use at once; 0 for no limit
+     * @param name name of the team
+     * @param guaranteedCpus CPUs up to which the team's jobs take precedence over those of other teams
+     * @param guaranteedGpus GPUs up to which the team's jobs take precedence over those of other teams
+     * @param maxCpus maximum CPUs that the team may use at the same time; 0 for no limit
+     * @param maxGpus maximum GPUs that the team may use at the same time; 0 for no limit
      */
     public record TeamQuota(String name, double guaranteedCpus, double guaranteedGpus, double maxCpus, double maxGpus) {
-        /** True if the team has a limit of CPUs or GPUs. */
+        /** Returns true if the team's CPUs or GPUs are limited. */
         public boolean hasLimit() {
             return maxCpus > 0 || maxGpus > 0;
         }
@@ -62,9 +65,10 @@
     /**
      * A service-level objective.
      *
-     * @param kind what is to happen in time, in the deploy file's words, such as {@code wait} or {@code finished}
-     * @param jobClass the class of jobs that it is for, or null if it is for all
-     * @param withinS seconds within which it is to happen; infinite if the objective is of another form
+     * @param kind the event that must happen in time, as named in the deploy file, such as {@code wait} or
+     *     {@code finished}
+     * @param jobClass class of the jobs to which the objective applies; null for all jobs
+     * @param withinS seconds within which the event must happen; infinite if the objective sets no such time
      */
     public record ServiceLevelObjective(String kind, String jobClass, double withinS) {
         private boolean appliesTo(String otherKind, String otherClass) {
@@ -72,51 +76,56 @@
         }
     }
 
-    /** Milliseconds after which a machine without a heartbeat gets no tasks. */
+    /** Milliseconds without contact to a machine after which it gets no tasks. */
     public long heartbeatTimeoutMs() {
         return (long) (heartbeatIntervalS * (HEARTBEAT_TIMEOUT_INTERVALS * MS_PER_S));
     }
 
-    /** How many controllers the deployment has, this one included. */
+    /** Number of controllers in the deployment, including this one. */
     public int controllerCount() {
         return peers.size() + 1;
     }
 
-    /** Requests a second that the store takes of all controllers. */
+    /** Requests per second that the store accepts from all controllers together. */
     public double storeRequestsPerS() {
         return store.requestsPerS();
     }
 
-    /** Milliseconds between requests of this controller, if all together take the given fraction of the rate. */
+    /**
+     * Milliseconds between requests of this controller if all controllers together use the given fraction of the rate.
+     */
     public long storeRequestIntervalMs(double fraction) {
         return Math.round(MS_PER_S * controllerCount() / (storeRequestsPerS() * fraction));
     }
 
-    /** The most bytes that a stored value may have. */
+    /** Maximum size of a stored value, in bytes. */
     public int maxValueBytes() {
         return store.maxValueBytes();
     }
 
-    /** The most writes that a transaction may make. */
+    /** Maximum number of writes in a transaction. */
     public int maxTransactionWrites() {
         return store.maxTransactionWrites();
     }
 
-    /** The most preconditions that a transaction may have. */
+    /** Maximum number of preconditions in a transaction. */
     public int maxTransactionPreconditions() {
         return PRECONDITIONS_PER_WRITE * store.maxTransactionWrites();
     }
 
     /**
-     * The most slices that a job is cut into. Version 0.1 ends a job by one transaction that deletes all its slices,
-     * and may run beside this one, so no job gets more than that version can end.
+     * Maximum number of slices of a job. Version 0.1, which may run at the same time as this version during an upgrade,
+     * deletes all slices of a job in the transaction that ends it. A job therefore gets no more slices than fit into
+     * that transaction, unless the limits are such that version 0.1 does not start.
      */
     public int maxSlicesPerJob() {
         int present = store.present().maxTransactionWrites();
-        return present < MIN_WRITES_OF_0_1 ? Integer.MAX_VALUE : present - WRITES_TO_END_JOB;
+        return present < MIN_TRANSACTION_WRITES_OF_0_1 ? Integer.MAX_VALUE : present - WRITES_TO_END_JOB;
     }
 
-    /** The shortest time, in seconds, that an objective of the kind gives jobs of the class; infinite without one. */
+    /**
+     * Shortest time, in seconds, that an objective of the kind sets for jobs of the class; infinite if there is none.
+     */
     public double objectiveS(String kind, String jobClass) {
         double shortestS = Double.POSITIVE_INFINITY;
         for (ServiceLevelObjective objective : objectives) {
@@ -128,14 +137,14 @@
     }
 
     /**
-     * What operators may change.
+     * Parameters with defaults. Operators can set all but the last.
      *
-     * @param memberLeaseTtlMs milliseconds after which the lease of a silent controller expires
-     * @param machineTimeoutS seconds of silence after which a machine is deleted
+     * @param memberLeaseTtlMs milliseconds after which the lease of a controller expires if it is not renewed
+     * @param machineTimeoutS seconds after the last contact until an unresponsive machine is deleted
      * @param scaleInIdleS seconds that a machine must be idle before it is scaled in
-     * @param bootTimeoutFactor multiple of the boot time after which a machine that never came up is deleted
-     * @param partitionedQuotaCpus a team's limit of so many CPUs a controller, or a quarter as many GPUs, is divided
-     *     among them; all controllers must agree on it, so operators' files do not set it
+     * @param bootTimeoutFactor multiple of the boot time after which an instance that has not booted is deleted
+     * @param partitionedQuotaCpus CPUs per controller, and a quarter as many GPUs, from which on a team's limit is
+     *     divided among the controllers; operators cannot set it, because all controllers must use the same value
      */
     public record Tuning(
             long memberLeaseTtlMs,
@@ -143,7 +152,7 @@
             double scaleInIdleS,
             double bootTimeoutFactor,
             double partitionedQuotaCpus) {
-        /** What applies where operators set nothing. */
+        /** Returns the values that apply if operators set nothing. */
         public static Tuning defaults() {
             return new Tuning(3000, 12, 60, 4, 256);
         }
--- a/src/main/java/dewlane/core/config/StoreLimits.java
+++ b/src/main/java/dewlane/core/config/StoreLimits.java
@@ -1,54 +1,53 @@
 package dewlane.core.config;
 
 /**
- * Limits of the store: those in force when the controller starts, and those that replace them at some later moment,
- * without notice.
+ * Limits of the store: those in force when the controller starts, and those that replace them later at an unknown time.
  *
- * <p>Sizes keep within the smaller of both from the start, since a value or transaction that is too large once the
- * limits change could not be written at all. The larger rate is used until the store refuses writes.
+ * <p>Size limits are the smaller of both from the start, because a value or transaction that exceeds the new limits
+ * could no longer be written after the change. The current write rate is used until the store refuses writes.
  *
- * @param present the limits in force
- * @param next the limits to come; the same ones if none are to come
+ * @param present the limits in force when the controller starts
+ * @param next the limits that replace them later; equal to the first ones if no change is announced
  */
 public record StoreLimits(Limits present, Limits next) {
-    /** Writes that a transaction must allow at least: a cancellation writes the job's record and its result. */
+    /** The smallest usable limit of writes per transaction: a cancellation writes the job's record and its result. */
     public static final int MIN_TRANSACTION_WRITES = 2;
-    /** Bytes that a value must be allowed at least: a job with names of ordinary length fits, and so does a slice. */
+    /** The smallest usable size limit of a value: a job record with names of usual length fits, and so does a slice. */
     public static final int MIN_VALUE_BYTES = 1024;
 
     /**
-     * One set of limits, for all controllers together.
+     * One set of limits. The rates apply to all controllers together.
      *
-     * @param requestsPerS requests a second
-     * @param writesPerS keys set or deleted a second
-     * @param maxValueBytes the most bytes of one value
-     * @param maxTransactionWrites the most keys that one transaction sets or deletes
+     * @param requestsPerS requests per second
+     * @param writesPerS keys set or deleted per second
+     * @param maxValueBytes maximum size of one value, in bytes
+     * @param maxTransactionWrites maximum number of keys that one transaction sets or deletes
      */
     public record Limits(double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {}
 
-    /** Limits that never change. */
+    /** Returns limits for which no change is announced. */
     public static StoreLimits constant(
             double requestsPerS, double writesPerS, int maxValueBytes, int maxTransactionWrites) {
         Limits limits = new Limits(requestsPerS, writesPerS, maxValueBytes, maxTransactionWrites);
         return new StoreLimits(limits, limits);
     }
 
-    /** Requests a second that are allowed now and later. */
+    /** Requests per second that are allowed both before and after the change. */
     public double requestsPerS() {
         return Math.min(present.requestsPerS(), next.requestsPerS());
     }
 
-    /** Writes a second that are allowed once the smaller limit is in force. */
+    /** Writes per second that are allowed once the smaller limit is in force. */
     public double reducedWritesPerS() {
         return Math.min(present.writesPerS(), next.writesPerS());
     }
 
-    /** The most bytes that a value may have now and later. */
+    /** Maximum size of a value, in bytes, that is allowed both before and after the change. */
     public int maxValueBytes() {
         return Math.min(present.maxValueBytes(), next.maxValueBytes());
     }
 
-    /** The most writes that a transaction may make now and later. */
+    /** Maximum number of writes per transaction that is allowed both before and after the change. */
     public int maxTransactionWrites() {
         return Math.min(present.maxTransactionWrites(), next.maxTransactionWrites());
     }
--- a/src/main/java/dewlane/core/config/package-info.java
+++ b/src/main/java/dewlane/core/config/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The settings of a deployment and of its operators, as far as the core needs them.
+ * Settings of the deployment and its operators, as far as the core needs them.
  *
- * <p>Owns no state. Guards the rule that sizes keep within the present limits and those to come. Depends on no other
- * package.
+ * <p>Holds no mutable state. Ensures that the sizes of values and transactions stay within both the limits that the
+ * store has now and the limits announced for later. Depends on no other package.
  */
 package dewlane.core.config;
--- a/src/test/java/dewlane/core/config/TestSettings.java
+++ b/src/test/java/dewlane/core/config/TestSettings.java
@@ -3,21 +3,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Settings for tests of single parts of a controller. */
+/** Settings for unit tests of a controller's components. */
 public final class TestSettings {
     public static final StoreLimits LIMITS = StoreLimits.constant(100, 100, 16_384, 16);
     public static final double CANCEL_S = 60;
 
     private TestSettings() {}
 
-    /** A controller without peers or teams. */
+    /** Returns settings of a controller without peers or teams. */
     public static Settings alone() {
         return of(List.of(), Map.of(), CANCEL_S, LIMITS);
     }
 
-    /** Controller n0 in one zone, with workers' leases of 30 s. */
+    /** Returns settings of controller n0 with one zone, heartbeats every 3 s and worker leases of 30 s. */
     public static Settings of(
-            List<String> peers, Map<String, Settings.TeamQuota> teams, double cancelS, StoreLimits limits) {
+            List<String> peers,
+            Map<String, Settings.TeamQuota> teams,
+            double cancellationDeadlineS,
+            StoreLimits limits) {
         return new Settings(
                 "n0",
                 peers,
@@ -26,7 +29,7 @@
                 List.of("east"),
                 3,
                 30,
-                cancelS,
+                cancellationDeadlineS,
                 limits,
                 5,
                 5,
