--- a/src/main/java/dewlane/core/quota/LimitEnforcement.java
+++ b/src/main/java/dewlane/core/quota/LimitEnforcement.java
@@ -4,12 +4,13 @@
 import dewlane.core.model.Job;
 
 /**
- * A way to keep a team within its limit. Which one applies follows from the limit's size: see {@link QuotaEnforcer}.
+ * Strategy that keeps a team within its limit. The size of the limit decides which one applies, see
+ * {@link QuotaEnforcer}.
  */
 sealed interface LimitEnforcement permits SerializedLimit, PartitionedLimit {
-    /** How many more tasks of the job this controller may start under its team's limit. */
+    /** Returns how many more tasks of the job this controller may start under the limit of the job's team. */
     int capacityFor(TeamQuota team, Job job);
 
-    /** How many more tasks of the job the controller can start, as far as is known, under its team's limit. */
+    /** Estimates how many more tasks of the job the given controller can start under the limit of the job's team. */
     int capacityFor(TeamQuota team, Job job, String controller);
 }
--- a/src/main/java/dewlane/core/quota/PartitionedLimit.java
+++ b/src/main/java/dewlane/core/quota/PartitionedLimit.java
@@ -9,10 +9,12 @@
 import dewlane.core.store.StoreReplica;
 
 /**
- * Enforces a large limit by shares: each controller of the partition map has one, equal at first (see
- * {@link QuotaRebalancer}), and needs no key. What is on machines counts against the owner of its slice, who alone
- * launches there, so a controller knows its own usage. Another may come to own more than its share when a controller
- * leaves; it then starts nothing, and the others keep that much of theirs free.
+ * Enforces a large limit by dividing it into one share per controller of the partition map. Shares are equal at first
+ * and can be changed by {@link QuotaRebalancer}. Launches need no shared key in the store: an attempt counts against
+ * the owner of its slice, and only the owner launches tasks of a slice, so each controller knows its own usage.
+ *
+ * <p>When a controller leaves the partition map, another can become the owner of more than its share. It then starts no
+ * tasks of the team, and the other controllers leave as much of their shares unused.
  */
 final class PartitionedLimit implements LimitEnforcement {
     private final Settings settings;
@@ -25,7 +27,7 @@
         this.machines = machines;
     }
 
-    /** True if the limit is so large that a share of it does not hold work up. */
+    /** Returns true if the limit is large enough that dividing it into shares does not delay tasks. */
     boolean appliesTo(TeamQuota team) {
         int controllers = replica.partitionMap() == null
                 ? 1
@@ -35,7 +37,7 @@
                 && (team.maxGpus() <= 0 || team.maxGpus() / controllers >= minShareCpus / 4);
     }
 
-    /** What the limit leaves this controller, if every other one uses its share or what it has beyond that. */
+    /** Assumes that every other controller uses its full share, or what it uses already if that is more. */
     @Override
     public int capacityFor(TeamQuota team, Job job) {
         String self = settings.controllerName();
@@ -65,14 +67,14 @@
         return Math.min(byCpus, byGpus);
     }
 
-    /** What a controller does not use of its share; negative if it came to own more than that. */
+    /** Returns the unused part of a controller's share; negative if its usage exceeds the share. */
     QuotaAmount unusedShare(TeamQuota team, Job job, String controller) {
         QuotaAmount share = shareOf(team, controller);
         ResourceUsage usage = usageOf(job, controller);
         return new QuotaAmount(share.cpus() - usage.cpus(), share.gpus() - usage.gpus());
     }
 
-    /** A controller's share: an equal one, but for what was transferred. */
+    /** Returns a controller's share: an equal part of the limit, plus or minus what was transferred. */
     private QuotaAmount shareOf(TeamQuota team, String controller) {
         int controllers = replica.partitionMap().members().size();
         double cpus = team.maxCpus() / controllers;
--- a/src/main/java/dewlane/core/quota/QuotaAmount.java
+++ b/src/main/java/dewlane/core/quota/QuotaAmount.java
@@ -1,4 +1,4 @@
 package dewlane.core.quota;
 
-/** An amount of CPUs and GPUs of a team's limit. */
+/** A part of a team's limit, in CPUs and GPUs. */
 record QuotaAmount(double cpus, double gpus) {}
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 
 /**
- * Keeps every team within its limit and tells which jobs are within its guarantee.
+ * Keeps every team within its limit and determines which jobs are within their team's guarantee.
  *
- * <p>A limit is enforced in one of two ways: a small one by serialized launches ({@link SerializedLimit}), a large one
- * by shares of the controllers ({@link PartitionedLimit}). The settings and the partition map, on which every launch is
- * conditional, say which, so all controllers agree.
+ * <p>A small limit is enforced by serializing the team's launches ({@link SerializedLimit}), a large one by dividing it
+ * into shares of the controllers ({@link PartitionedLimit}). The choice depends only on the settings and on the
+ * partition map. Every launch is conditional on the map, so all controllers use the same strategy.
  */
 public final class QuotaEnforcer {
     private final Settings settings;
@@ -26,7 +26,7 @@
     private final PartitionedLimit partitioned;
     private final TeamGuarantees guarantees;
 
-    /** Enforces the settings' quotas by the usage that the registry counts. */
+    /** Creates an enforcer of the quotas in the settings, based on the usage that the registry counts. */
     public QuotaEnforcer(Settings settings, StoreReplica replica, MachineRegistry machines) {
         this.settings = settings;
         this.replica = replica;
@@ -36,7 +36,7 @@
         this.guarantees = new TeamGuarantees(settings);
     }
 
-    /** The quota of the job's team, or null if the settings do not know the team. */
+    /** Returns the quota of the job's team, or null if the settings do not contain the team. */
     private TeamQuota team(Job job) {
         return settings.teams().get(job.team());
     }
@@ -46,27 +46,29 @@
         return team != null && team.hasLimit();
     }
 
-    /** How the limit of a team that has one is enforced. */
+    /** Returns how the limit of a team is enforced; only for teams that have one. */
     private LimitEnforcement enforcement(TeamQuota team) {
         return partitioned.appliesTo(team) ? partitioned : serialized;
     }
 
-    /** True if the controllers have shares of the limit of the job's team. */
+    /** Returns true if the limit of the job's team is divided into shares of the controllers. */
     boolean isPartitioned(Job job) {
         return hasLimit(job) && partitioned.appliesTo(team(job));
     }
 
-    /** True if launches of the job's team are serialized to enforce its limit. */
+    /** Returns true if launches of the job's team are serialized to enforce its limit. */
     public boolean isSerialized(Job job) {
         return hasLimit(job) && !partitioned.appliesTo(team(job));
     }
 
-    /** True while a launch of a serialized team is in flight, so that its usage is not known. */
+    /** Returns true while the usage of the job's team is not known, because a serialized launch of it is in flight. */
     public boolean isLaunchInFlight(Job job) {
         return isSerialized(job) && serialized.isLaunchInFlight(job.team());
     }
 
-    /** How many more tasks of the job this controller may start under the team's limit; none for an unknown team. */
+    /**
+     * Returns how many more tasks of the job this controller may start under the team's limit; 0 for an unknown team.
+     */
     public int capacityFor(Job job) {
         TeamQuota team = team(job);
         if (team == null) {
@@ -78,7 +80,7 @@
         return hasUnreadableJobs(job.team()) ? 0 : enforcement(team).capacityFor(team, job);
     }
 
-    /** True if something is stored that cannot be read and may hold further attempts of the team. */
+    /** Returns true if a stored value that cannot be read may contain further attempts of the team. */
     private boolean hasUnreadableJobs(String team) {
         for (String id : replica.unreadableJobs()) {
             JobEntry job = replica.job(id);
@@ -89,32 +91,36 @@
         return false;
     }
 
-    /** How many more tasks of the job a controller can start under the team's limit, in its share where it has one. */
+    /** Returns how many more tasks of the job a controller can start under the team's limit, or its share of it. */
     public int capacityFor(Job job, String controller) {
         TeamQuota team = team(job);
         return hasLimit(job) ? enforcement(team).capacityFor(team, job, controller) : Integer.MAX_VALUE;
     }
 
-    /** How many more tasks of the job fit into the team's limit if the team had the given usage in all. */
+    /**
+     * Returns how many more tasks of the job fit into the team's limit if the team's total usage were the given one.
+     */
     public int capacityFor(Job job, ResourceUsage usage) {
         TeamQuota team = team(job);
         return team == null ? 0 : usage.capacityFor(team, job);
     }
 
-    /** True if the team's limit allows more in all, though perhaps not in this controller's share. */
+    /** Returns true if the team's limit as a whole has capacity, even if this controller's share has not. */
     public boolean hasCapacity(Job job) {
         return capacityFor(job, machines.teamUsage().usageOf(job.team())) > 0;
     }
 
-    /** What a controller does not use of its share of a partitioned limit; negative if it owns more than its share. */
+    /**
+     * Returns the unused part of a controller's share of a partitioned limit; negative if its usage exceeds the share.
+     */
     QuotaAmount unusedShare(Job job, String controller) {
         return partitioned.unusedShare(team(job), job, controller);
     }
 
     /**
-     * The jobs that fit into their team's guarantee along with the team's earlier unfinished jobs. Jobs of idle
-     * priority get what the team's other jobs leave of a guarantee: their backlog is the oldest there is, and would go
-     * before all that has a deadline.
+     * Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. Jobs of
+     * idle priority only get what the team's other jobs leave of the guarantee: their backlog usually contains the
+     * oldest jobs, which would otherwise use up the guarantee before jobs with a deadline.
      *
      * @param ready unfinished jobs in ready order
      * @return ids of jobs
@@ -123,21 +129,24 @@
         return guarantees.withinGuarantee(ready);
     }
 
-    /** True if the team of the job uses more than its guarantee. */
+    /** Returns true if the job's team uses more than its guarantee, or is not in the settings. */
     public boolean exceedsGuarantee(Job job) {
         TeamQuota team = team(job);
         ResourceUsage usage = machines.teamUsage().usageOf(job.team());
         return team == null || TeamGuarantees.isExceeded(team, usage.cpus(), usage.gpus());
     }
 
-    /** Makes a launch of a serialized team conditional on the usage by which it was decided. */
+    /** Makes a launch conditional on the team usage that it was decided on, if the team's launches are serialized. */
     public void addPrecondition(Transaction.Builder transaction, Job job) {
         if (isSerialized(job)) {
             serialized.addPrecondition(transaction, job.team());
         }
     }
 
-    /** A launch of the job was answered at the revision; the team may be serialized by then, whatever it was before. */
+    /**
+     * Called when a launch of the job was answered at the given revision. Recorded for every team with a limit, because
+     * its launches may have become serialized since the launch was sent.
+     */
     public void onLaunchCompleted(Job job, long revision) {
         if (hasLimit(job)) {
             serialized.onLaunchCompleted(job.team(), revision);
--- a/src/main/java/dewlane/core/quota/QuotaRebalancer.java
+++ b/src/main/java/dewlane/core/quota/QuotaRebalancer.java
@@ -9,17 +9,17 @@
 import java.util.Optional;
 
 /**
- * Transfers what this controller does not use of its share of a team's limit to one whose partition has capacity for
- * pending tasks, but whose own share is used up. Otherwise tasks could wait while their team is under its limit, for
- * instance where one controller has the only machine that fits.
+ * Transfers the unused part of this controller's share of a team's limit to a controller whose partition has capacity
+ * for pending tasks but whose share is used up. Without such transfers, tasks could wait although their team is below
+ * its limit, for example if the only machine that fits is in the partition of one controller.
  *
- * <p>The shares are in the partition map, on which every launch is conditional, so all controllers change them at the
- * same revision.
+ * <p>Shares are stored in the partition map. Every launch is conditional on the map, so a change of the shares takes
+ * effect for all controllers at the same revision.
  */
 public final class QuotaRebalancer {
-    /** How long a job is pending before quota is transferred for it. */
+    /** Time that a job must be pending before quota is transferred for it. */
     private static final long MIN_PENDING_MS = 15_000;
-    /** How long the shares stay as they are after a transfer. */
+    /** Time after a transfer during which this controller transfers no more quota. */
     private static final long COOLDOWN_MS = 8000;
 
     private final ControllerContext context;
@@ -30,7 +30,7 @@
     private final QuotaTransferPlanner planner;
     private long transferredAtMs = ControllerContext.NEVER_MS;
 
-    /** Writes the planner's transfers by way of the membership, which owns the partition map. */
+    /** Creates a rebalancer; the membership writes the planned transfers to the partition map. */
     public QuotaRebalancer(
             ControllerContext context,
             StoreReplica replica,
@@ -46,13 +46,13 @@
         this.planner = planner;
     }
 
-    /** Transfers quota for the first job that has waited too long for it. */
+    /** Transfers quota for the first job that has been pending for too long and for which a transfer can be planned. */
     public void tick() {
         if (!authority.current().mayDecide() || context.nowMs() - transferredAtMs < COOLDOWN_MS) {
             return;
         }
         for (JobEntry job : replica.jobs()) {
-            if (hasWaitedLong(job) && planner.mayNeedTransfer(job)) {
+            if (isPendingTooLong(job) && planner.mayNeedTransfer(job)) {
                 Optional<QuotaTransferPlanner.Transfer> transfer = planner.plan(job);
                 if (transfer.isPresent()) {
                     transfer(job, transfer.get());
@@ -62,7 +62,7 @@
         }
     }
 
-    private boolean hasWaitedLong(JobEntry job) {
+    private boolean isPendingTooLong(JobEntry job) {
         return job.job() != null
                 && dependencies.isReady(job.id())
                 && context.wallClockMs() - job.waitingSinceMs() > MIN_PENDING_MS;
--- a/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
+++ b/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
@@ -9,9 +9,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Plans how much of its share of a team's limit this controller transfers to which other one, for a pending job. */
+/**
+ * Plans transfers of quota for pending jobs: how much of its share of a team's limit this controller gives to which
+ * other controller.
+ */
 public final class QuotaTransferPlanner {
-    /** What is transferred to a controller. */
+    /** Transfer of quota from this controller to another one. */
     record Transfer(String controller, QuotaAmount amount) {}
 
     private final StoreReplica replica;
@@ -19,7 +22,7 @@
     private final PartitionCapacity capacity;
     private final String self;
 
-    /** Plans transfers of the controller that the settings name. */
+    /** Creates a planner for the controller named in the settings. */
     public QuotaTransferPlanner(
             Settings settings, StoreReplica replica, QuotaEnforcer quota, PartitionCapacity capacity) {
         this.replica = replica;
@@ -28,18 +31,24 @@
         this.self = settings.controllerName();
     }
 
-    /** True if the job may be pending for want of quota in another controller's share, while its team has more. */
+    /**
+     * Returns true if the job may be pending because another controller's share is used up, while its team is below its
+     * limit.
+     */
     boolean mayNeedTransfer(JobEntry job) {
         return quota.isPartitioned(job.job()) && job.pendingCount() > 0 && quota.hasCapacity(job.job());
     }
 
-    /** A transfer to the first controller whose machines fit the job's tasks while its share is used up. */
+    /**
+     * Plans a transfer to the first controller whose machines have capacity for the job but whose share is used up.
+     * Returns empty if there is none, or if tasks of the job can start on this controller.
+     */
     Optional<Transfer> plan(JobEntry job) {
         Job spec = job.job();
         List<Member> members = replica.partitionMap().members();
         int[] capacities = capacity.byPartition(spec, job.requirements());
         if (capacities[PartitionCapacity.indexOf(members, self)] > 0 && quota.capacityFor(spec, self) > 0) {
-            // The job's tasks can start here.
+            // Tasks of the job can start on this controller.
             return Optional.empty();
         }
         for (int i = 0; i < capacities.length; i++) {
@@ -54,13 +63,16 @@
         return Optional.empty();
     }
 
-    /** What the other controller lacks for as many tasks as half of the unused share here is for, or fewer. */
+    /**
+     * Returns the quota that the other controller lacks to start as many tasks as fit into half of this controller's
+     * unused share, but at least one and at most {@code maxTasks}. Never more than the unused share.
+     */
     private QuotaAmount amountFor(String other, Job job, int maxTasks) {
         int tasks = Math.min(Math.max(1, quota.capacityFor(job, self) / 2), maxTasks);
-        QuotaAmount unusedHere = quota.unusedShare(job, self);
-        QuotaAmount unusedThere = quota.unusedShare(job, other);
+        QuotaAmount ownUnusedShare = quota.unusedShare(job, self);
+        QuotaAmount otherUnusedShare = quota.unusedShare(job, other);
         return new QuotaAmount(
-                Math.min(unusedHere.cpus(), tasks * job.cpus() - unusedThere.cpus()),
-                Math.min(unusedHere.gpus(), tasks * job.gpus() - unusedThere.gpus()));
+                Math.min(ownUnusedShare.cpus(), tasks * job.cpus() - otherUnusedShare.cpus()),
+                Math.min(ownUnusedShare.gpus(), tasks * job.gpus() - otherUnusedShare.gpus()));
     }
 }
--- a/src/main/java/dewlane/core/quota/SerializedLimit.java
+++ b/src/main/java/dewlane/core/quota/SerializedLimit.java
@@ -12,17 +12,18 @@
 import java.util.Map;
 
 /**
- * Enforces a small limit by serialized launches: each launch is conditional on the team key and changes it. If the key
- * still has the version that the replica shows, no launch for the team is missing from the replica, so the usage
- * counted there, which holds every attempt that is not proven ended, is an upper bound.
+ * Enforces a small limit by serializing the team's launches: every launch transaction requires that the team's usage
+ * key is unchanged, and writes that key. If the key still has the revision that the replica shows, the replica contains
+ * every launch for the team. The usage counted from the replica includes every attempt that is not proven to have
+ * ended, so it is an upper bound of the actual usage.
  */
 final class SerializedLimit implements LimitEnforcement {
-    /** Stands for the revision of a launch that is not answered yet. */
+    /** Stands for the revision of a launch transaction that is in flight. */
     private static final long IN_FLIGHT = Long.MAX_VALUE;
 
     private final StoreReplica replica;
     private final MachineRegistry machines;
-    /** By team, the revision of the latest launch: until the replica has reached it, the usage is not known. */
+    /** By team, the revision of the latest launch. The team's usage is not known until the replica reaches it. */
     private final Map<String, Long> launchRevisions = new HashMap<>();
 
     SerializedLimit(StoreReplica replica, MachineRegistry machines) {
@@ -44,12 +45,12 @@
         return machines.teamUsage().usageOf(team);
     }
 
-    /** True while a launch of the team is in flight, or the replica has not reached its revision. */
+    /** Returns true while a launch of the team is in flight, or the replica has not reached its revision. */
     boolean isLaunchInFlight(String team) {
         return launchRevisions.getOrDefault(team, 0L) > replica.revision();
     }
 
-    /** Makes a launch conditional on the usage by which it was decided. */
+    /** Makes a launch conditional on the team usage that it was decided on. */
     void addPrecondition(Transaction.Builder transaction, String team) {
         ResourceUsage usage = usageOf(team);
         String key = StoreKeys.teamUsage(team);
@@ -58,7 +59,7 @@
         launchRevisions.put(team, IN_FLIGHT);
     }
 
-    /** A launch of the team was answered at the revision. */
+    /** Called when a launch of the team was answered at the given revision. */
     void onLaunchCompleted(String team, long revision) {
         launchRevisions.put(team, revision);
     }
--- a/src/main/java/dewlane/core/quota/TeamGuarantees.java
+++ b/src/main/java/dewlane/core/quota/TeamGuarantees.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which jobs are within their team's guarantee. */
+/** Determines which jobs are within their team's guarantee. */
 final class TeamGuarantees {
-    /** Sums of shares of a CPU may be off by less than this. */
+    /** Exceeds the rounding error of sums of fractions of a CPU. */
     private static final double TOLERANCE = 1e-9;
 
-    /** What jobs of a team need together. */
+    /** Total demand of several jobs of a team. */
     private static final class Demand {
         private double cpus;
         private double gpus;
@@ -41,7 +41,7 @@
         return cpus <= team.guaranteedCpus() + TOLERANCE && gpus <= team.guaranteedGpus() + TOLERANCE;
     }
 
-    /** True if the usage is more than the team's guarantee. */
+    /** Returns true if the usage exceeds the team's guarantee. */
     static boolean isExceeded(TeamQuota team, double cpus, double gpus) {
         return !isWithin(cpus, gpus, team);
     }
--- a/src/main/java/dewlane/core/quota/package-info.java
+++ b/src/main/java/dewlane/core/quota/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Teams' limits and guarantees.
+ * Limits and guarantees of teams.
  *
- * <p>Guards the rule that a team's tasks, all that may be running included, never use more than its limit. May depend
- * on {@code fleet} and below.
+ * <p>Ensures that a team's tasks, including those that may be running, never use more than its limit. May depend on
+ * {@code fleet} and the packages below it.
  */
 package dewlane.core.quota;
--- a/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
+++ b/src/test/java/dewlane/core/quota/QuotaEnforcerTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Teams' limits and guarantees, counted task by task. */
+/** Tests which jobs are within their team's guarantee. */
 class QuotaEnforcerTest {
     private final Settings settings = TestSettings.of(
             List.of(),
@@ -28,7 +28,7 @@
     private final StoreReplica replica = new StoreReplica(delta -> {});
     private final List<JobEntry> ready = new ArrayList<>();
 
-    private void accepted(String id, Priority priority, int tasks) {
+    private void acceptJob(String id, Priority priority, int tasks) {
         Job job = JobBuilder.job(id)
                 .priority(priority)
                 .tasks(tasks)
@@ -39,27 +39,29 @@
         ready.add(replica.job(id));
     }
 
-    private Set<String> guaranteed() {
+    private Set<String> guaranteedJobs() {
         return new QuotaEnforcer(settings, replica, null).withinGuarantee(ready);
     }
 
-    /** Counted on a day: an idle backlog, always the oldest, took the whole guarantee before work with a deadline. */
+    /**
+     * Guards against a backlog of idle jobs, which are the oldest, using up the guarantee before jobs with a deadline.
+     */
     @Test
     void idleJobsGetOnlyWhatOtherJobsLeaveOfGuarantee() {
-        accepted("old-idle", Priority.IDLE, 6);
-        accepted("standard", Priority.STANDARD, 7);
-        assertEquals(Set.of("standard"), guaranteed());
-        accepted("small-idle", Priority.IDLE, 3);
-        assertEquals(Set.of("standard"), guaranteed(), "none overtakes an earlier one of its kind");
+        acceptJob("old-idle", Priority.IDLE, 6);
+        acceptJob("standard", Priority.STANDARD, 7);
+        assertEquals(Set.of("standard"), guaranteedJobs());
+        acceptJob("small-idle", Priority.IDLE, 3);
+        assertEquals(Set.of("standard"), guaranteedJobs(), "a job does not overtake an earlier one of idle priority");
     }
 
     @Test
     void jobsThatFitBesideEarlierOnesAreWithinGuarantee() {
-        accepted("first", Priority.HIGH, 5);
-        accepted("idle", Priority.IDLE, 2);
-        accepted("second", Priority.STANDARD, 3);
-        assertEquals(Set.of("first", "second", "idle"), guaranteed());
-        accepted("third", Priority.HIGH, 3);
-        assertEquals(Set.of("first", "second"), guaranteed());
+        acceptJob("first", Priority.HIGH, 5);
+        acceptJob("idle", Priority.IDLE, 2);
+        acceptJob("second", Priority.STANDARD, 3);
+        assertEquals(Set.of("first", "second", "idle"), guaranteedJobs());
+        acceptJob("third", Priority.HIGH, 3);
+        assertEquals(Set.of("first", "second"), guaranteedJobs());
     }
 }
