--- a/src/main/java/dewlane/core/scheduling/Candidate.java
+++ b/src/main/java/dewlane/core/scheduling/Candidate.java
@@ -5,6 +5,6 @@
 /**
  * A machine with capacity for a task of a job.
  *
- * @param costS what it costs to use the machine, as seconds of fetching an image
+ * @param costS cost of using the machine, expressed as seconds of fetching an image
  */
 record Candidate(Machine machine, double costS) {}
--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -14,18 +14,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds machines of this partition for a job's tasks: first those that have the image and that others need least. */
+/**
+ * Finds machines of this partition for a job's tasks. Machines that already have the image, and that other jobs need
+ * least, come first.
+ */
 final class CandidateFinder {
-    /** A larger set of machines with capacity is sampled, not searched. */
+    /** Maximum number of machines with capacity that are considered. Of a larger set, a sample is considered. */
     private static final int MAX_SAMPLE_SIZE = 256;
-    /** Seconds of fetching that are worth leaving a machine to tasks that have fewer types to choose from. */
+    /** Cost, in seconds of fetching an image, of using a machine that jobs with fewer usable types could use. */
     private static final double CONTENTION_COST_S = 8;
-    /** Seconds of fetching that are worth leaving an on-demand machine idle, so that it can be scaled in. */
+    /** Cost, in seconds of fetching an image, of using an on-demand machine, which could be scaled in if left idle. */
     private static final double ON_DEMAND_COST_S = 1.5;
-    /** Seconds of fetching that are worth using a machine that the task fills over one that is empty. */
+    /**
+     * Cost, in seconds of fetching an image, of a machine all of whose CPUs stay free, and proportionally less of
+     * others. Makes machines that the task fills preferred to empty ones.
+     */
     private static final double FREE_CPUS_COST_S = 2;
 
-    /** The part of the cost that depends on the machine's type alone. */
+    /** The part of the cost that depends only on the machine's type. */
     private record TypeCost(double imageFetchS, double contentionS) {}
 
     private final ControllerContext context;
@@ -39,12 +45,12 @@
         this.counters = counters;
     }
 
-    /** Begins a cycle with the machines that can be given tasks and are not full. */
+    /** Begins a cycle with the schedulable machines whose CPUs are not all in use. */
     void beginCycle(List<Machine> withCapacity) {
         machinesWithCapacity = withCapacity;
     }
 
-    /** Machines with capacity for a task of the job, the cheapest first. */
+    /** Returns machines with capacity for a task of the job, the one with the lowest cost first. */
     List<Candidate> find(JobEntry job) {
         List<Candidate> found = new ArrayList<>();
         Map<String, TypeCost> costByType = new HashMap<>();
--- a/src/main/java/dewlane/core/scheduling/ExpectedUsage.java
+++ b/src/main/java/dewlane/core/scheduling/ExpectedUsage.java
@@ -11,16 +11,19 @@
 import java.util.Map;
 
 /**
- * What is in use on machines once the preemptions under way have ended, and what is reserved there for the jobs for
- * which they are made.
+ * Tracks the resources that will be in use on machines once all pending preemptions have ended, including reservations
+ * for the jobs for which tasks are preempted.
  */
 final class ExpectedUsage {
-    /** Expected usage of the machines on which it differs from the present one. */
+    /** Expected usage of machines, as far as it differs from their current usage. */
     private final Map<Machine, ResourceUsage> expectedUsage = new HashMap<>();
 
     private final List<Machine> reservedMachines = new ArrayList<>();
 
-    /** Begins a cycle with the machines that can be given tasks: drops all reservations. */
+    /**
+     * Begins a cycle with the machines that can be given tasks. Drops all reservations, and releases the resources of
+     * tasks on these machines whose preemption is pending.
+     */
     void beginCycle(List<Machine> machines) {
         expectedUsage.clear();
         reservedMachines.forEach(Machine::clearReservations);
@@ -35,17 +38,17 @@
         }
     }
 
-    /** What is in use on the machine once preemptions have ended, reservations included. */
+    /** Returns the usage of the machine once preemptions have ended, including reservations. */
     ResourceUsage usageOf(Machine machine) {
         return expectedUsage.getOrDefault(machine, machine.usage());
     }
 
-    /** One task of the job on the machine is preempted. */
+    /** Releases the resources of one task of the job that is preempted on the machine. */
     void release(Machine machine, Job job) {
         expectedUsageOf(machine).remove(job);
     }
 
-    /** Reserves capacity for one task of the job: no job later in the order gets it in the meantime. */
+    /** Reserves capacity for one task of the job, so that no later job of this cycle uses it. */
     void reserve(Machine machine, Job job) {
         expectedUsageOf(machine).add(job);
         machine.reserve(job);
--- a/src/main/java/dewlane/core/scheduling/JobFinisher.java
+++ b/src/main/java/dewlane/core/scheduling/JobFinisher.java
@@ -11,7 +11,7 @@
 import dewlane.core.store.JobEntry;
 import dewlane.core.store.SliceEntry;
 
-/** Ends jobs: those whose tasks are all over, and those that are cancelled through a job on which they depend. */
+/** Ends jobs that are complete or cancelled, and propagates a cancellation from a job to those that depend on it. */
 public final class JobFinisher {
     private final ControllerContext context;
     private final PartitionOwnership ownership;
@@ -19,7 +19,7 @@
     private final JobTransactions transactions;
     private final ValueSizer sizer;
 
-    /** Ends jobs by way of the given transactions, with cancelled records no larger than the sizer measures. */
+    /** Creates a finisher; the sizer keeps records of cancelled jobs within the size limit of a value. */
     public JobFinisher(
             ControllerContext context,
             PartitionOwnership ownership,
@@ -33,36 +33,41 @@
         this.sizer = sizer;
     }
 
-    /** True if the job is cancelled through a job on which it depends, and this is not durable yet. */
+    /** Returns true if the job is cancelled through one of its dependencies, and this is not durable yet. */
     boolean isCancelledByDependency(JobEntry job) {
         return !job.isCancelled() && dependencies.isCancelled(job);
     }
 
-    /** True if another controller is to end the job, which is over. */
-    boolean isLeftToOthers(JobUpdate update) {
+    /** Returns true if ending the given finished job is left to another controller. */
+    boolean isLeftToOtherController(JobUpdate update) {
         return update.slicesWithOutcomes().isEmpty() && !isResponsibleFor(update.job());
     }
 
-    /** Where several controllers made the last outcomes durable, one of them ends the job, so that they do not race. */
+    /**
+     * Returns true if it is up to this controller to end the job. Where several controllers wrote the last outcomes,
+     * only the owner of the job's key ends the job, to avoid conflicting transactions. A job with more slices than
+     * {@link Settings#maxSlicesPerJob()} may be ended by any controller.
+     */
     private boolean isResponsibleFor(JobEntry job) {
         return ownership.ownsJob(job.id())
                 || job.slices().size() > context.settings().maxSlicesPerJob();
     }
 
-    /** True if the job, which is over, can be ended by one transaction now. */
+    /** Returns true if the given finished job can be ended by one transaction now. */
     boolean canFinish(JobUpdate update) {
         if (update.slicesWithOutcomes().size() >= context.settings().maxTransactionPreconditions()) {
             return false;
         }
-        // A cancellation is propagated first: dependents are looked up by the job's record as long as that exists.
+        // A cancellation is propagated before the record is deleted, because dependents look it up there as long as the
+        // record exists.
         JobEntry job = update.job();
         return !job.isCancelled() || !dependencies.hasUncancelledDependents(job.id());
     }
 
     /**
-     * Ends a job: its final state is written and its record removed by one transaction. All that this rests on is
-     * durable or in the preconditions, and never becomes untrue: done marks stay, and no launch follows a cancellation.
-     * Slices beyond what the transaction holds are left for garbage collection.
+     * Ends a job: one transaction writes its result and deletes its record. Everything that proves the end is durable
+     * or among the preconditions, and cannot change later: done marks are never removed, and nothing is launched after
+     * a cancellation. Slices that do not fit into the transaction are left to garbage collection.
      */
     void finish(JobUpdate update) {
         JobEntry job = update.job();
@@ -87,8 +92,8 @@
     }
 
     /**
-     * Makes a cancellation durable that was propagated from a job on which this one depends. The job never had a task,
-     * so its end is written at once.
+     * Makes a cancellation durable that was propagated from a dependency of the job. No task of the job was ever
+     * started, so its result is written at the same time.
      */
     void propagateCancellation(JobUpdate update) {
         JobEntry job = update.job();
--- a/src/main/java/dewlane/core/scheduling/JobQueue.java
+++ b/src/main/java/dewlane/core/scheduling/JobQueue.java
@@ -15,13 +15,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** The jobs with work for this controller, in the order in which they are served. */
+/** Determines for which jobs this controller has something to do, and in which order they are scheduled. */
 public final class JobQueue {
     /**
-     * Jobs in the order in which they are served.
+     * Jobs in scheduling order.
      *
-     * @param jobs the jobs with work for this controller
-     * @param guaranteed ids of the ready jobs of all controllers that are within their team's guarantee
+     * @param jobs the jobs for which this controller has something to do
+     * @param guaranteed ids of all ready jobs within their team's guarantee, also of those that only other controllers
+     *     work on
      */
     record Order(List<JobEntry> jobs, Set<String> guaranteed) {}
 
@@ -32,7 +33,7 @@
     private final PartitionOwnership ownership;
     private final ControllerCounters counters;
 
-    /** Orders the jobs that the dependency graph calls ready. */
+    /** Creates a queue of the jobs that are ready according to the dependency graph. */
     public JobQueue(
             StoreReplica replica,
             MachineRegistry machines,
@@ -48,13 +49,14 @@
         this.counters = counters;
     }
 
-    /** Jobs that can never run, as one on which they depend was cancelled. */
+    /** Returns the jobs that failed in the dependency graph: they, or jobs on which they depend, were cancelled. */
     List<JobEntry> failedJobs() {
         return withRecord(dependencies.failed());
     }
 
     /**
-     * The order of one cycle: by ready order, but served first if within their team's guarantee, and then by priority.
+     * Returns the order for one cycle: jobs within their team's guarantee first, then by priority, and otherwise in the
+     * order in which they became ready.
      */
     Order order() {
         List<JobEntry> jobs = withRecord(dependencies.ready());
@@ -79,6 +81,9 @@
         return jobs;
     }
 
+    /**
+     * Returns true if this controller has outcomes to write or owns pending tasks of the job, or the job is complete.
+     */
     private boolean hasWork(JobEntry job) {
         JobProgress progress = machines.progress().get(job.id());
         if (progress != null && progress.hasOutcomes()) {
--- a/src/main/java/dewlane/core/scheduling/JobTransactions.java
+++ b/src/main/java/dewlane/core/scheduling/JobTransactions.java
@@ -15,12 +15,12 @@
 import dewlane.core.store.TransactionQueue;
 
 /**
- * Sends the writes about jobs. Per job at most one is in flight; the next is built once it was answered and the replica
- * has reached the revision of the answer.
+ * Sends transactions that change jobs, at most one per job at a time. The next one is built once the previous one was
+ * answered and the replica has reached the revision of the answer.
  */
 public final class JobTransactions {
-    /** How long a job rests after a write about it was called invalid. */
-    private static final long INVALID_PAUSE_MS = 2000;
+    /** Time during which nothing is written about a job after the store called a write about it invalid. */
+    private static final long INVALID_WRITE_BACKOFF_MS = 2000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -29,7 +29,7 @@
     private final QuotaEnforcer quota;
     private final ControllerCounters counters;
 
-    /** Sends writes through the queue, on condition of what the replica shows. */
+    /** Sends transactions through the queue, conditional on the state that the replica shows. */
     public JobTransactions(
             ControllerContext context,
             StoreReplica replica,
@@ -45,13 +45,14 @@
         this.counters = counters;
     }
 
-    /** Takes back what was counted for launches whose write was refused. */
+    /** Stops counting launches whose write was answered but that the replica does not show. */
     void reconcileLaunches() {
         machines.progress().reconcile();
     }
 
     /**
-     * True if a write about the job may be built: none is in flight, the job can be read, and the write could be sent.
+     * Returns true if a transaction for the job may be built: none is in flight, all stored values of the job can be
+     * read, and the transaction would be sent soon.
      */
     boolean isReady(JobEntry job) {
         JobProgress progress = machines.progress().getOrCreate(job.id());
@@ -60,7 +61,10 @@
                 && transactions.hasCapacity(TransactionPriority.OUTCOME);
     }
 
-    /** Begins an empty write about the job; a launch of a serialized team needs a write and a precondition more. */
+    /**
+     * Begins an empty update of the job. One write and one precondition are reserved if the team's launches are
+     * serialized, as a launch then also writes the team's usage.
+     */
     JobUpdate begin(JobEntry job) {
         Settings settings = context.settings();
         int reserved = quota.isSerialized(job.job()) ? 1 : 0;
@@ -71,7 +75,7 @@
                 settings.maxTransactionPreconditions() - reserved);
     }
 
-    /** Sends the slices and launches of the update. */
+    /** Sends a transaction with the slices and launches of the update. */
     void submit(JobUpdate update) {
         Transaction.Builder transaction = new Transaction.Builder();
         update.addTo(transaction, replica.partitionMapRevision());
@@ -81,9 +85,9 @@
         submit(update, transaction);
     }
 
-    /** Sends a transaction about the update's job, whose slices and launches are in it as far as they are to be. */
+    /** Sends a transaction for the update's job. The caller has added to it those slices that are to be written. */
     void submit(JobUpdate update, Transaction.Builder transaction) {
-        // The job's record may be deleted before the answer comes.
+        // Kept for the answer: the job's record may be deleted by then.
         Job job = update.job().job();
         JobProgress progress = update.progress();
         progress.beginWrite();
@@ -99,7 +103,7 @@
         if (status == Transaction.Status.COMMITTED) {
             counters.add(Counter.TASKS_LAUNCHED, update.launchCount());
         } else if (status == Transaction.Status.INVALID) {
-            progress.pauseUntil(context.nowMs() + INVALID_PAUSE_MS);
+            progress.pauseUntil(context.nowMs() + INVALID_WRITE_BACKOFF_MS);
         }
         if (update.hasLaunches()) {
             quota.onLaunchCompleted(job, revision);
--- a/src/main/java/dewlane/core/scheduling/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -16,8 +16,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * One write about a job while it is put together: the new values of its slices and the tasks that are launched, within
- * the writes and preconditions that a transaction may have.
+ * Builder of one transaction that changes a job: collects new values of its slices and the tasks that are launched,
+ * within the limits on writes and preconditions of a transaction.
  */
 final class JobUpdate {
     private final JobEntry job;
@@ -25,22 +25,24 @@
     private final int maxWrites;
     private final int maxPreconditions;
     private final List<JobProgress.Launch> launches = new ArrayList<>();
-    /** Slices with the outcomes that are known here; they need not all be written now. */
+    /**
+     * Slices with the outcomes that this controller has recorded. Not all of them need to be written by this update.
+     */
     private final Map<SliceEntry, Slice> withOutcomes = new LinkedHashMap<>();
-    /** Slices that are written. */
+    /** New values of existing slices that this update writes. */
     private final Map<SliceEntry, Slice> changed = new LinkedHashMap<>();
-    /** New slices by their numbers. */
+    /** New slices, by slice number. */
     private final Map<Integer, Slice> created = new LinkedHashMap<>();
-    /** Slices that stay as they are, but on which the write depends. */
+    /** Slices that are not changed, but that the transaction requires to be unchanged. */
     private final Set<SliceEntry> unchanged = new HashSet<>();
     /** Names of the machines on which tasks are launched. */
     private final Set<String> machines = new HashSet<>();
 
     private int nextSliceNumber;
-    /** True if the write holds only as long as the job and the partition map are as they are. */
+    /** True if the transaction requires the job's record and the partition map to be unchanged. */
     private boolean requiresJobAndMap;
 
-    /** An empty write, with the writes and preconditions that a transaction leaves for slices and machines. */
+    /** Creates an empty update with the given maximum number of writes and of preconditions. */
     JobUpdate(JobEntry job, JobProgress progress, int maxWrites, int maxPreconditions) {
         this.job = job;
         this.progress = progress;
@@ -49,28 +51,28 @@
         this.nextSliceNumber = job.nextSliceNumber();
     }
 
-    /** The job that the write is about. */
+    /** Returns the job that is changed. */
     JobEntry job() {
         return job;
     }
 
-    /** What this controller is doing for the job. */
+    /** Returns what this controller is doing for the job. */
     JobProgress progress() {
         return progress;
     }
 
-    /** The slice with the outcomes that are known here, and with what this write decides. */
+    /** Returns the slice as this update leaves it; if the update does not change it, with all recorded outcomes. */
     Slice value(SliceEntry slice) {
         Slice decided = changed.get(slice);
         return decided != null ? decided : withOutcomes.getOrDefault(slice, slice.value());
     }
 
-    /** Outcomes of the slice are known, which give it the value. They are written only by {@link #put}. */
+    /** Records the value that the slice has with all its recorded outcomes. It is written only by {@link #put}. */
     void recordOutcomes(SliceEntry slice, Slice value) {
         withOutcomes.put(slice, value);
     }
 
-    /** True if outcomes of the slice are known. */
+    /** Returns true if the slice has recorded outcomes. */
     boolean hasOutcomes(SliceEntry slice) {
         return withOutcomes.containsKey(slice);
     }
@@ -80,66 +82,66 @@
         withOutcomes.remove(slice);
     }
 
-    /** Slices of which outcomes are known. */
+    /** Returns the slices that have recorded outcomes. */
     Collection<SliceEntry> slicesWithOutcomes() {
         return withOutcomes.keySet();
     }
 
-    /** Calls the action with each slice of which outcomes are known, and its value with them. */
+    /** Calls the action with each slice that has recorded outcomes, and with its value that includes them. */
     void forEachWithOutcomes(BiConsumer<SliceEntry, Slice> action) {
         withOutcomes.forEach(action);
     }
 
-    /** Writes a value of the slice. */
+    /** Sets the value that is written for the slice. */
     void put(SliceEntry slice, Slice value) {
         changed.put(slice, value);
     }
 
-    /** Writes a slice with a new number. */
+    /** Adds a slice under a new number. */
     void create(Slice slice) {
         created.put(nextSliceNumber++, slice);
         requiresJobAndMap = true;
     }
 
-    /** The write depends on a slice that it leaves as it is. */
-    void dependOn(SliceEntry slice) {
+    /** Requires the slice to be unchanged, without writing it. */
+    void requireUnchanged(SliceEntry slice) {
         unchanged.add(slice);
         requiresJobAndMap = true;
     }
 
-    /** The write holds only under the present partition map and as long as the job is as it is. */
+    /** Requires the job's record and the partition map to be unchanged. */
     void requireJobAndMap() {
         requiresJobAndMap = true;
     }
 
-    /** Adds a launch; the slice that holds the attempt is to be {@link #put}. */
+    /** Adds a launch. The caller must also {@link #put} the slice with the attempt. */
     void launch(JobProgress.Launch launch) {
         launches.add(launch);
         machines.add(launch.machine().name());
         requiresJobAndMap = true;
     }
 
-    /** How many tasks are launched. */
+    /** Returns the number of tasks that are launched. */
     int launchCount() {
         return launches.size();
     }
 
-    /** True if tasks are launched. */
+    /** Returns true if tasks are launched. */
     boolean hasLaunches() {
         return !launches.isEmpty();
     }
 
-    /** Slices that are written, without new ones. */
+    /** Returns the existing slices that are written. */
     Collection<SliceEntry> changedSlices() {
         return changed.keySet();
     }
 
-    /** True if a value of the slice is written. */
+    /** Returns true if the slice is written. */
     boolean changes(SliceEntry slice) {
         return changed.containsKey(slice);
     }
 
-    /** How many attempts the written slices hold, without new slices. */
+    /** Returns the number of attempts in the existing slices that are written. */
     int attemptCount() {
         int sum = 0;
         for (Slice slice : changed.values()) {
@@ -148,22 +150,22 @@
         return sum;
     }
 
-    /** True if no slice is written. */
+    /** Returns true if no slice is written or created. */
     boolean isEmpty() {
         return changed.isEmpty() && created.isEmpty();
     }
 
-    /** How many more slices this write may change or create. */
+    /** Returns how many more slices this update may change or create. */
     int remainingWrites() {
         return maxWrites - changed.size() - created.size();
     }
 
-    /** True if a slice may be changed: it is already, or one more write is allowed. */
+    /** Returns true if the slice may be changed: it is changed already, or one more write is allowed. */
     boolean mayChange(SliceEntry slice) {
         return changed.containsKey(slice) || remainingWrites() > 0;
     }
 
-    /** True if nothing of the job is left to run: every task is done, or it is cancelled and has no attempt left. */
+    /** Returns true if all tasks of the job are done, or the job is cancelled and has no attempt left. */
     boolean isJobOver() {
         return job.isCancelled() ? hasNoAttempts() : isComplete();
     }
@@ -180,7 +182,7 @@
         return done == job.job().tasks();
     }
 
-    /** Adds the slices to a transaction, on condition that they, and what the launches rest on, are as they were. */
+    /** Adds the writes and preconditions of this update to a transaction. */
     void addTo(Transaction.Builder transaction, long partitionMapRevision) {
         changed.forEach((slice, value) ->
                 transaction.require(slice.key(), slice.revision()).put(slice.key(), value));
@@ -195,12 +197,14 @@
     }
 
     private void addLaunchPreconditions(Transaction.Builder transaction, long partitionMapRevision) {
-        // A cancelled job, a reassigned slice or a newer partition map each stop a launch here.
+        // Rejects the launch if the job was cancelled or the partition map has changed. A slice that was reassigned is
+        // detected by these or by the precondition on the slice itself.
         transaction
                 .require(StoreKeys.job(job.id()), job.revision())
                 .require(StoreKeys.PARTITION_MAP, partitionMapRevision);
-        // A decommission record means that the machine is terminated or being deleted: a launch there would be lost,
-        // not run twice, so machines beyond the limit of preconditions are left out.
+        // Rejects the launch if a machine has a decommission record, which means that it is terminated or being
+        // deleted. Machines beyond the limit of preconditions are left out: a launch on a decommissioned machine would
+        // be lost, but no task would run twice.
         int remaining = Math.max(0, maxPreconditions - transaction.preconditionCount());
         machines.stream().limit(remaining).forEach(name -> transaction.require(StoreKeys.decommission(name), 0));
     }
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -3,10 +3,11 @@
 import dewlane.core.store.JobEntry;
 
 /**
- * Makes durable what there is to write about a job: outcomes of attempts on the machines of this partition, launches,
- * handovers, its end, and a cancellation that was propagated to it.
+ * Writes the changes of a job to the store: outcomes of attempts on the machines of this partition, launches,
+ * handovers, the end of the job, and a cancellation that was propagated to it.
  *
- * <p>A write is built when it can be sent: while writes are scarce, changes of a job gather, and one write holds more.
+ * <p>A transaction is built only when it can be sent. While the write rate is low, changes of a job accumulate and are
+ * combined into one transaction.
  */
 public final class JobWriter {
     private final JobTransactions transactions;
@@ -16,7 +17,7 @@
     private final LaunchGate launchGate;
     private final LaunchPlanner planner;
 
-    /** Writes by the given steps. */
+    /** Creates a writer that consists of the given steps. */
     public JobWriter(
             JobTransactions transactions,
             JobFinisher finisher,
@@ -32,17 +33,17 @@
         this.planner = planner;
     }
 
-    /** Takes back what was counted for launches whose write was refused. */
+    /** Stops counting launches whose write was answered but that the replica does not show. */
     void reconcileLaunches() {
         transactions.reconcileLaunches();
     }
 
-    /** Writes what there is to write about a job, launches included; nothing while a write about it is in flight. */
+    /** Writes the changes of a job, including launches. Does nothing while a write about the job is in flight. */
     void writeWithLaunches(JobEntry job) {
         write(job, true);
     }
 
-    /** Writes what there is to write about a job, but launches nothing. */
+    /** Writes the changes of a job, but launches nothing. Does nothing while a write about the job is in flight. */
     void writeWithoutLaunches(JobEntry job) {
         write(job, false);
     }
@@ -59,12 +60,15 @@
         outcomes.recordOutcomes(update);
         if (!update.isJobOver()) {
             writeSlices(update, mayLaunch);
-        } else if (!finisher.isLeftToOthers(update)) {
+        } else if (!finisher.isLeftToOtherController(update)) {
             writeEnd(update, mayLaunch);
         }
     }
 
-    /** Ends the job, or first writes outcomes that do not fit into the transaction that ends it. */
+    /**
+     * Ends the job. If it cannot be ended yet, for example because its outcomes do not fit into the transaction that
+     * ends it, writes outcomes first.
+     */
     private void writeEnd(JobUpdate update, boolean mayLaunch) {
         if (finisher.canFinish(update)) {
             finisher.finish(update);
--- a/src/main/java/dewlane/core/scheduling/LaunchGate.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchGate.java
@@ -6,14 +6,14 @@
 import dewlane.core.schema.TransactionPriority;
 import dewlane.core.store.TransactionQueue;
 
-/** Decides whether launches of a job may be written now, whatever machines there are for them. */
+/** Decides whether launches of a job may be written now, regardless of the machines that are available. */
 public final class LaunchGate {
     private final ControllerContext context;
     private final TransactionQueue transactions;
     private final CancellationTracker cancellations;
     private final QuotaEnforcer quota;
 
-    /** Judges by the queue, the known cancellations and the teams' quotas. */
+    /** Creates a gate that checks the transaction queue, the known cancellations and the quotas of teams. */
     public LaunchGate(
             ControllerContext context,
             TransactionQueue transactions,
@@ -26,8 +26,8 @@
     }
 
     /**
-     * True if the job may run, does not back off after failures, the store takes launches, and the usage of the job's
-     * team is known.
+     * Returns true if the job may run, is not in the backoff after a failure, a launch transaction would be sent soon,
+     * and the usage of the job's team is known.
      */
     boolean allowsLaunch(JobUpdate update) {
         return !cancellations.mustNotRun(update.job())
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * Plans what becomes of a job's pending tasks: they are launched on machines of this partition, or handed over to
- * another partition with capacity, or tasks are preempted for them where neither helps.
+ * Plans how a job's pending tasks get to run: they are launched on machines of this partition, or handed over to
+ * another partition with capacity. If neither is possible, tasks of other jobs are preempted to make capacity.
  */
 public final class LaunchPlanner {
-    /** Attempts in one write, which must stay below 64 KiB; the rest follows in the next. */
+    /** Keeps one transaction below 64 KiB. Further attempts are written by the next transaction. */
     private static final int MAX_ATTEMPTS_PER_WRITE = 900;
 
     private final PartitionOwnership ownership;
@@ -26,10 +26,10 @@
     private final SliceLauncher launcher;
     private final SliceHandover handover;
     private final Preemptor preemptor;
-    /** Requirements for which no machine had capacity in this cycle. */
+    /** Requirements for which no machine has capacity in this cycle. */
     private final Set<Job.Requirements> withoutCapacity = new HashSet<>();
 
-    /** Plans launches on the registry's machines and handovers to the selected partitions. */
+    /** Creates a planner of launches on the registry's machines and handovers to the selected partitions. */
     public LaunchPlanner(
             ControllerContext context,
             PartitionOwnership ownership,
@@ -45,14 +45,14 @@
         this.preemptor = new Preemptor(context, machines, quota);
     }
 
-    /** Begins a cycle with the machines of the survey and the ids of the jobs within their team's guarantee. */
+    /** Begins a cycle with the scanned machines and the ids of the jobs within their team's guarantee. */
     void beginCycle(MachineSurvey survey, Set<String> guaranteed) {
         withoutCapacity.clear();
         candidateFinder.beginCycle(survey.machinesWithCapacity());
         preemptor.beginCycle(survey.schedulableMachines(), guaranteed);
     }
 
-    /** Adds launches or handovers of the job's pending tasks to the update. */
+    /** Adds launches or handovers of the job's pending tasks to the update, and preempts other tasks if needed. */
     void plan(JobUpdate update) {
         int attempts = update.attemptCount();
         for (SliceEntry slice : update.job().slices()) {
@@ -76,9 +76,9 @@
         int maxTasks = Math.min(pending, Math.min(maxAttempts, quota.capacityFor(job.job())));
         SliceLauncher.Result result = launcher.launch(update, slice, candidates, maxTasks);
         int remaining = pending - result.count();
-        boolean lacksMachines = remaining > 0 && result.count() < maxTasks && !result.sliceFull();
-        if (lacksMachines && isFirst && result.count() == 0) {
-            noteLackOfCapacity(update);
+        boolean lacksCapacity = remaining > 0 && result.count() < maxTasks && !result.sliceFull();
+        if (lacksCapacity && isFirst && result.count() == 0) {
+            recordLackOfCapacity(update);
         }
         boolean handedOver = remaining > 0
                 && !update.hasLaunches()
@@ -86,7 +86,7 @@
                 && handover.tryHandOver(update, slice);
         if (handedOver) {
             update.requireJobAndMap();
-        } else if (lacksMachines) {
+        } else if (lacksCapacity) {
             preemptor.makeCapacity(job, Math.min(remaining, quota.capacityFor(job.job())));
         }
     }
@@ -95,8 +95,12 @@
         return withoutCapacity.contains(job.requirements()) ? List.of() : candidateFinder.find(job);
     }
 
-    /** Capacity only shrinks during a cycle, so further jobs with the same requirements need not look for it. */
-    private void noteLackOfCapacity(JobUpdate update) {
+    /**
+     * Records that no machine has capacity for the job's requirements. Capacity only shrinks during a cycle, so other
+     * jobs with the same requirements skip the search. Jobs with zone constraints or failed tasks are excluded, because
+     * machines with capacity may be ruled out for these jobs alone.
+     */
+    private void recordLackOfCapacity(JobUpdate update) {
         JobEntry job = update.job();
         if (!job.job().hasZoneConstraint() && update.progress().failureCount() == 0) {
             withoutCapacity.add(job.requirements());
--- a/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
+++ b/src/main/java/dewlane/core/scheduling/MachineSchedulability.java
@@ -5,13 +5,13 @@
 import dewlane.core.message.ControllerContext;
 import dewlane.core.store.StoreReplica;
 
-/** Decides which machines can be given tasks, as far as this controller knows. */
+/** Decides which machines can be given tasks, based on what this controller has observed. */
 public final class MachineSchedulability {
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
 
-    /** Judges by the replica's decommission records and what the registry knows. */
+    /** Creates a check based on the replica's decommission records and the registry's state of machines. */
     public MachineSchedulability(ControllerContext context, StoreReplica replica, MachineRegistry machines) {
         this.context = context;
         this.replica = replica;
@@ -19,8 +19,8 @@
     }
 
     /**
-     * True if the machine can be given tasks: one of this partition by what this controller knows of it, another by
-     * what its owner said within the last few seconds.
+     * Returns true if the machine can be given tasks. A machine of this partition is checked by this controller's own
+     * observations; any other must have been listed by its owner within the last few seconds.
      */
     public boolean isSchedulable(Machine machine) {
         if (machine.owner() == null || replica.isDecommissioned(machine.name())) {
@@ -42,9 +42,9 @@
     }
 
     /**
-     * True if a heartbeat came within half of the worker's lease. A machine that answers commands but whose heartbeats
-     * do not arrive loses all its tasks when its lease expires. One that has just got this owner has some time to find
-     * it.
+     * Returns true if a heartbeat arrived within half of the worker's lease. A machine that answers commands, but whose
+     * heartbeats do not arrive, loses all its tasks when its lease expires. After a change of the owner, the worker has
+     * the same time to send its first heartbeat to the new one.
      */
     private boolean sendsHeartbeats(Machine machine) {
         long sinceMs = Math.max(machine.reachability().reportedAt(), machine.ownerSinceMs());
--- a/src/main/java/dewlane/core/scheduling/MachineSurvey.java
+++ b/src/main/java/dewlane/core/scheduling/MachineSurvey.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * Looks at the machines of this partition once a cycle: finds those that can be given tasks, has tasks checkpoint on
- * those that are soon terminated, and records what was lost with those that are.
+ * Scans the machines of this partition once per cycle: finds those that can be given tasks, has tasks write a
+ * checkpoint on those that will soon be terminated, and records the end of all attempts on those that are terminated.
  */
 public final class MachineSurvey {
-    /** How long before a machine's termination a checkpoint on it must have ended. */
+    /** Time before a machine's termination by which a checkpoint on it must be finished. */
     private static final int CHECKPOINT_MARGIN_S = 5;
 
     private final ControllerContext context;
@@ -24,30 +24,30 @@
     /** Schedulable machines whose CPUs are not all in use. */
     private List<Machine> withCapacity = List.of();
 
-    /** Surveys the registry's machines. */
+    /** Creates a scan of the registry's machines. */
     public MachineSurvey(ControllerContext context, MachineRegistry machines, MachineSchedulability schedulability) {
         this.context = context;
         this.machines = machines;
         this.schedulability = schedulability;
     }
 
-    /** Machines of this partition that can be given tasks, as of the latest survey. */
+    /** Returns the machines of this partition that can be given tasks, as of the latest scan. */
     List<Machine> schedulableMachines() {
         return schedulable;
     }
 
-    /** Schedulable machines whose CPUs are not all in use. */
+    /** Returns the schedulable machines whose CPUs are not all in use. */
     List<Machine> machinesWithCapacity() {
         return withCapacity;
     }
 
-    /** Forgets the latest survey: this controller has no partition. */
+    /** Discards the result of the latest scan. Called when this controller has no partition. */
     void clear() {
         schedulable = List.of();
         withCapacity = List.of();
     }
 
-    /** Looks at all machines of this partition. */
+    /** Scans all machines of this partition. */
     void run() {
         schedulable = new ArrayList<>();
         withCapacity = new ArrayList<>();
@@ -67,14 +67,14 @@
         }
     }
 
-    /** All attempts on a machine that is proven terminated have ended. */
+    /** Records the end of all attempts on a machine that is proven terminated. */
     private void recordLostAttempts(Machine machine) {
         for (AssignedAttempt attempt : machine.attempts()) {
             machines.progress().getOrCreate(attempt.job().id()).recordOutcome(attempt, Outcome.GONE, context.nowMs());
         }
     }
 
-    /** Tasks on a machine that is soon terminated write a checkpoint, as late as is safe. */
+    /** Preempts tasks on a machine that will soon be terminated, as late as a checkpoint can still be finished. */
     private void checkpointBeforeTermination(Machine machine) {
         for (AssignedAttempt attempt : machine.attempts()) {
             Job job = attempt.job().job();
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
@@ -13,29 +13,35 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Decides which outcomes of attempts are written when: those of a slice gather for a while, to share a write. */
+/** Decides when outcomes of attempts are written. Outcomes of a slice are delayed so that several share one write. */
 public final class OutcomeBatching {
-    /** How long outcomes gather, and how long while writes are scarce. */
+    /** Delay while the write rate is not low. */
     private static final long DELAY_MS = 1000;
-
-    private static final long DELAY_SCARCE_MS = 15_000;
-    /** The same where the team's limit leaves the job no capacity, as attempts count until their end is durable. */
-    private static final long DELAY_AT_LIMIT_MS = 5000;
-    /** The same where the team's limit is enforced by serialized launches, which count what is durable. */
-    private static final long DELAY_SERIALIZED_MS = 3000;
+    /** Delay while the write rate is low. */
+    private static final long LOW_RATE_DELAY_MS = 15_000;
+    /**
+     * Delay while the write rate is low and the team's limit leaves the job no capacity. Attempts count against the
+     * limit until their end is durable.
+     */
+    private static final long LOW_RATE_AT_LIMIT_DELAY_MS = 5000;
+    /**
+     * Delay while the write rate is low, for a team with serialized launches. They are decided on the durable usage;
+     * while the write rate is not low, outcomes of such a team are not delayed.
+     */
+    private static final long LOW_RATE_SERIALIZED_DELAY_MS = 3000;
 
     private final ControllerContext context;
     private final TransactionQueue transactions;
     private final QuotaEnforcer quota;
 
-    /** Batches by the scarcity of writes in the queue and by the teams' quotas. */
+    /** Creates a policy that depends on the write rate left in the queue and on the quotas of teams. */
     public OutcomeBatching(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
         this.context = context;
         this.transactions = transactions;
         this.quota = quota;
     }
 
-    /** Adds all known outcomes to the update; {@link #putDue} decides which of them are written by it. */
+    /** Records all known outcomes in the update. {@link #putDue} decides which of them the update writes. */
     void recordOutcomes(JobUpdate update) {
         if (!update.progress().hasOutcomes()) {
             return;
@@ -48,7 +54,7 @@
         }
     }
 
-    /** The slice with the outcomes of its attempts; the same object if none is known. */
+    /** Returns the slice with the outcomes of its attempts, or the same object if none is known. */
     private static Slice withOutcomes(JobUpdate update, Slice slice) {
         if (slice.attempts().isEmpty()) {
             return slice;
@@ -71,7 +77,7 @@
         return update.progress().outcome(attempt.idIn(update.job().id()));
     }
 
-    /** Writes the outcomes that have gathered for long enough, for as many slices as the transaction holds. */
+    /** Adds the outcomes that are due to the update, for as many slices as fit into the transaction. */
     void putDue(JobUpdate update) {
         update.forEachWithOutcomes((slice, value) -> {
             if (update.mayChange(slice) && !update.changes(slice) && isDue(update, slice, value)) {
@@ -81,9 +87,11 @@
     }
 
     /**
-     * Outcomes of tasks whose slice has others to come can wait for more, as each change is read by every controller:
-     * the capacity of what ended is free already. Not so under a limit that counts what is durable. What is launched of
-     * a slice is written with its outcomes, so those cost no change of their own.
+     * Returns true if the outcomes of the slice must be written now. Every change of a slice is read by all
+     * controllers, so outcomes are delayed while more are expected for the slice. The delay does not hold up other
+     * tasks: the machine capacity of an ended attempt is already free. Only a team's limit counts an attempt until its
+     * end is durable, so delays are shorter there. If tasks of the slice are launched, its outcomes are part of that
+     * write in any case.
      */
     private boolean isDue(JobUpdate update, SliceEntry slice, Slice value) {
         JobProgress progress = update.progress();
@@ -96,14 +104,14 @@
     }
 
     private long delayMs(Job job) {
-        boolean scarce = transactions.isScarce();
+        boolean rateIsLow = transactions.isScarce();
         if (quota.isSerialized(job)) {
-            return scarce ? DELAY_SERIALIZED_MS : 0;
+            return rateIsLow ? LOW_RATE_SERIALIZED_DELAY_MS : 0;
         }
-        if (!scarce) {
+        if (!rateIsLow) {
             return DELAY_MS;
         }
-        return quota.capacityFor(job) > 0 ? DELAY_SCARCE_MS : DELAY_AT_LIMIT_MS;
+        return quota.capacityFor(job) > 0 ? LOW_RATE_DELAY_MS : LOW_RATE_AT_LIMIT_DELAY_MS;
     }
 
     private static boolean hasTaskToRetry(JobUpdate update, SliceEntry slice) {
--- a/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
+++ b/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
@@ -10,23 +10,27 @@
 import java.util.List;
 
 /**
- * Brings slices that were stored under larger limits within the present ones.
+ * Splits slices that were stored under larger limits, so that each value is within the current limit.
  *
- * <p>A slice that a few pieces hold is split at once. One that needs more is split by new slices for its last tasks,
- * group by group, while it keeps its stored value until the rest fits: see {@link StoreReplica}. Version 0.1 would not
- * understand that, so while it may run, the slice's own value shrinks piece by piece, above the coming limit but below
- * what is stored.
+ * <p>A slice is split by one transaction if all its pieces fit into it. Otherwise new slices take over its last tasks,
+ * as many per transaction as fit, while the stored value of the slice is kept until the remaining tasks fit into one
+ * value: see {@link StoreReplica}. Version 0.1 does not understand slices with overlapping tasks. While it may run,
+ * each transaction also shortens the slice itself, to a value that is still above the limit to come but smaller than
+ * the stored one.
  */
 public final class OversizedSliceSplitter {
-    /** No slice with fewer attempts and done marks is near the size that a value may have. */
-    private static final int MIN_BYTES_PER_ENTRY = 64;
+    /**
+     * Upper estimate of the bytes that an attempt or done mark takes. The exact size is computed only for slices that
+     * may exceed the limit by this estimate.
+     */
+    private static final int MAX_BYTES_PER_ENTRY = 64;
 
     private final ControllerContext context;
     private final PartitionOwnership ownership;
     private final Membership membership;
     private final TransactionQueue transactions;
 
-    /** Splits slices to the limits of the context's settings. */
+    /** Creates a splitter for the limits in the context's settings. */
     public OversizedSliceSplitter(
             ControllerContext context,
             PartitionOwnership ownership,
@@ -55,7 +59,7 @@
 
     private boolean mayExceedLimit(Slice slice) {
         int entries = slice.attempts().size() + slice.done().cardinality();
-        return entries * MIN_BYTES_PER_ENTRY > context.settings().maxValueBytes();
+        return entries * MAX_BYTES_PER_ENTRY > context.settings().maxValueBytes();
     }
 
     private boolean splitIfOversized(JobUpdate update, SliceEntry slice) {
@@ -69,7 +73,7 @@
             return false;
         }
         if (!putPieces(update, slice, pieces, owned)) {
-            // Its outcomes are written once it is split: as it is, no value may be so large.
+            // The slice exceeds the limit, so its outcomes can only be written once it is split.
             update.discardOutcomes(slice);
             return false;
         }
@@ -83,10 +87,10 @@
             update.put(slice, pieces.get(0));
             pieces.subList(1, pieces.size()).forEach(update::create);
         } else if (owned && (membership.allControllersUpgraded() || transactions.wasSizeRejected())) {
-            // What the new slices take over must be in no launch that is still on its way: the owner alone does this,
-            // under the partition map.
+            // No launch of the tasks that the new slices take over may be in flight. Only the owner launches them, so
+            // only the owner splits the slice this way, on condition that the partition map is unchanged.
             pieces.subList(pieces.size() - writes, pieces.size()).forEach(update::create);
-            update.dependOn(slice);
+            update.requireUnchanged(slice);
         } else if (writes >= 2) {
             Slice value = update.value(slice);
             List<Slice> last = pieces.subList(pieces.size() - writes + 1, pieces.size());
--- a/src/main/java/dewlane/core/scheduling/PartitionCandidate.java
+++ b/src/main/java/dewlane/core/scheduling/PartitionCandidate.java
@@ -1,11 +1,11 @@
 package dewlane.core.scheduling;
 
 /**
- * A partition as a target for tasks of a job.
+ * A partition to which tasks of a job may be assigned.
  *
  * @param controller the controller that owns the partition
- * @param capacity how many tasks of the job the partition could start
- * @param netCapacity the same less the capacity that pending tasks of jobs of no lower priority there need; negative if
- *     they need more than there is
+ * @param capacity number of tasks of the job that the partition could start, after what it leaves to other pending jobs
+ * @param netCapacity capacity for tasks of the job, less what all pending tasks there of other jobs with the same or
+ *     higher priority need; negative if they need more than there is
  */
 record PartitionCandidate(String controller, int capacity, double netCapacity) {}
--- a/src/main/java/dewlane/core/scheduling/PartitionSelector.java
+++ b/src/main/java/dewlane/core/scheduling/PartitionSelector.java
@@ -18,16 +18,17 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Ranks the partitions for a job's tasks, by their capacity and what is pending there already. */
+/** Ranks partitions for the tasks of a job by their capacity and by the tasks that are already pending there. */
 public final class PartitionSelector {
     /**
-     * How long a job leaves the capacity of a partition to all that is pending there, even to what cannot use it yet.
+     * Time during which a job leaves the capacity of a partition to all tasks that are pending there, including those
+     * that cannot start yet. After that it leaves only the capacity for tasks that could start now.
      */
     private static final long YIELD_PERIOD_MS = 30_000;
 
     private static final double MIN_CPUS_PER_TASK = 0.001;
 
-    /** Jobs with the same demand have the same candidates. */
+    /** Cache key: jobs with equal demand have the same candidates. */
     private record Demand(Job.Requirements requirements, Priority priority, String team, boolean waitedLong) {}
 
     private final ControllerContext context;
@@ -36,10 +37,10 @@
     private final QuotaEnforcer quota;
     private final DependencyGraph dependencies;
     private final Map<Demand, List<PartitionCandidate>> cache = new HashMap<>();
-    /** The generation of the capacity that the cached candidates were made from. */
+    /** Generation of the capacity counts from which the cached candidates were computed. */
     private long cacheGeneration;
 
-    /** Ranks the partitions of the replica's map. */
+    /** Creates a selector of partitions in the replica's partition map. */
     public PartitionSelector(
             ControllerContext context,
             StoreReplica replica,
@@ -53,12 +54,12 @@
         this.dependencies = dependencies;
     }
 
-    /** All partitions for a new job, the one with the largest net capacity first; never empty. */
+    /** Returns all partitions for a new job, the one with the largest net capacity first; never empty. */
     List<PartitionCandidate> forNewJob(Job job) {
         return candidates(job, new Demand(job.requirements(), job.priority(), job.team(), false));
     }
 
-    /** The best partition with capacity for the pending job other than that of the given controller. */
+    /** Returns the best partition that has capacity for the pending job, other than that of the given controller. */
     Optional<PartitionCandidate> findOther(JobEntry job, String controller) {
         Demand demand = new Demand(job.requirements(), job.priority(), job.job().team(), hasWaitedLong(job));
         for (PartitionCandidate candidate : candidates(job.job(), demand)) {
@@ -98,8 +99,9 @@
             String controller = members.get(i).name();
             int quotaCapacity = quota.capacityFor(job, controller);
             double netCapacity = Math.min(capacities[i] - competing.pending[i], quotaCapacity);
-            // Large tasks need all capacity that becomes free; but a job that has waited for long leaves others no more
-            // than they can use now, or it would wait beside free capacity for good.
+            // All pending tasks reduce the capacity, because large tasks can only start if other jobs leave them the
+            // capacity that becomes free. For a job that has waited long, only tasks that could start now reduce it:
+            // otherwise the job could wait forever although there is free capacity.
             double startable =
                     demand.waitedLong() ? Math.min(capacities[i] - competing.startable[i], quotaCapacity) : netCapacity;
             candidates.add(new PartitionCandidate(controller, (int) Math.max(0, Math.floor(startable)), netCapacity));
@@ -110,8 +112,8 @@
     }
 
     /**
-     * What the pending tasks of other jobs need of each partition, in tasks of the job in question. Arrays are in the
-     * order of the map's members.
+     * Capacity of each partition that pending tasks of other jobs need, expressed as a number of tasks of the given job
+     * by their CPUs. Arrays are in the order of the map's members.
      */
     private final class CompetingDemand {
         private final Job job;
@@ -119,7 +121,7 @@
         private final int[] capacities;
         private final boolean countsStartable;
         private final double[] pending;
-        /** What of the pending tasks could start now; counted on demand only. */
+        /** The part of {@link #pending} that could start now. Computed only if {@link #countsStartable} is set. */
         private final double[] startable;
 
         CompetingDemand(Job job, List<Member> members, int[] capacities, boolean countsStartable) {
@@ -150,7 +152,9 @@
             }
         }
 
-        /** How many of the other job's tasks could start in the partition now, by machines and quota. */
+        /**
+         * Returns how many of the other job's tasks could start in the partition now, by its machines and the quota.
+         */
         private int startableCount(JobEntry other, int partition) {
             int byMachines = capacity.byPartition(other.job(), other.requirements())[partition];
             int byQuota = quota.capacityFor(other.job(), members.get(partition).name());
--- a/src/main/java/dewlane/core/scheduling/PreemptionPolicy.java
+++ b/src/main/java/dewlane/core/scheduling/PreemptionPolicy.java
@@ -9,18 +9,19 @@
 import java.util.Set;
 
 /**
- * Which jobs may preempt which tasks: a job of higher priority any of a lower one, and a job within its team's
- * guarantee those of other teams that are beyond theirs. A job first waits for a part of the time that its objectives
- * give it, and tasks of jobs halfway to their objective are spared.
+ * Decides which jobs may preempt which tasks. A job may preempt tasks of jobs with lower priority. A job within its
+ * team's guarantee may also preempt tasks of other teams that exceed their guarantee. A job must first wait for a
+ * fraction of the time that its objectives allow. Tasks of jobs that have used half of the time in which they should
+ * finish are not preempted.
  */
 final class PreemptionPolicy {
-    /** The part of the time it may wait for which a job waits for capacity to become free by itself. */
-    private static final double PATIENCE_FRACTION = 0.3;
+    /** Fraction of its allowed waiting time for which a job waits for capacity to become free without preemption. */
+    private static final double PREEMPTION_DELAY_FRACTION = 0.3;
 
-    private static final double MIN_PATIENCE_S = 1;
-    private static final double MAX_PATIENCE_S = 30;
-    /** A task is spared once its job has used this part of the time in which it should be finished. */
-    private static final double SPARED_FRACTION = 0.5;
+    private static final double MIN_PREEMPTION_DELAY_S = 1;
+    private static final double MAX_PREEMPTION_DELAY_S = 30;
+    /** Tasks are not preempted once their job has used this fraction of the time in which it should finish. */
+    private static final double PROTECTED_FRACTION = 0.5;
 
     private final ControllerContext context;
     private final QuotaEnforcer quota;
@@ -36,22 +37,22 @@
         guaranteed = guaranteedNow;
     }
 
-    /** True if the job is within its team's guarantee. */
+    /** Returns true if the job is within its team's guarantee. */
     boolean isGuaranteed(JobEntry job) {
         return guaranteed.contains(job.id());
     }
 
-    /** True if the job has waited for long enough to preempt others. */
+    /** Returns true if the job has waited long enough to preempt tasks. */
     boolean hasWaitedEnough(JobEntry job) {
-        return ageS(job) >= patienceS(job);
+        return ageS(job) >= preemptionDelayS(job);
     }
 
-    /** True if the job may preempt the task. */
+    /** Returns true if the job may preempt the task. */
     boolean mayPreempt(AssignedAttempt attempt, JobEntry job) {
         JobEntry victim = attempt.job();
         Job spec = victim.job();
         double finishedS = context.settings().objectiveS("finished", spec.jobClass());
-        if (victim.isCancelled() || ageS(victim) > SPARED_FRACTION * finishedS) {
+        if (victim.isCancelled() || ageS(victim) > PROTECTED_FRACTION * finishedS) {
             return false;
         }
         if (victim.priority().compareTo(job.priority()) < 0) {
@@ -63,13 +64,13 @@
                 && quota.exceedsGuarantee(spec);
     }
 
-    /** Seconds for which the job has been pending or running; not those in which it waited for its dependencies. */
+    /** Returns the seconds for which the job has been pending or running, without the wait for its dependencies. */
     private double ageS(JobEntry job) {
         return (context.wallClockMs() - job.waitingSinceMs()) / 1000.0;
     }
 
-    /** How long the job waits before it preempts others, by its service-level objectives and its deadline. */
-    private double patienceS(JobEntry job) {
+    /** Returns how long the job waits before it preempts tasks, by its service-level objectives and its deadline. */
+    private double preemptionDelayS(JobEntry job) {
         Job spec = job.job();
         Settings settings = context.settings();
         double allowedS = Math.min(
@@ -81,6 +82,6 @@
             double untilDeadlineS = (job.deadlineMs() - job.waitingSinceMs()) / 1000.0;
             allowedS = Math.min(allowedS, untilDeadlineS - spec.expectedRunS());
         }
-        return Math.min(MAX_PATIENCE_S, Math.max(MIN_PATIENCE_S, PATIENCE_FRACTION * allowedS));
+        return Math.min(MAX_PREEMPTION_DELAY_S, Math.max(MIN_PREEMPTION_DELAY_S, PREEMPTION_DELAY_FRACTION * allowedS));
     }
 }
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -17,21 +17,21 @@
 import java.util.Set;
 
 /**
- * Preempts tasks to make capacity for jobs that may claim it (see {@link PreemptionPolicy}). It weighs the work that is
- * lost, and reserves the capacity for the job for which it was made.
+ * Preempts tasks to make capacity for other jobs, as far as {@link PreemptionPolicy} allows. Chooses the tasks that
+ * lose the least work, and reserves the capacity for the job for which they are preempted.
  */
 final class Preemptor {
-    /** A larger set of machines is sampled, not searched. */
+    /** Maximum number of machines that are considered. Of a larger set, a sample is considered. */
     private static final int MAX_SAMPLE_SIZE = 64;
 
-    /** A machine with the tasks whose preemption makes capacity there for one task. */
+    /** A machine, and the tasks to preempt on it to make capacity for one task. */
     private record Option(Machine machine, Victims victims) {
         double lostCpuS() {
             return victims.lostCpuS();
         }
     }
 
-    /** Jobs with the same claim may preempt the same tasks. */
+    /** Jobs with equal claims may preempt the same tasks. */
     private record Claim(Job.Requirements requirements, Priority priority, boolean guaranteed, String team) {}
 
     private final ControllerContext context;
@@ -40,7 +40,7 @@
     private final VictimSelector victimSelector;
     private final ExpectedUsage expectedUsage = new ExpectedUsage();
     private List<Machine> schedulableMachines = List.of();
-    /** Claims for which this cycle found no more victims. */
+    /** Claims for which no tasks to preempt were found in this cycle. */
     private final Set<Claim> withoutVictims = new HashSet<>();
 
     Preemptor(ControllerContext context, MachineRegistry machines, QuotaEnforcer quota) {
@@ -50,7 +50,7 @@
         this.victimSelector = new VictimSelector(context, policy);
     }
 
-    /** Begins a cycle over all jobs, those with the first claim first. */
+    /** Begins a cycle with the schedulable machines and the ids of the jobs within their team's guarantee. */
     void beginCycle(List<Machine> schedulable, Set<String> guaranteed) {
         schedulableMachines = schedulable;
         policy.beginCycle(guaranteed);
@@ -58,7 +58,7 @@
         withoutVictims.clear();
     }
 
-    /** Reserves capacity for up to the given number of the job's tasks, and preempts others where there is none. */
+    /** Reserves capacity for up to the given number of the job's tasks, and preempts other tasks where needed. */
     void makeCapacity(JobEntry job, int tasks) {
         Job spec = job.job();
         if (tasks < 1 || spec.hasZoneConstraint() || !policy.hasWaitedEnough(job)) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Options on a sample of the machines, the cheapest first. */
+    /** Returns the options on a sample of the machines, those that lose the least work first. */
     private PriorityQueue<Option> sampleOptions(JobEntry job) {
         PriorityQueue<Option> options = new PriorityQueue<>(Comparator.comparingDouble(Option::lostCpuS));
         int total = schedulableMachines.size();
@@ -94,7 +94,7 @@
         return options;
     }
 
-    /** Adds what it costs to make capacity for one more task on the machine, if that can be done. */
+    /** Adds the option to make capacity for one more task on the machine, if that is possible. */
     private void addOption(PriorityQueue<Option> options, Machine machine, JobEntry job) {
         MachineType type = machines.type(machine);
         if (machine.isAllowedFor(job.job()) && type.fits(job.requirements())) {
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * The scheduling cycle: looks at the machines of this partition, and at no other, and has {@link JobWriter} write what
- * there is to write about each job, in the order in which jobs are served.
+ * The scheduling cycle: scans the machines of this controller's partition, and of no other, and has {@link JobWriter}
+ * write the changes of each job, in the order of {@link JobQueue}.
  */
 public final class SchedulingCycle {
     private final Membership membership;
@@ -17,7 +17,7 @@
     private final LaunchPlanner planner;
     private final SliceGarbageCollector garbageCollector;
 
-    /** A cycle of the given steps. */
+    /** Creates a cycle that consists of the given steps. */
     public SchedulingCycle(
             Membership membership,
             MachineSurvey survey,
@@ -33,7 +33,7 @@
         this.garbageCollector = garbageCollector;
     }
 
-    /** Machines of this partition that can be given tasks, as of the latest cycle. */
+    /** Returns the machines of this partition that can be given tasks, as of the latest cycle. */
     public List<Machine> schedulableMachines() {
         return survey.schedulableMachines();
     }
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -10,20 +10,20 @@
 import java.util.List;
 
 /**
- * Divides new jobs into slices and assigns those to partitions by their free capacity. Slices are few, as each one
- * costs writes.
+ * Divides new jobs into slices and assigns the slices to partitions by free capacity. Keeps the number of slices low,
+ * because each slice costs writes.
  */
 public final class SliceAssigner {
-    /** Keeps a slice's done marks well within the smallest value that the store takes. */
+    /** Keeps the done marks of a slice well within the smallest size limit of a value. */
     private static final int MAX_TASKS_PER_SLICE = 20_000;
-    /** Tasks for which there is no capacity are divided into slices of at least so many. */
-    private static final int MIN_PENDING_TASKS_PER_SLICE = 150;
+    /** Tasks for which there is no capacity are divided among one partition per this many tasks, rounded up. */
+    private static final int PENDING_TASKS_PER_PARTITION = 150;
 
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final PartitionSelector partitions;
 
-    /** Assigns slices to the selected partitions. */
+    /** Creates an assigner that uses the selector's ranking of partitions. */
     public SliceAssigner(ControllerContext context, MachineRegistry machines, PartitionSelector partitions) {
         this.context = context;
         this.machines = machines;
@@ -31,9 +31,10 @@
     }
 
     /**
-     * The slices of a new job: one if a partition has capacity for all of it, or else as few as the capacity is spread
-     * over. Tasks for which there is none are assigned to the partitions with the least demand. A slice holds no more
-     * tasks than its value can hold attempts.
+     * Returns the slices of a new job: one if a partition has capacity for the whole job, otherwise one for each of the
+     * fewest partitions that together have capacity for it. Tasks for which no partition has capacity are divided among
+     * the partitions with the least demand. A run of tasks is divided further if all its attempts would not fit into
+     * one slice's value. Slices are made larger than that only if the job would otherwise have too many slices.
      */
     public List<SliceAssignment> assign(Job job) {
         List<PartitionCandidate> candidates = partitions.forNewJob(job);
@@ -59,7 +60,7 @@
         return assignments;
     }
 
-    /** All of a job's tasks as one slice, for a record that has no space for more. */
+    /** Returns one slice with all tasks of the job, for a job record that has no space for more slices. */
     public List<SliceAssignment> assignWhole(Job job) {
         return wholeJob(job, partitions.forNewJob(job).get(0));
     }
@@ -68,7 +69,10 @@
         return List.of(new SliceAssignment(candidate.controller(), 0, job.tasks()));
     }
 
-    /** How many tasks each candidate gets: as many as it has capacity for, and then an equal part of the rest. */
+    /**
+     * Returns how many tasks each candidate gets: as many as it has capacity for, plus, for the first candidates, an
+     * equal part of the tasks for which there is no capacity.
+     */
     private static int[] taskCounts(Job job, List<PartitionCandidate> candidates) {
         int[] taskCounts = new int[candidates.size()];
         int remaining = job.tasks();
@@ -76,9 +80,9 @@
             taskCounts[i] = Math.min(remaining, candidates.get(i).capacity());
             remaining -= taskCounts[i];
         }
-        int pendingSlices = Math.min(taskCounts.length, divideRoundingUp(remaining, MIN_PENDING_TASKS_PER_SLICE));
-        for (int i = 0; i < pendingSlices; i++) {
-            int pending = remaining / (pendingSlices - i);
+        int pendingPartitions = Math.min(taskCounts.length, divideRoundingUp(remaining, PENDING_TASKS_PER_PARTITION));
+        for (int i = 0; i < pendingPartitions; i++) {
+            int pending = remaining / (pendingPartitions - i);
             taskCounts[i] += pending;
             remaining -= pending;
         }
@@ -97,21 +101,24 @@
         return (int) (((long) count + divisor - 1) / divisor);
     }
 
-    /** Tasks whose attempts one value holds, on machines of the types that fit, each half free. */
+    /**
+     * Returns how many tasks a slice may have so that their attempts fit into its value, assuming that they run on
+     * half-free machines of the allowed types.
+     */
     private int tasksPerSlice(Job job) {
-        int types = 0;
-        int fitting = 0;
+        int typeCount = 0;
+        int totalCapacity = 0;
         for (MachineType type : machines.types()) {
             if (job.allowsType(type.name()) && type.capacityFor(job) > 0) {
-                types++;
-                fitting += type.capacityFor(job);
+                typeCount++;
+                totalCapacity += type.capacityFor(job);
             }
         }
-        int tasksPerMachine = types == 0 ? 1 : Math.max(1, fitting / types / 2);
+        int tasksPerMachine = typeCount == 0 ? 1 : Math.max(1, totalCapacity / typeCount / 2);
         return SliceSizeBound.tasksWithin(context.settings().maxValueBytes(), tasksPerMachine);
     }
 
-    /** Divides a run of tasks into slices of about equal length. */
+    /** Divides a run of consecutive tasks into slices of about equal size. */
     private static void addSlices(List<SliceAssignment> assignments, SliceAssignment run, int tasksPerSlice) {
         int end = run.first() + run.count();
         int first = run.first();
--- a/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -12,21 +12,21 @@
 import java.util.Map;
 
 /**
- * Deletes the remaining slices of jobs that have ended. A job with many slices ends by one transaction that removes its
- * record; slices that do not fit into it are deleted afterwards, by whichever controller then owns the job's key.
+ * Deletes the remaining slices of ended jobs. A job is ended by one transaction that deletes its record and its slices.
+ * Slices that do not fit into it are deleted later by the controller that owns the job's key at that time.
  */
 public final class SliceGarbageCollector {
-    /** Stands for the revision of a deletion that is not answered yet. */
+    /** Stands for the revision of a deletion that is in flight. */
     private static final long IN_FLIGHT = Long.MAX_VALUE;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final TransactionQueue transactions;
     private final PartitionOwnership ownership;
-    /** By job, the revision of a deletion that the replica has not reached yet. */
+    /** By job, the revision of its latest deletion, until the replica reaches it. */
     private final Map<String, Long> deletionRevisions = new HashMap<>();
 
-    /** Collects the slices that the replica shows, through the queue. */
+    /** Creates a collector of the slices in the replica that sends deletions through the queue. */
     public SliceGarbageCollector(
             ControllerContext context,
             StoreReplica replica,
@@ -53,7 +53,7 @@
         }
     }
 
-    /** On condition that the job has no record: without one, nothing of it can be launched or become undone. */
+    /** Requires that the job has no record: then none of its tasks can be launched, and done marks are not needed. */
     private void deleteSlices(JobEntry job) {
         Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id()), 0);
         for (SliceEntry slice : job.slices()) {
--- a/src/main/java/dewlane/core/scheduling/SliceHandover.java
+++ b/src/main/java/dewlane/core/scheduling/SliceHandover.java
@@ -9,16 +9,17 @@
 import java.util.Optional;
 
 /**
- * Hands pending tasks over to a partition with capacity for them.
+ * Hands pending tasks over to a partition that has capacity for them.
  *
- * <p>The whole slice is handed over if none of it is on a machine and all of it finds capacity; otherwise as many of
- * its last tasks as are pending and find capacity there, as a slice of their own. What is on a machine is never handed
- * over, as it counts against the share of its team's limit that this controller has.
+ * <p>The whole slice is handed over if none of its tasks is on a machine and the other partition has capacity for all
+ * of it. Otherwise as many of its last pending tasks as the other partition has capacity for become a slice of that
+ * partition. Tasks on a machine are never handed over, because they count against this controller's share of their
+ * team's limit.
  */
 final class SliceHandover {
-    /** How often a pending job looks for capacity in other partitions. */
+    /** Time between two searches for a partition with capacity for the same job. */
     private static final long CHECK_INTERVAL_MS = 400;
-    /** How long after a handover nothing more of the job is handed over. */
+    /** Time after a handover during which no more tasks of the job are handed over. */
     private static final long COOLDOWN_MS = 2000;
 
     private final ControllerContext context;
@@ -31,7 +32,12 @@
         this.counters = counters;
     }
 
-    /** Hands over tasks of the slice, if it is time to look for a partition and one has capacity; true if it did. */
+    /**
+     * Hands over tasks of the slice if a partition has capacity and the job was not checked or handed over too
+     * recently.
+     *
+     * @return true if tasks are handed over by the update
+     */
     boolean tryHandOver(JobUpdate update, SliceEntry slice) {
         JobProgress progress = update.progress();
         if (context.nowMs() - progress.handedOverAtMs() < COOLDOWN_MS
@@ -53,11 +59,13 @@
 
     private boolean handOver(JobUpdate update, SliceEntry slice, PartitionCandidate target) {
         Slice value = update.value(slice);
-        int tail = value.count() - value.occupied().length();
-        int moved = update.job().job().hasZoneConstraint() ? value.count() : Math.min(tail, target.capacity());
-        // Tasks that are pending before others that are done can only go with the whole slice, or they would stay here
-        // for ever.
-        if (value.attempts().isEmpty() && (moved == value.count() || tail == 0)) {
+        int trailingPending = value.count() - value.occupied().length();
+        int moved =
+                update.job().job().hasZoneConstraint() ? value.count() : Math.min(trailingPending, target.capacity());
+        // A slice whose last task is done has no pending tasks at its end to split off. It is handed over as a whole,
+        // even if there is capacity for only a part of it, because its pending tasks would otherwise never leave this
+        // partition.
+        if (value.attempts().isEmpty() && (moved == value.count() || trailingPending == 0)) {
             update.put(slice, value.withOwner(target.controller()));
             return true;
         }
--- a/src/main/java/dewlane/core/scheduling/SliceLauncher.java
+++ b/src/main/java/dewlane/core/scheduling/SliceLauncher.java
@@ -14,13 +14,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Launches pending tasks of a slice on candidate machines, in an update. */
+/** Adds launches of a slice's pending tasks on candidate machines to an update. */
 final class SliceLauncher {
     /**
-     * What a launch came to.
+     * Result of launching tasks of a slice.
      *
-     * @param count how many tasks are launched
-     * @param sliceFull true if the slice's value holds no more attempts, though there may be machines for them
+     * @param count number of tasks that are launched
+     * @param sliceFull true if the slice's value has no space for more attempts, even if machines have capacity for
+     *     them
      */
     record Result(int count, boolean sliceFull) {
         private static final Result NONE = new Result(0, false);
@@ -34,7 +35,7 @@
         this.machines = machines;
     }
 
-    /** Launches up to the given number of the slice's pending tasks, on the first candidates that take them. */
+    /** Launches up to the given number of the slice's pending tasks on the first candidates that have capacity. */
     Result launch(JobUpdate update, SliceEntry slice, List<Candidate> candidates, int maxTasks) {
         Slice value = update.value(slice);
         Optional<ZoneConstraint> zones = zoneConstraint(update.job().job(), value);
@@ -51,7 +52,10 @@
         return launch.commit();
     }
 
-    /** The job's constraint with the attempts of its only slice, or empty if the zone of one is not known. */
+    /**
+     * Returns the job's zone constraint, given the attempts of its only slice; empty if the zone of an attempt is not
+     * known.
+     */
     private Optional<ZoneConstraint> zoneConstraint(Job job, Slice slice) {
         ZoneConstraint constraint = new ZoneConstraint(job);
         if (!job.hasZoneConstraint()) {
@@ -67,7 +71,7 @@
         return Optional.of(constraint);
     }
 
-    /** The launch of one slice's tasks while it goes through the candidates. */
+    /** State of launching one slice's tasks while iterating over the candidates. */
     private final class SliceLaunch {
         private final JobUpdate update;
         private final SliceEntry slice;
@@ -131,7 +135,7 @@
             remaining--;
         }
 
-        /** Puts the slice with its new attempts into the update. */
+        /** Adds the slice with its new attempts to the update. */
         Result commit() {
             int count = attempts.size() - value.attempts().size();
             if (count > 0) {
--- a/src/main/java/dewlane/core/scheduling/VictimSelector.java
+++ b/src/main/java/dewlane/core/scheduling/VictimSelector.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Selects the tasks on a machine whose preemption makes capacity for a job and loses least work. */
+/** Selects the tasks on a machine to preempt for a job, so that as little work as possible is lost. */
 final class VictimSelector {
     /**
      * Tasks to preempt on a machine.
      *
-     * @param lostCpuS the work that is lost, in CPU seconds
+     * @param lostCpuS the work that is lost by preempting them, in CPU seconds
      */
     record Victims(List<AssignedAttempt> attempts, double lostCpuS) {
         private static final Victims NONE = new Victims(List.of(), 0);
@@ -32,9 +32,9 @@
     }
 
     /**
-     * The victims for one task of the job, none of them if it fits already.
+     * Selects tasks to preempt so that one task of the job fits; none if it fits already.
      *
-     * @param usage what is in use on the machine once preemptions under way have ended
+     * @param usage what will be in use on the machine once pending preemptions have ended
      * @return empty if no preemption makes capacity for the job
      */
     Optional<Victims> select(Machine machine, MachineType type, JobEntry job, ResourceUsage usage) {
@@ -55,7 +55,7 @@
         return Optional.empty();
     }
 
-    /** Tasks on the machine that the job may preempt, those first with which least work is lost. */
+    /** Returns the tasks on the machine that the job may preempt, those that lose the least work first. */
     private List<AssignedAttempt> preemptible(Machine machine, JobEntry job) {
         List<AssignedAttempt> attempts = new ArrayList<>();
         for (AssignedAttempt attempt : machine.attempts()) {
@@ -70,7 +70,9 @@
         return attempts;
     }
 
-    /** CPU seconds that are lost when the task is stopped now; a checkpoint saves all but the time it takes. */
+    /**
+     * Returns the CPU seconds that are lost if the task is stopped now. With checkpoints, only the time to write one.
+     */
     private double lostCpuS(AssignedAttempt attempt) {
         Job job = attempt.job().job();
         double ranS = (context.wallClockMs() - attempt.attempt().launchedAtMs()) / 1000.0;
--- a/src/main/java/dewlane/core/scheduling/ZoneConstraint.java
+++ b/src/main/java/dewlane/core/scheduling/ZoneConstraint.java
@@ -5,21 +5,21 @@
 import java.util.Map;
 
 /**
- * The zones in which a job's next tasks may start, by the zones of those that are running.
+ * Determines the zones in which a job's next tasks may start, given the zones of the tasks that are running.
  *
- * <p>A job that wants its tasks in one zone has them where the first one is; one that wants them spread has at most
- * half of them in a zone.
+ * <p>If all tasks of a job must be in one zone, that is the zone of its first task. If tasks must be spread over zones,
+ * at most half of them, rounded up, may be in one zone.
  */
 final class ZoneConstraint {
     private final Job job;
     private final Map<String, Integer> tasksByZone = new HashMap<>();
 
-    /** The constraint of a job with no task running. */
+    /** Creates the constraint for a job of which no task is running. */
     ZoneConstraint(Job job) {
         this.job = job;
     }
 
-    /** True if one more task of the job may start in the zone. */
+    /** Returns true if one more task of the job may start in the zone. */
     boolean allows(String zone) {
         if (job.sameZone() && !tasksByZone.isEmpty() && !tasksByZone.containsKey(zone)) {
             return false;
