--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -119,14 +119,14 @@
      * that transaction, unless the limits are such that version 0.1 does not start.
      */
     public int maxSlicesPerJob() {
-        int present = store.present().maxTransactionWrites();
+        int present = store.current().maxTransactionWrites();
         return present < MIN_TRANSACTION_WRITES_OF_0_1 ? Integer.MAX_VALUE : present - WRITES_TO_END_JOB;
     }
 
     /**
      * Shortest time, in seconds, that an objective of the kind sets for jobs of the class; infinite if there is none.
      */
-    public double objectiveS(String kind, String jobClass) {
+    public double shortestObjectiveS(String kind, String jobClass) {
         double shortestS = Double.POSITIVE_INFINITY;
         for (ServiceLevelObjective objective : objectives) {
             if (objective.appliesTo(kind, jobClass)) {
@@ -143,7 +143,7 @@
      * @param machineTimeoutS seconds after the last contact until an unresponsive machine is deleted
      * @param scaleInIdleS seconds that a machine must be idle before it is scaled in
      * @param bootTimeoutFactor multiple of the boot time after which an instance that has not booted is deleted
-     * @param partitionedQuotaCpus CPUs per controller, and a quarter as many GPUs, from which on a team's limit is
+     * @param minPartitionedShareCpus CPUs per controller, and a quarter as many GPUs, from which on a team's limit is
      *     divided among the controllers; operators cannot set it, because all controllers must use the same value
      */
     public record Tuning(
@@ -151,7 +151,7 @@
             double machineTimeoutS,
             double scaleInIdleS,
             double bootTimeoutFactor,
-            double partitionedQuotaCpus) {
+            double minPartitionedShareCpus) {
         /** Returns the values that apply if operators set nothing. */
         public static Tuning defaults() {
             return new Tuning(3000, 12, 60, 4, 256);
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -52,18 +52,18 @@
     }
 
     /** Returns true if the limit of the job's team is divided into shares of the controllers. */
-    boolean isPartitioned(Job job) {
+    boolean hasPartitionedLimit(Job job) {
         return hasLimit(job) && partitioned.appliesTo(team(job));
     }
 
     /** Returns true if launches of the job's team are serialized to enforce its limit. */
-    public boolean isSerialized(Job job) {
+    public boolean hasSerializedLimit(Job job) {
         return hasLimit(job) && !partitioned.appliesTo(team(job));
     }
 
     /** Returns true while the usage of the job's team is not known, because a serialized launch of it is in flight. */
     public boolean isLaunchInFlight(Job job) {
-        return isSerialized(job) && serialized.isLaunchInFlight(job.team());
+        return hasSerializedLimit(job) && serialized.isLaunchInFlight(job.team());
     }
 
     /**
@@ -106,7 +106,7 @@
     }
 
     /** Returns true if the team's limit as a whole has capacity, even if this controller's share has not. */
-    public boolean hasCapacity(Job job) {
+    public boolean hasTeamCapacity(Job job) {
         return capacityFor(job, machines.teamUsage().usageOf(job.team())) > 0;
     }
 
@@ -125,7 +125,7 @@
      * @param ready unfinished jobs in ready order
      * @return ids of jobs
      */
-    public Set<String> withinGuarantee(List<JobEntry> ready) {
+    public Set<String> jobsWithinGuarantee(List<JobEntry> ready) {
         return guarantees.withinGuarantee(ready);
     }
 
@@ -138,7 +138,7 @@
 
     /** Makes a launch conditional on the team usage that it was decided on, if the team's launches are serialized. */
     public void addPrecondition(Transaction.Builder transaction, Job job) {
-        if (isSerialized(job)) {
+        if (hasSerializedLimit(job)) {
             serialized.addPrecondition(transaction, job.team());
         }
     }
--- a/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
+++ b/src/main/java/dewlane/core/quota/QuotaTransferPlanner.java
@@ -36,7 +36,7 @@
      * limit.
      */
     boolean mayNeedTransfer(JobEntry job) {
-        return quota.isPartitioned(job.job()) && job.pendingCount() > 0 && quota.hasCapacity(job.job());
+        return quota.hasPartitionedLimit(job.job()) && job.pendingCount() > 0 && quota.hasTeamCapacity(job.job());
     }
 
     /**
--- a/src/main/java/dewlane/core/scheduling/Candidate.java
+++ b/src/main/java/dewlane/core/scheduling/MachineCandidate.java
@@ -7,4 +7,4 @@
  *
  * @param costS cost of using the machine, expressed as seconds of fetching an image
  */
-record Candidate(Machine machine, double costS) {}
+record MachineCandidate(Machine machine, double costS) {}
--- a/src/main/java/dewlane/core/scheduling/MachineSurvey.java
+++ b/src/main/java/dewlane/core/scheduling/MachineScan.java
@@ -13,7 +13,7 @@
  * Scans the machines of this partition once per cycle: finds those that can be given tasks, has tasks write a
  * checkpoint on those that will soon be terminated, and records the end of all attempts on those that are terminated.
  */
-public final class MachineSurvey {
+public final class MachineScan {
     /** Time before a machine's termination by which a checkpoint on it must be finished. */
     private static final int CHECKPOINT_MARGIN_S = 5;
 
@@ -25,7 +25,7 @@
     private List<Machine> withCapacity = List.of();
 
     /** Creates a scan of the registry's machines. */
-    public MachineSurvey(ControllerContext context, MachineRegistry machines, MachineSchedulability schedulability) {
+    public MachineScan(ControllerContext context, MachineRegistry machines, MachineSchedulability schedulability) {
         this.context = context;
         this.machines = machines;
         this.schedulability = schedulability;
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatching.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /** Decides when outcomes of attempts are written. Outcomes of a slice are delayed so that several share one write. */
-public final class OutcomeBatching {
+public final class OutcomeBatcher {
     /** Delay while the write rate is not low. */
     private static final long DELAY_MS = 1000;
     /** Delay while the write rate is low. */
@@ -35,7 +35,7 @@
     private final QuotaEnforcer quota;
 
     /** Creates a policy that depends on the write rate left in the queue and on the quotas of teams. */
-    public OutcomeBatching(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
+    public OutcomeBatcher(ControllerContext context, TransactionQueue transactions, QuotaEnforcer quota) {
         this.context = context;
         this.transactions = transactions;
         this.quota = quota;
@@ -99,13 +99,13 @@
         long delayMs = delayMs(update.job().job());
         return value.isComplete()
                 || (update.job().isCancelled() && value.attempts().isEmpty())
-                || nowMs - progress.gatheringSince(slice.number(), nowMs) >= delayMs
+                || nowMs - progress.batchOpenedAtMs(slice.number(), nowMs) >= delayMs
                 || hasTaskToRetry(update, slice);
     }
 
     private long delayMs(Job job) {
-        boolean rateIsLow = transactions.isScarce();
-        if (quota.isSerialized(job)) {
+        boolean rateIsLow = transactions.isWriteRateLow();
+        if (quota.hasSerializedLimit(job)) {
             return rateIsLow ? LOW_RATE_SERIALIZED_DELAY_MS : 0;
         }
         if (!rateIsLow) {
--- a/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
+++ b/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
@@ -86,7 +86,7 @@
         if (pieces.size() <= writes) {
             update.put(slice, pieces.get(0));
             pieces.subList(1, pieces.size()).forEach(update::create);
-        } else if (owned && (membership.allControllersUpgraded() || transactions.wasSizeRejected())) {
+        } else if (owned && (membership.allControllersUpgraded() || transactions.isReducedValueLimitDetected())) {
             // No launch of the tasks that the new slices take over may be in flight. Only the owner launches them, so
             // only the owner splits the slice this way, on condition that the partition map is unchanged.
             pieces.subList(pieces.size() - writes, pieces.size()).forEach(update::create);
--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -11,7 +11,7 @@
  */
 public final class SchedulingCycle {
     private final Membership membership;
-    private final MachineSurvey survey;
+    private final MachineScan scan;
     private final JobQueue queue;
     private final JobWriter writer;
     private final LaunchPlanner planner;
@@ -20,13 +20,13 @@
     /** Creates a cycle that consists of the given steps. */
     public SchedulingCycle(
             Membership membership,
-            MachineSurvey survey,
+            MachineScan scan,
             JobQueue queue,
             JobWriter writer,
             LaunchPlanner planner,
             SliceGarbageCollector garbageCollector) {
         this.membership = membership;
-        this.survey = survey;
+        this.scan = scan;
         this.queue = queue;
         this.writer = writer;
         this.planner = planner;
@@ -35,26 +35,26 @@
 
     /** Returns the machines of this partition that can be given tasks, as of the latest cycle. */
     public List<Machine> schedulableMachines() {
-        return survey.schedulableMachines();
+        return scan.schedulableMachines();
     }
 
     /** Runs one cycle over all jobs and the machines of this partition. */
     public void run() {
         writer.reconcileLaunches();
         if (!membership.isMember()) {
-            survey.clear();
+            scan.clear();
             return;
         }
-        survey.run();
+        scan.run();
         queue.failedJobs().forEach(writer::writeWithoutLaunches);
         JobQueue.Order order = queue.order();
-        planner.beginCycle(survey, order.guaranteed());
+        planner.beginCycle(scan, order.guaranteed());
         writeInOrder(order.jobs());
         garbageCollector.collect();
     }
 
     private void writeInOrder(List<JobEntry> jobs) {
-        boolean mayLaunch = membership.reachesStore();
+        boolean mayLaunch = membership.isStoreReachable();
         for (JobEntry job : jobs) {
             if (mayLaunch) {
                 writer.writeWithLaunches(job);
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns one slice with all tasks of the job, for a job record that has no space for more slices. */
-    public List<SliceAssignment> assignWhole(Job job) {
+    public List<SliceAssignment> assignAsOneSlice(Job job) {
         return wholeJob(job, partitions.forNewJob(job).get(0));
     }
 
@@ -115,7 +115,7 @@
             }
         }
         int tasksPerMachine = typeCount == 0 ? 1 : Math.max(1, totalCapacity / typeCount / 2);
-        return SliceSizeBound.tasksWithin(context.settings().maxValueBytes(), tasksPerMachine);
+        return SliceSizeBound.maxTasksPerSlice(context.settings().maxValueBytes(), tasksPerMachine);
     }
 
     /** Divides a run of consecutive tasks into slices of about equal size. */
--- a/src/main/java/dewlane/core/scheduling/SliceHandover.java
+++ b/src/main/java/dewlane/core/scheduling/SliceHandover.java
@@ -59,7 +59,7 @@
 
     private boolean handOver(JobUpdate update, SliceEntry slice, PartitionCandidate target) {
         Slice value = update.value(slice);
-        int trailingPending = value.count() - value.occupied().length();
+        int trailingPending = value.count() - value.nonPendingTasks().length();
         int moved =
                 update.job().job().hasZoneConstraint() ? value.count() : Math.min(trailingPending, target.capacity());
         // A slice whose last task is done has no pending tasks at its end to split off. It is handed over as a whole,
