--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Milliseconds without contact to a machine after which it gets no tasks. */
+    /** Milliseconds without contact after which a machine gets no tasks. */
     public long heartbeatTimeoutMs() {
         return (long) (heartbeatIntervalS * (HEARTBEAT_TIMEOUT_INTERVALS * MS_PER_S));
     }
@@ -119,8 +119,8 @@
      * that transaction, unless the limits are such that version 0.1 does not start.
      */
     public int maxSlicesPerJob() {
-        int present = store.current().maxTransactionWrites();
-        return present < MIN_TRANSACTION_WRITES_OF_0_1 ? Integer.MAX_VALUE : present - WRITES_TO_END_JOB;
+        int maxWrites = store.current().maxTransactionWrites();
+        return maxWrites < MIN_TRANSACTION_WRITES_OF_0_1 ? Integer.MAX_VALUE : maxWrites - WRITES_TO_END_JOB;
     }
 
     /**
@@ -143,8 +143,9 @@
      * @param machineTimeoutS seconds after the last contact until an unresponsive machine is deleted
      * @param scaleInIdleS seconds that a machine must be idle before it is scaled in
      * @param bootTimeoutFactor multiple of the boot time after which an instance that has not booted is deleted
-     * @param minPartitionedShareCpus CPUs per controller, and a quarter as many GPUs, from which on a team's limit is
-     *     divided among the controllers; operators cannot set it, because all controllers must use the same value
+     * @param minPartitionedShareCpus smallest share of a controller, in CPUs, with which a team's limit is divided
+     *     among the controllers; in GPUs a quarter of it. Operators cannot set it, because all controllers must use the
+     *     same value.
      */
     public record Tuning(
             long memberLeaseTtlMs,
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
@@ -25,8 +25,8 @@
      */
     private static final long LOW_RATE_AT_LIMIT_DELAY_MS = 5000;
     /**
-     * Delay while the write rate is low, for a team with serialized launches. They are decided on the durable usage;
-     * while the write rate is not low, outcomes of such a team are not delayed.
+     * Delay while the write rate is low, for a team with serialized launches, because these count an attempt until its
+     * end is durable. While the write rate is not low, outcomes of such a team are not delayed.
      */
     private static final long LOW_RATE_SERIALIZED_DELAY_MS = 3000;
 
@@ -91,7 +91,8 @@
      * controllers, so outcomes are delayed while more are expected for the slice. The delay does not hold up other
      * tasks: the machine capacity of an ended attempt is already free. Only a team's limit counts an attempt until its
      * end is durable, so delays are shorter there. If tasks of the slice are launched, its outcomes are part of that
-     * write in any case.
+     * write in any case. Nothing is delayed if the slice is complete, if a cancelled job has no attempt left in it, or
+     * if a task has to be retried.
      */
     private boolean isDue(JobUpdate update, SliceEntry slice, Slice value) {
         JobProgress progress = update.progress();
