--- a/src/main/java/dewlane/core/scheduling/PartitionSelector.java
+++ b/src/main/java/dewlane/core/scheduling/PartitionSelector.java
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Capacity of each partition that pending tasks of other jobs need, expressed as a number of tasks of the given job
-     * by their CPUs. Arrays are in the order of the map's members.
+     * Capacity of each partition that pending tasks of the added jobs need, expressed as a number of tasks of the given
+     * job by their CPUs. Arrays are in the order of the map's members.
      */
     private final class CompetingDemand {
         private final Job job;
