--- a/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
+++ b/src/main/java/dewlane/core/scheduling/SchedulingCycle.java
@@ -6,49 +6,49 @@
 import java.util.List;
 
 /**
- * The scheduling cycle: looks at the machines of this partition, and at no other, and has {@link JobWriter} write what
- * there is to write about each job, in the order in which jobs are served.
+ * The scheduling cycle: scans the machines of this controller's partition, and of no other, and has {@link JobWriter}
+ * write the changes of each job, in the order of {@link JobQueue}.
  */
 public final class SchedulingCycle {
     private final Membership membership;
-    private final MachineScan survey;
+    private final MachineScan scan;
     private final JobQueue queue;
     private final JobWriter writer;
     private final LaunchPlanner planner;
     private final SliceGarbageCollector garbageCollector;
 
-    /** A cycle of the given steps. */
+    /** Creates a cycle that consists of the given steps. */
     public SchedulingCycle(
             Membership membership,
-            MachineScan survey,
+            MachineScan scan,
             JobQueue queue,
             JobWriter writer,
             LaunchPlanner planner,
             SliceGarbageCollector garbageCollector) {
         this.membership = membership;
-        this.survey = survey;
+        this.scan = scan;
         this.queue = queue;
         this.writer = writer;
         this.planner = planner;
         this.garbageCollector = garbageCollector;
     }
 
-    /** Machines of this partition that can be given tasks, as of the latest cycle. */
+    /** Returns the machines of this partition that can be given tasks, as of the latest cycle. */
     public List<Machine> schedulableMachines() {
-        return survey.schedulableMachines();
+        return scan.schedulableMachines();
     }
 
     /** Runs one cycle over all jobs and the machines of this partition. */
     public void run() {
         writer.reconcileLaunches();
         if (!membership.isMember()) {
-            survey.clear();
+            scan.clear();
             return;
         }
-        survey.run();
+        scan.run();
         queue.failedJobs().forEach(writer::writeWithoutLaunches);
         JobQueue.Order order = queue.order();
-        planner.beginCycle(survey, order.guaranteed());
+        planner.beginCycle(scan, order.guaranteed());
         writeInOrder(order.jobs());
         garbageCollector.collect();
     }
