--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -9,91 +9,97 @@
 import java.util.Map;
 
 /**
- * Which jobs this controller knows to be cancelled, and since when. How old that knowledge may be is bounded by
- * {@link dewlane.core.store.ReplicaFreshness}.
+ * Records which jobs are cancelled and since when. The records can be as stale as the local replica of the store, whose
+ * age {@link dewlane.core.store.ReplicaFreshness} bounds.
  *
- * <p>Controllers announce to each other the cancellations that they confirmed. That only adds speed and needs no proof:
- * a task of a job that is durably cancelled may always be stopped.
+ * <p>A controller announces to its peers the cancellations that it has committed, so that they stop tasks before their
+ * replicas show the change. An announcement needs no verification: a cancellation is announced only once it is durable,
+ * and tasks of a durably cancelled job may always be stopped.
  */
 public final class CancellationTracker {
-    /** Bounds the size of a message to peers; the latest cancellations are announced. */
+    /** Bounds the size of a message to peers. If there are more cancellations, the latest ones are announced. */
     private static final int MAX_ANNOUNCED_JOBS = 500;
-    /** An announcement is repeated for so many times the cancellation deadline. */
-    private static final int ANNOUNCEMENT_DEADLINES = 2;
-    /** A cancellation without any later change of the job is remembered for so many times the announcement. */
-    private static final int KNOWN_ANNOUNCEMENTS = 4;
+    /** The time for which a cancellation is announced, as a multiple of the cancellation deadline. */
+    private static final int ANNOUNCEMENT_WINDOW_FACTOR = 2;
+    /** The time for which a cancellation is kept while the job's record is not removed, in announcement windows. */
+    private static final int RETENTION_FACTOR = 4;
 
     private final ControllerContext context;
-    private final long announcementMs;
-    /** Jobs known to be cancelled, and the steady time since which they are; a job leaves with its record. */
-    private final Map<String, Long> knownSinceMs = new LinkedHashMap<>();
-    /** The cancellations that this controller itself confirmed to users, and the steady time at which it did. */
-    private final Map<String, Long> confirmedAtMs = new LinkedHashMap<>();
+    private final long announcementWindowMs;
+    /** The monotonic time at which this controller recorded a cancellation, by job. Removed with the job's record. */
+    private final Map<String, Long> cancelledSinceMs = new LinkedHashMap<>();
+    /** The monotonic time at which this controller itself committed a cancellation, by job. */
+    private final Map<String, Long> committedAtMs = new LinkedHashMap<>();
 
     private boolean announcementDue;
 
-    /** Starts with no known cancellation. */
+    /** Creates a tracker without cancellations. */
     public CancellationTracker(ControllerContext context) {
         this.context = context;
-        this.announcementMs =
-                (long) (1000 * ANNOUNCEMENT_DEADLINES * context.settings().cancellationDeadlineS());
+        this.announcementWindowMs =
+                (long) (1000 * ANNOUNCEMENT_WINDOW_FACTOR * context.settings().cancellationDeadlineS());
     }
 
-    /** True if the job has ended or is cancelled, so that no task of it may run. */
+    /** Returns true if the job has ended or is cancelled, so that no task of it may run. */
     public boolean mustNotRun(JobEntry job) {
-        return job.job() == null || job.isCancelled() || knownSinceMs.containsKey(job.id());
+        return job.job() == null || job.isCancelled() || cancelledSinceMs.containsKey(job.id());
     }
 
     /**
-     * Milliseconds for which the job has been cancelled at least; 0 if it is not known to be cancelled. Differences
-     * between the clocks of controllers can only make it longer.
+     * Returns the milliseconds since the job was cancelled, or 0 if no cancellation is recorded. They are counted from
+     * the wall-clock time in the job's record, but are never fewer than those since this controller recorded the
+     * cancellation. A difference between the clocks of controllers can therefore only make the value too large.
      */
     public long cancelledForMs(JobEntry job) {
-        Long sinceMs = knownSinceMs.get(job.id());
-        long knownForMs = sinceMs == null ? 0 : context.nowMs() - sinceMs;
-        return job.isCancelled() ? Math.max(knownForMs, context.wallClockMs() - job.cancelledAtMs()) : knownForMs;
+        Long sinceMs = cancelledSinceMs.get(job.id());
+        long recordedForMs = sinceMs == null ? 0 : context.nowMs() - sinceMs;
+        return job.isCancelled() ? Math.max(recordedForMs, context.wallClockMs() - job.cancelledAtMs()) : recordedForMs;
     }
 
-    /** Follows the cancellation marks in job records. */
+    /** Records a cancellation that a job's record shows, and drops it when the record is removed. */
     public void onReplicaChange(ReplicaChange change) {
         if (!(change instanceof ReplicaChange.JobChanged jobChange)) {
             return;
         }
         if (jobChange.after() == null) {
-            knownSinceMs.remove(jobChange.job().id());
+            cancelledSinceMs.remove(jobChange.job().id());
         } else if (jobChange.after().isCancelled()) {
-            knownSinceMs.putIfAbsent(jobChange.job().id(), context.nowMs());
+            cancelledSinceMs.putIfAbsent(jobChange.job().id(), context.nowMs());
         }
     }
 
-    /** This controller's own write that cancels the job is durable. */
+    /** Called when this controller has committed the write that cancels the job. */
     public void onConfirmed(String job) {
-        knownSinceMs.putIfAbsent(job, context.nowMs());
-        confirmedAtMs.put(job, context.nowMs());
+        cancelledSinceMs.putIfAbsent(job, context.nowMs());
+        committedAtMs.put(job, context.nowMs());
         announcementDue = true;
     }
 
-    /** A peer announced that it confirmed the cancellation; returns true if it was not known yet. */
+    /**
+     * Called when a peer announces that it has committed the cancellation of the job.
+     *
+     * @return true if the cancellation was not recorded before
+     */
     public boolean onPeerConfirmed(String job) {
-        return knownSinceMs.putIfAbsent(job, context.nowMs()) == null;
+        return cancelledSinceMs.putIfAbsent(job, context.nowMs()) == null;
     }
 
-    /** Returns whether a cancellation was confirmed since the last call, which peers should learn of at once. */
+    /** Returns true if a cancellation was committed since the last call, so that peers are to be notified at once. */
     public boolean takeAnnouncementDue() {
         boolean due = announcementDue;
         announcementDue = false;
         return due;
     }
 
-    /** Forgets cancellations that are too old to matter to anyone. */
+    /** Drops cancellations whose announcement or retention time has passed. */
     public void removeExpired() {
-        confirmedAtMs.values().removeIf(at -> context.nowMs() - at > announcementMs);
-        knownSinceMs.values().removeIf(at -> context.nowMs() - at > KNOWN_ANNOUNCEMENTS * announcementMs);
+        committedAtMs.values().removeIf(at -> context.nowMs() - at > announcementWindowMs);
+        cancelledSinceMs.values().removeIf(at -> context.nowMs() - at > RETENTION_FACTOR * announcementWindowMs);
     }
 
-    /** The jobs whose cancellation is announced to peers: the latest of those that this controller confirmed. */
+    /** Returns the jobs whose cancellation is to be announced to peers: the latest that this controller committed. */
     public List<String> jobsToAnnounce() {
-        List<String> confirmed = new ArrayList<>(confirmedAtMs.keySet());
-        return confirmed.subList(Math.max(0, confirmed.size() - MAX_ANNOUNCED_JOBS), confirmed.size());
+        List<String> committed = new ArrayList<>(committedAtMs.keySet());
+        return committed.subList(Math.max(0, committed.size() - MAX_ANNOUNCED_JOBS), committed.size());
     }
 }
--- a/src/main/java/dewlane/core/job/DependencyEventLog.java
+++ b/src/main/java/dewlane/core/job/DependencyEventLog.java
@@ -7,11 +7,11 @@
 import java.util.Collection;
 
 /**
- * Logs for operators how jobs become ready or are cancelled through their dependencies. All controllers see the same
- * events, so only the owner of a job's key logs those of the job.
+ * Logs when jobs wait for dependencies, become ready, or are cancelled because a dependency is cancelled. Every
+ * controller observes the same events, so only the partition owner of the job's key logs them.
  */
 final class DependencyEventLog {
-    private static final int MAX_DEPENDENCIES_NAMED = 5;
+    private static final int MAX_LOGGED_DEPENDENCIES = 5;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -21,21 +21,21 @@
         this.replica = replica;
     }
 
-    /** A new job waits for dependencies. */
-    void waiting(String job, Collection<String> dependencies) {
+    /** Logs that a new job waits for the dependencies. */
+    void logWaiting(String job, Collection<String> dependencies) {
         logAsOwner(
                 job,
                 "job " + job + " waits for " + dependencies.size() + " dependencies: "
-                        + dependencies.stream().limit(MAX_DEPENDENCIES_NAMED).toList());
+                        + dependencies.stream().limit(MAX_LOGGED_DEPENDENCIES).toList());
     }
 
-    /** The last dependency of a job is done. */
-    void ready(String job, String lastDependency) {
+    /** Logs that the last dependency of a job is done. */
+    void logReady(String job, String lastDependency) {
         logAsOwner(job, "job " + job + " is ready: its last dependency " + lastDependency + " is done");
     }
 
-    /** Jobs are cancelled through a job that they depend on. */
-    void cancelled(Collection<String> jobs, String dependency) {
+    /** Logs that jobs are cancelled because a job that they depend on, directly or transitively, is cancelled. */
+    void logCancelled(Collection<String> jobs, String dependency) {
         jobs.forEach(job -> logAsOwner(job, "job " + job + " is cancelled through " + dependency));
     }
 
--- a/src/main/java/dewlane/core/job/DependencyGraph.java
+++ b/src/main/java/dewlane/core/job/DependencyGraph.java
@@ -11,30 +11,30 @@
 import java.util.Set;
 
 /**
- * The dependency graph of jobs, and the only way for a job to become ready: once none of its dependencies is
- * unsatisfied. The first result of a job counts, and satisfies its dependents once; later copies change nothing. A
- * failure passes to all dependents, direct and transitive.
+ * The dependency graph of jobs. It alone decides when a job is ready: once it has no unsatisfied dependency. Only the
+ * first result of a job counts; it satisfies or fails the dependents once, and later results are ignored. A failure
+ * fails all dependents, direct and transitive.
  *
- * <p>Collections that are returned are live views in a fixed order; callers neither change nor keep them.
+ * <p>Returned collections are live views with a deterministic order. Callers must neither modify nor keep them.
  */
 public final class DependencyGraph {
-    /** How a job ended. */
+    /** The result of a job. */
     public enum Result {
         /** All tasks are done, so dependents may start. */
         DONE,
-        /** The job will never be done, so neither will its dependents. */
+        /** The job will never be done, so its dependents fail, too. */
         FAILED
     }
 
     private static final class Node {
-        /** Every dependency named when the job was added. */
+        /** All dependencies that were given when the job was added. */
         private final Set<String> allDependencies = new LinkedHashSet<>();
         /** The dependencies that have no result yet. */
         private final Set<String> unsatisfied = new LinkedHashSet<>();
 
         private final Set<String> dependents = new LinkedHashSet<>();
         private Result result;
-        /** False while the job is only named by its dependents, or has only a result. */
+        /** False if the job was only named as a dependency of others, or only its result was recorded. */
         private boolean added;
     }
 
@@ -43,9 +43,9 @@
     private final Set<String> failed = new LinkedHashSet<>();
 
     /**
-     * Adds a job with its dependencies, which may be added later. Adding it again changes nothing.
+     * Adds a job. Its dependencies may be added later. Adding a job again has no effect.
      *
-     * @return the jobs that fail with it, itself first and then its dependents, if a dependency has failed; else none
+     * @return if a dependency has failed, the jobs that fail now: the job itself, followed by its dependents; else none
      */
     public List<String> add(String id, Collection<String> dependencies) {
         Node node = nodeOf(id);
@@ -69,7 +69,7 @@
         return List.of();
     }
 
-    /** Makes a job depend on another, whose result is returned, or null if it has none yet. */
+    /** Adds an edge to the dependency, and returns the result of the dependency, or null if it has none yet. */
     private Result link(String id, Node node, String dependency) {
         Node dependencyNode = nodeOf(dependency);
         node.allDependencies.add(dependency);
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Records a job's result, of which only the first counts.
+     * Records a job's result. Has no effect if the job has a result already.
      *
-     * @return the dependents, direct and transitive, that fail with it
+     * @return the dependents, direct and transitive, that fail because the job failed
      */
     public List<String> finish(String id, Result result) {
         List<String> failedDependents = new ArrayList<>();
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Removes an ended job. Its result is kept for as long as other jobs in the graph depend on it. */
+    /** Removes an ended job. Its result is kept until no other job in the graph depends on it. */
     public void forget(String id) {
         ready.remove(id);
         failed.remove(id);
@@ -147,45 +147,45 @@
         }
     }
 
-    /** The ready jobs, in the order in which they became ready. */
+    /** Returns the ready jobs, in the order in which they became ready. */
     public Collection<String> ready() {
         return ready;
     }
 
-    /** The jobs that failed, by themselves or through a dependency, and are not forgotten yet. */
+    /** Returns the failed jobs that were not removed, whether they failed themselves or through a dependency. */
     public Collection<String> failed() {
         return failed;
     }
 
-    /** True if the job has no unsatisfied dependency, and no result yet. */
+    /** Returns true if the job was added, has no unsatisfied dependency, and has no result yet. */
     public boolean isReady(String id) {
         return ready.contains(id);
     }
 
-    /** True if the job failed, by itself or through a dependency. */
+    /** Returns true if the job failed, itself or through a dependency. */
     public boolean hasFailed(String id) {
         return failed.contains(id);
     }
 
-    /** The unsatisfied dependencies of the job: those that have no result yet. */
+    /** Returns the direct dependencies of the job that have no result yet. */
     public Collection<String> dependencies(String id) {
         Node node = nodes.get(id);
         return node == null ? List.of() : node.unsatisfied;
     }
 
-    /** All dependencies of the job, satisfied or not. */
+    /** Returns all direct dependencies of the job, with or without a result. */
     public Collection<String> allDependencies(String id) {
         Node node = nodes.get(id);
         return node == null ? List.of() : node.allDependencies;
     }
 
-    /** The direct dependents of the job that are in the graph. */
+    /** Returns the direct dependents of the job that are in the graph. */
     public Collection<String> dependents(String id) {
         Node node = nodes.get(id);
         return node == null ? List.of() : node.dependents;
     }
 
-    /** True if the job was added and not forgotten. */
+    /** Returns true if the job was added and not removed since. */
     public boolean isKnown(String id) {
         Node node = nodes.get(id);
         return node != null && node.added;
--- a/src/main/java/dewlane/core/job/DependencyResolver.java
+++ b/src/main/java/dewlane/core/job/DependencyResolver.java
@@ -12,14 +12,15 @@
 import java.util.Set;
 
 /**
- * Looks up the results of dependencies of which the replica holds neither a record nor a result. Such a job has ended,
- * or its record is just missing from a listing; until its result is known, its dependents stay pending.
+ * Reads from the store the results of dependencies for which the replica holds neither a record nor a result. Such a
+ * dependency has either ended, or its record is temporarily missing while the replica loads a listing of the store. Its
+ * dependents stay pending until its result is read.
  *
- * <p>A result that is found reaches the {@link DependencyTracker} through the replica.
+ * <p>A result that was read is added to the replica, which notifies the {@link DependencyTracker}.
  */
 final class DependencyResolver {
     private static final int MAX_READS_IN_FLIGHT = 4;
-    /** Backoff after a read that found no result. */
+    /** The time for which no read is started after a read that failed or found no result. */
     private static final long READ_BACKOFF_MS = 500;
 
     private final ControllerContext context;
@@ -27,7 +28,7 @@
     private final DependencyGraph graph;
     private final JobResultReader resultReader;
     private final Set<String> unresolved = new LinkedHashSet<>();
-    /** Those unresolved jobs on which the answer to a user depends: they are read first. */
+    /** The unresolved jobs that a user's request is waiting for. They are read before the others. */
     private final Set<String> urgent = new LinkedHashSet<>();
 
     private final Set<String> inFlight = new HashSet<>();
@@ -41,26 +42,26 @@
         this.resultReader = resultReader;
     }
 
-    /** Neither a record nor a result of the job is known: its result is to be read. */
+    /** Called when the replica holds neither a record nor a result of a dependency. The result is read then. */
     void onMissing(String job) {
         unresolved.add(job);
     }
 
-    /** The job has a record, so it is followed from there. */
+    /** Called when the replica holds a record of the job. The job's result will then arrive through the replica. */
     void onRecordFound(String job) {
         unresolved.remove(job);
     }
 
-    /** The job's result is known, or nobody depends on it any more. */
+    /** Stops reading the job's result, because it was found or because no job depends on it any more. */
     void stopResolving(String job) {
         unresolved.remove(job);
         urgent.remove(job);
     }
 
     /**
-     * Begins reads of unresolved results. Called regularly.
+     * Starts reads of missing results. Called periodically.
      *
-     * @param caughtUp whether the replica holds all that is known to be durable; without that nothing is read
+     * @param caughtUp whether the replica holds every change that is known to be durable; if not, nothing is read
      */
     void tick(boolean caughtUp) {
         if (!caughtUp || unresolved.isEmpty() || context.nowMs() < backoffUntilMs) {
@@ -81,8 +82,8 @@
     }
 
     /**
-     * True if no dependency of the job, direct or transitive, is unresolved, so that it is known whether the job is
-     * cancelled through one. Otherwise the unresolved ones are read before others.
+     * Returns true if the result of no dependency, direct or transitive, is missing, so that it can be decided whether
+     * the job is cancelled through one. Otherwise the missing results are read before all others.
      */
     boolean isResolved(String job) {
         if (unresolved.isEmpty()) {
@@ -114,7 +115,7 @@
 
         @Override
         public void found(JobResult result) {
-            // The reader has put the result into the replica, whose listeners include the tracker.
+            // The reader has added the result to the replica, which notifies the tracker.
             inFlight.remove(job);
         }
 
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Keeps the {@link DependencyGraph} in step with what is durable: follows the records and results of jobs in the
- * replica, and answers whether a job is cancelled through its dependencies. Dependencies without a record or a result
- * are looked up by {@link DependencyResolver}; priorities and deadlines are passed on by {@link UrgencyInheritance}.
+ * Updates the {@link DependencyGraph} from the durable records and results of jobs in the replica, and determines
+ * whether a job is cancelled through its dependencies. {@link DependencyResolver} reads results of dependencies that
+ * the replica lacks; {@link UrgencyInheritance} propagates priorities and deadlines to dependencies.
  */
 public final class DependencyTracker {
     private final StoreReplica replica;
@@ -21,7 +21,7 @@
     private final UrgencyInheritance urgency;
     private final DependencyEventLog eventLog;
 
-    /** Tracks the jobs of the replica in the graph, which others may read. */
+    /** Creates a tracker that adds the jobs of the replica to the graph. Only the tracker may modify the graph. */
     public DependencyTracker(
             ControllerContext context, StoreReplica replica, DependencyGraph graph, JobResultReader resultReader) {
         this.replica = replica;
@@ -31,7 +31,7 @@
         this.eventLog = new DependencyEventLog(context, replica);
     }
 
-    /** Follows the records and results of jobs. */
+    /** Updates the graph after a change of a job's record or result. */
     public void onReplicaChange(ReplicaChange change) {
         if (change instanceof ReplicaChange.JobChanged jobChange) {
             onJobChanged(jobChange);
@@ -60,9 +60,9 @@
         List<String> failed = graph.add(job.id(), dependencies);
         inheritFromDependents(job);
         dependencies.forEach(dependency -> onDependency(dependency, job));
-        eventLog.cancelled(failed, job.id());
+        eventLog.logCancelled(failed, job.id());
         if (!dependencies.isEmpty() && !graph.isReady(job.id()) && !graph.hasFailed(job.id())) {
-            eventLog.waiting(job.id(), graph.dependencies(job.id()));
+            eventLog.logWaiting(job.id(), graph.dependencies(job.id()));
         }
     }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /** A removed record alone proves nothing about the job's end: the store may just be listed anew. */
+    /** A removed record alone does not mean that the job has ended: the replica also removes it to load a listing. */
     private void onRecordRemoved(String id) {
         JobResult result = replica.result(id);
         if (result != null) {
@@ -132,41 +132,41 @@
         graph.finish(id, Result.DONE);
         for (String dependent : waiting) {
             if (graph.isReady(dependent)) {
-                eventLog.ready(dependent, id);
+                eventLog.logReady(dependent, id);
             }
         }
     }
 
     private void fail(String id) {
         List<String> failedDependents = graph.finish(id, Result.FAILED);
-        eventLog.cancelled(failedDependents, id);
+        eventLog.logCancelled(failedDependents, id);
         urgency.recomputeDependenciesOf(id);
         failedDependents.forEach(urgency::recomputeDependenciesOf);
     }
 
     /**
-     * Reads results of dependencies that are missing from the replica.
+     * Starts reads of results of dependencies that are missing from the replica. Called periodically.
      *
-     * @param caughtUp whether the replica holds all that is known to be durable
+     * @param caughtUp whether the replica holds every change that is known to be durable; if not, nothing is read
      */
     public void tick(boolean caughtUp) {
         resolver.tick(caughtUp);
     }
 
     /**
-     * True if it is known of every dependency of the job, direct or transitive, whether it is cancelled. Otherwise the
-     * missing results are read with precedence, and the caller asks again later.
+     * Returns true if it can be decided for every dependency of the job, direct or transitive, whether it is cancelled.
+     * Otherwise the missing results are read before all others, and the caller has to call again later.
      */
     public boolean isResolved(String job) {
         return resolver.isResolved(job);
     }
 
-    /** True if the job is cancelled, by its own user or through a dependency. */
+    /** Returns true if the job is cancelled, by its own user or through a dependency. */
     public boolean isCancelled(JobEntry job) {
         return job.isCancelled() || graph.hasFailed(job.id());
     }
 
-    /** True if a dependent of the job has a record in which its cancellation is not durable yet. */
+    /** Returns true if a direct dependent of the job has a record that is not marked as cancelled yet. */
     public boolean hasUncancelledDependents(String job) {
         for (String id : graph.dependents(job)) {
             JobEntry dependent = replica.activeJob(id);
--- a/src/main/java/dewlane/core/job/SliceSizeBound.java
+++ b/src/main/java/dewlane/core/job/SliceSizeBound.java
@@ -10,24 +10,24 @@
 import java.util.Set;
 
 /**
- * An upper bound of the bytes that a slice takes in the store, now and after any outcomes of its attempts: what a
- * launch leaves within the limit can be written again whatever becomes of it. Outcomes break up ranges of tasks, so
- * each attempt counts as two tasks that stand alone.
+ * An upper bound of the size of a stored slice in bytes, now and after any outcomes of its attempts. If a launch keeps
+ * the bound within the limit, the slice can be written again whatever the outcomes of the launched attempts are.
+ * Outcomes split ranges of tasks, so each attempt is counted as two tasks that are stored individually.
  */
 public final class SliceSizeBound {
-    /** Names of fields, quotes and brackets of a slice. */
+    /** Field names, quotes and brackets of a slice. */
     private static final int SLICE_OVERHEAD_BYTES = 64;
     /** Brackets and commas of one launch. */
     private static final int LAUNCH_OVERHEAD_BYTES = 5;
     /** Brackets, quotes and commas of one machine within a launch. */
     private static final int MACHINE_OVERHEAD_BYTES = 8;
 
-    // What the entries of a slice take with names of usual length.
+    // Sizes of the entries of a slice if the names in them have a typical length.
     private static final int TYPICAL_MACHINE_BYTES = 22;
     private static final int TYPICAL_TASK_BYTES = 8;
     private static final int TYPICAL_SLICE_BYTES = 220;
 
-    /** The machine's entry within a launch; all attempts of the launch on that machine share it. */
+    /** The key of a machine's entry within a launch. All attempts of the launch on that machine share the entry. */
     private record LaunchOnMachine(int number, String machine, long incarnation, long fencingToken) {
         static LaunchOnMachine of(Attempt attempt) {
             return new LaunchOnMachine(
@@ -36,13 +36,13 @@
     }
 
     private final int attemptTaskBytes;
-    /** The token of the first attempt of each launch, by launch number; others are stored as differences to it. */
+    /** The token of the first attempt of each launch, by launch number. Others are stored as differences from it. */
     private final Map<Integer, Long> firstTokens = new HashMap<>();
 
     private final Set<LaunchOnMachine> machineEntries = new HashSet<>();
     private int totalBytes;
 
-    /** The bound of the slice with its present attempts. */
+    /** Computes the bound for the slice with its present attempts. */
     public SliceSizeBound(Slice slice) {
         attemptTaskBytes = 2 * (digits(slice.count()) + 1);
         totalBytes = SLICE_OVERHEAD_BYTES
@@ -57,15 +57,16 @@
         slice.attempts().forEach(this::add);
     }
 
-    /** The bound in bytes for a slice as it is. */
+    /** Returns the bound for the slice with its present attempts, in bytes. */
     static int ofSlice(Slice slice) {
         return new SliceSizeBound(slice).totalBytes;
     }
 
     /**
-     * How many tasks a slice may have so that it stays within the limit if all of them run at once.
+     * Returns the largest number of tasks of a slice that stays within the limit while all of them run at once, for
+     * names of a typical length.
      *
-     * @param tasksPerMachine how many of them run on one machine
+     * @param tasksPerMachine the number of tasks that run on one machine
      * @return at least 1
      */
     public static int tasksWithin(int limitBytes, int tasksPerMachine) {
@@ -73,14 +74,14 @@
         return Math.max(1, (limitBytes - TYPICAL_SLICE_BYTES) * tasksPerMachine / bytesPerMachine);
     }
 
-    /** Counts one more attempt. */
+    /** Adds an attempt to the bound. */
     public void add(Attempt attempt) {
         totalBytes += bytesOf(attempt);
         firstTokens.putIfAbsent(attempt.number(), attempt.fencingToken());
         machineEntries.add(LaunchOnMachine.of(attempt));
     }
 
-    /** True if the slice stays within the limit with one more attempt. */
+    /** Returns true if the slice stays within the limit after the attempt is added. */
     public boolean fits(Attempt attempt, int limitBytes) {
         return totalBytes + bytesOf(attempt) <= limitBytes;
     }
@@ -104,20 +105,20 @@
         return attemptBytes;
     }
 
-    /** The bytes of the done marks, which are stored as ranges of tasks. */
+    /** Returns the size of the done marks in bytes. They are stored as ranges of tasks. */
     private static int doneBytes(BitSet done) {
-        int sum = 0;
+        int bytes = 0;
         for (int from = done.nextSetBit(0); from >= 0; ) {
             int to = done.nextClearBit(from) - 1;
-            sum += digits(from) + 1 + (to > from ? digits(to) + 1 : 0);
+            bytes += digits(from) + 1 + (to > from ? digits(to) + 1 : 0);
             from = done.nextSetBit(to + 1);
         }
-        return sum;
+        return bytes;
     }
 
     private static int digits(long number) {
         int digits = 1;
-        for (long left = number / 10; left > 0; left /= 10) {
+        for (long remaining = number / 10; remaining > 0; remaining /= 10) {
             digits++;
         }
         return digits;
--- a/src/main/java/dewlane/core/job/SliceSplitter.java
+++ b/src/main/java/dewlane/core/job/SliceSplitter.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Splits a slice that was stored under larger limits into subranges of tasks that each fit the present ones. */
+/** Splits a slice that was stored under a larger size limit into slices that are within the present limit. */
 public final class SliceSplitter {
     private SliceSplitter() {}
 
     /**
-     * Splits the slice into as few subranges as are within the limit each, in order of tasks. A single task that is
-     * above the limit is a subrange of its own.
+     * Splits the slice into as few subranges as possible that are within the limit, in order of tasks. A single task
+     * that exceeds the limit becomes a subrange.
      *
-     * @return the slice itself if it is within the limit
+     * @return the subranges, or just the slice itself if it is within the limit
      */
     public static List<Slice> split(Slice slice, int limitBytes) {
         if (SliceSizeBound.ofSlice(slice) <= limitBytes) {
@@ -27,7 +27,7 @@
         return subranges;
     }
 
-    /** Finds by bisection how many tasks from the given one on fit. */
+    /** Finds by binary search the longest subrange from the given task that is within the limit. */
     private static Slice largestWithin(Slice slice, int from, int limitBytes) {
         int fitting = 1;
         int exceeding = slice.count() - from + 1;
--- a/src/main/java/dewlane/core/job/UrgencyInheritance.java
+++ b/src/main/java/dewlane/core/job/UrgencyInheritance.java
@@ -5,14 +5,14 @@
 import dewlane.core.store.StoreReplica;
 
 /**
- * Priority and deadline inheritance: a job has the highest priority of all jobs that depend on it, directly or through
- * others, and a deadline early enough for them to keep theirs. Both are updated only when a dependent comes or goes,
- * and the change is propagated up the dependency graph only as far as it changes something.
+ * Priority and deadline inheritance: a job inherits the highest priority of all jobs that depend on it, directly or
+ * transitively, and a deadline early enough for them to meet theirs. Both are updated only when a job is added, fails
+ * or is removed, and an update is propagated to further dependencies only while it changes a value.
  */
 final class UrgencyInheritance {
     /**
-     * Time between the end of a job and the start of its dependents: the write of its result, the watch, the launch and
-     * the image fetch.
+     * The estimated time between the end of a job and the start of its dependents. It covers the write of the result,
+     * its arrival by the watch, the launch and the image fetch.
      */
     private static final double START_LATENCY_S = 3;
 
@@ -25,7 +25,8 @@
     }
 
     /**
-     * Raises the urgency of a job, and of its own dependencies, for a dependent that is new or has become more urgent.
+     * Raises the priority of a job and makes its deadline earlier as far as a dependent that is new or has become more
+     * urgent requires it, and propagates the change to the dependencies of the job.
      */
     void raise(JobEntry dependency, JobEntry dependent) {
         if (graph.hasFailed(dependent.id())) {
@@ -45,12 +46,12 @@
         }
     }
 
-    /** Computes the urgency of all dependencies of a job anew after that job failed. */
+    /** Recomputes the priority and deadline of all dependencies of a job that failed. */
     void recomputeDependenciesOf(String failedJob) {
         graph.allDependencies(failedJob).forEach(this::recompute);
     }
 
-    /** Computes the urgency of a job anew after one of its dependents went. */
+    /** Recomputes the priority and deadline of a job after one of its dependents was removed or failed. */
     void recompute(String id) {
         JobEntry job = replica.activeJob(id);
         if (job == null) {
@@ -75,7 +76,7 @@
         return one.compareTo(other) >= 0 ? one : other;
     }
 
-    /** Time of day by which the dependencies of a job have to end for the job to meet its own deadline. */
+    /** Returns the wall-clock time by which the dependencies of a job must end for the job to meet its deadline. */
     private static long latestEndOfDependenciesMs(JobEntry job) {
         if (job.deadlineMs() == JobEntry.NO_DEADLINE) {
             return JobEntry.NO_DEADLINE;
--- a/src/main/java/dewlane/core/job/package-info.java
+++ b/src/main/java/dewlane/core/job/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Which jobs may run: dependencies between jobs, cancellations, and how large slices of a job may be.
+ * Dependencies between jobs, cancellations, and the size limits of a job's slices.
  *
- * <p>Guards the rules that no task starts before all dependencies of its job are done, and that the tasks of a
- * cancelled job end. May depend on {@code store} and below.
+ * <p>Enforces that no task starts before all dependencies of its job are done, and that the tasks of a cancelled job
+ * are stopped. May depend on {@code store} and the packages below it.
  */
 package dewlane.core.job;
--- a/src/test/java/dewlane/core/job/DependencyGraphTest.java
+++ b/src/test/java/dewlane/core/job/DependencyGraphTest.java
@@ -9,54 +9,54 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When jobs with dependencies may start. */
+/** Tests when jobs become ready, and how failures reach dependents. */
 class DependencyGraphTest {
-    private final DependencyGraph release = new DependencyGraph();
+    private final DependencyGraph graph = new DependencyGraph();
 
     @Test
-    void dependantsBecomeReadyInOrderOnceTheirLastDependencyIsDone() {
-        release.add("join", List.of("left", "right"));
-        release.add("left", List.of("root"));
-        release.add("right", List.of("root"));
-        release.add("root", List.of());
-        assertEquals(List.of("root"), List.copyOf(release.ready()));
-        release.finish("root", Result.DONE);
-        assertEquals(List.of("left", "right"), List.copyOf(release.ready()));
-        release.finish("right", Result.DONE);
-        assertFalse(release.isReady("join"));
-        release.finish("left", Result.DONE);
-        assertEquals(List.of("join"), List.copyOf(release.ready()));
+    void dependentsBecomeReadyInOrderOnceTheirLastDependencyIsDone() {
+        graph.add("join", List.of("left", "right"));
+        graph.add("left", List.of("root"));
+        graph.add("right", List.of("root"));
+        graph.add("root", List.of());
+        assertEquals(List.of("root"), List.copyOf(graph.ready()));
+        graph.finish("root", Result.DONE);
+        assertEquals(List.of("left", "right"), List.copyOf(graph.ready()));
+        graph.finish("right", Result.DONE);
+        assertFalse(graph.isReady("join"));
+        graph.finish("left", Result.DONE);
+        assertEquals(List.of("join"), List.copyOf(graph.ready()));
     }
 
     @Test
-    void laterResultsAndRepeatedArrivalsAreIgnored() {
-        release.add("a", List.of());
-        release.add("b", List.of("a"));
-        release.finish("a", Result.DONE);
-        assertEquals(List.of(), release.finish("a", Result.FAILED));
-        assertTrue(release.isReady("b"));
-        release.add("a", List.of());
-        assertFalse(release.isReady("a"), "a repeated arrival starts nothing twice");
+    void laterResultsAndRepeatedAddsAreIgnored() {
+        graph.add("a", List.of());
+        graph.add("b", List.of("a"));
+        graph.finish("a", Result.DONE);
+        assertEquals(List.of(), graph.finish("a", Result.FAILED));
+        assertTrue(graph.isReady("b"));
+        graph.add("a", List.of());
+        assertFalse(graph.isReady("a"), "a job that is done must not become ready when it is added again");
     }
 
     @Test
-    void failurePassesToAllDependants() {
-        release.add("a", List.of());
-        release.add("b", List.of("a"));
-        release.add("c", List.of("b", "other"));
-        release.add("other", List.of());
-        assertEquals(Set.of("b", "c"), Set.copyOf(release.finish("a", Result.FAILED)));
-        release.finish("other", Result.DONE);
-        assertEquals(List.of(), List.copyOf(release.ready()));
-        release.add("late", List.of("c"));
-        assertFalse(release.isReady("late"), "a dependant that arrives after the failure fails too");
+    void failurePropagatesToAllDependents() {
+        graph.add("a", List.of());
+        graph.add("b", List.of("a"));
+        graph.add("c", List.of("b", "other"));
+        graph.add("other", List.of());
+        assertEquals(Set.of("b", "c"), Set.copyOf(graph.finish("a", Result.FAILED)));
+        graph.finish("other", Result.DONE);
+        assertEquals(List.of(), List.copyOf(graph.ready()));
+        graph.add("late", List.of("c"));
+        assertFalse(graph.isReady("late"), "a dependent that is added after the failure fails, too");
     }
 
     @Test
-    void dependantOfDoneDependencyIsReadyOnArrival() {
-        release.add("a", List.of());
-        release.finish("a", Result.DONE);
-        release.add("b", List.of("a"));
-        assertTrue(release.isReady("b"));
+    void dependentOfDoneDependencyIsReadyWhenAdded() {
+        graph.add("a", List.of());
+        graph.finish("a", Result.DONE);
+        graph.add("b", List.of("a"));
+        assertTrue(graph.isReady("b"));
     }
 }
--- a/src/test/java/dewlane/core/job/DependencyTrackerTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What jobs that depend on each other are treated as, change by change. */
+/** Tests how readiness, urgency and cancellation of dependent jobs follow from changes of the replica. */
 class DependencyTrackerTest {
     private final ControllerContext context = new ControllerContext(TestSettings.alone(), 1);
-    private final DependencyGraph release = new DependencyGraph();
+    private final DependencyGraph graph = new DependencyGraph();
     private DependencyTracker dependencies;
-    private final StoreReplica replica = new StoreReplica(delta -> dependencies.onReplicaChange(delta));
+    private final StoreReplica replica = new StoreReplica(change -> dependencies.onReplicaChange(change));
     private long revision;
 
     @BeforeEach
     void start() {
-        dependencies = new DependencyTracker(context, replica, release, new JobResultReader(context, replica));
+        dependencies = new DependencyTracker(context, replica, graph, new JobResultReader(context, replica));
     }
 
     private JobRecord record(String id, Priority priority, double deadlineS, String... dependencies) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void dependencyInheritsPriorityAndDeadlineWhileItHasDependants() {
+    void dependencyInheritsPriorityAndDeadlineWhileItHasDependents() {
         store(record("first", Priority.IDLE, 0));
         store(record("second", Priority.STANDARD, 0, "first"));
         assertEquals(Priority.STANDARD, replica.job("first").priority());
@@ -59,8 +59,10 @@
         JobEntry second = replica.job("second");
         assertEquals(Priority.HIGH, first.priority());
         assertEquals(101_000, replica.job("last").deadlineMs());
-        assertTrue(second.deadlineMs() <= 91_000, second.deadlineMs() + " leaves the last job its time");
-        assertTrue(first.deadlineMs() <= second.deadlineMs() - 10_000, first.deadlineMs() + " leaves both their time");
+        assertTrue(second.deadlineMs() <= 91_000, second.deadlineMs() + " must leave the last job enough time");
+        assertTrue(
+                first.deadlineMs() <= second.deadlineMs() - 10_000,
+                first.deadlineMs() + " must leave both enough time");
         store(last.asCancelled(5000, value -> 0, 1));
         assertEquals(Priority.STANDARD, first.priority());
         assertEquals(JobEntry.NO_DEADLINE, first.deadlineMs());
@@ -68,20 +70,20 @@
     }
 
     @Test
-    void waitCountsFromEndOfLastDependency() {
+    void waitingTimeCountsFromEndOfLastDependency() {
         store(record("one", Priority.HIGH, 0));
         store(record("other", Priority.HIGH, 0));
         store(record("both", Priority.HIGH, 60, "one", "other"));
         replica.apply(new Input.KeyChange(StoreKeys.jobResult("other"), new JobResult(false, 70_000), ++revision));
-        assertFalse(release.isReady("both"));
+        assertFalse(graph.isReady("both"));
         replica.apply(new Input.KeyChange(StoreKeys.jobResult("one"), new JobResult(false, 40_000), ++revision));
-        assertTrue(release.isReady("both"));
+        assertTrue(graph.isReady("both"));
         assertEquals(70_000, replica.job("both").waitingSinceMs());
-        assertEquals(61_000, replica.job("both").deadlineMs(), "the deadline counts from the submission");
+        assertEquals(61_000, replica.job("both").deadlineMs(), "the deadline counts from the acceptance of the job");
     }
 
     @Test
-    void dependantsAreUnresolvedUntilOutcomeOfDependencyIsKnown() {
+    void dependentsAreUnresolvedUntilResultOfDependencyIsRead() {
         store(record("second", Priority.HIGH, 0, "gone"));
         store(record("third", Priority.HIGH, 0, "second"));
         assertFalse(dependencies.isResolved("second"));
--- a/src/test/java/dewlane/core/job/SliceSizes.java
+++ b/src/test/java/dewlane/core/job/SliceSizes.java
@@ -3,16 +3,16 @@
 import dewlane.core.schema.StoredValue.Slice;
 import java.util.List;
 
-/** Lets tests of other packages see how slices are measured and cut. */
+/** Gives tests of other packages access to the size bound and the splitting of slices. */
 public final class SliceSizes {
     private SliceSizes() {}
 
-    /** The most bytes that the slice may come to take. */
+    /** Returns the upper bound of the size of the slice in bytes. */
     public static int bound(Slice slice) {
         return SliceSizeBound.ofSlice(slice);
     }
 
-    /** The slice in runs within the limit. */
+    /** Splits the slice into subranges that are within the limit. */
     public static List<Slice> split(Slice slice, int limitBytes) {
         return SliceSplitter.split(slice, limitBytes);
     }
