--- a/src/main/java/dewlane/core/admission/CancellationHandler.java
+++ b/src/main/java/dewlane/core/admission/CancellationHandler.java
@@ -3,23 +3,23 @@
 import dewlane.core.message.Input;
 import dewlane.core.store.JobEntry;
 
-/** Cancels jobs for their users, and answers once a cancellation is durable. Repeated requests have the same effect. */
+/** Handles users' requests to cancel jobs, and answers once the cancellation is durable. Requests are idempotent. */
 public final class CancellationHandler {
     private final JobLookup lookup;
     private final CancellationWriter writer;
     private final UserResponses responses;
 
-    /** Cancels what the lookup finds active. */
+    /** Creates a handler that cancels the jobs that the lookup finds active. */
     public CancellationHandler(JobLookup lookup, CancellationWriter writer, UserResponses responses) {
         this.lookup = lookup;
         this.writer = writer;
         this.responses = responses;
     }
 
-    /** Cancels a job, unless it has ended already, and answers with its final state. */
+    /** Cancels the job unless it has ended, and answers with its final state. */
     public void onCancel(Input.CancelJob request) {
-        if (lookup.knownResult(request.job()) != null || lookup.hasRecord(request.job())) {
-            // A result is final, and the write is conditional on the record's revision: the replica may be behind.
+        if (lookup.cachedResult(request.job()) != null || lookup.hasRecord(request.job())) {
+            // Safe on a stale replica: a result is final, and the write is conditional on the record's revision.
             cancelIfActive(request);
         } else {
             cancelWhenCurrent(request);
@@ -35,15 +35,15 @@
                 request.id(),
                 request.job(),
                 () -> responses.notFound(request.id()),
-                entry -> writer.write(entry, new WriteAnswer(request, entry)));
+                entry -> writer.write(entry, new WriteCompletion(request, entry)));
     }
 
-    /** Answers a request once its write has ended. */
-    private final class WriteAnswer implements CancellationWriter.Listener {
+    /** Answers the user once the write of the cancellation has completed. */
+    private final class WriteCompletion implements CancellationWriter.Listener {
         private final Input.CancelJob request;
         private final JobEntry job;
 
-        WriteAnswer(Input.CancelJob request, JobEntry job) {
+        WriteCompletion(Input.CancelJob request, JobEntry job) {
             this.request = request;
             this.job = job;
         }
@@ -55,7 +55,7 @@
 
         @Override
         public void conflict() {
-            // The job is done, or cancelled by another request or an earlier copy of this one: look which.
+            // The job is done, or was cancelled by another request or an earlier copy of this one. Look it up again.
             cancelWhenCurrent(request);
         }
 
--- a/src/main/java/dewlane/core/admission/CancellationWriter.java
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -12,11 +12,13 @@
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 
-/** Makes cancellations durable: one transaction marks the job's record as cancelled and stores its result. */
+/** Writes cancellations to the store: one transaction marks the job's record as cancelled and stores its result. */
 public final class CancellationWriter {
-    /** Learns by exactly one call how a write ended; after a conflict the job's record has changed or is gone. */
+    /**
+     * Receives exactly one call with the outcome of a write. A conflict means that the record changed or is deleted.
+     */
     interface Listener extends WriteListener {
-        /** The job is durably cancelled. */
+        /** Called when the job is durably cancelled. */
         void committed();
     }
 
@@ -26,7 +28,7 @@
     private final CancellationTracker cancellations;
     private final ValueSizer sizer;
 
-    /** Writes through the queue, and has the tracker announce what is committed. */
+    /** Creates a writer that submits to the queue and reports committed cancellations to the tracker. */
     public CancellationWriter(
             ControllerContext context,
             StoreReplica replica,
@@ -40,7 +42,7 @@
         this.sizer = sizer;
     }
 
-    /** Writes the cancellation of an active job, on condition that its record is as the replica shows it. */
+    /** Writes the cancellation of an active job, on condition that its record has the revision in the replica. */
     void write(JobEntry entry, Listener listener) {
         String job = entry.id();
         JobResult result = new JobResult(true, context.wallClockMs());
--- a/src/main/java/dewlane/core/admission/DependencyLookup.java
+++ b/src/main/java/dewlane/core/admission/DependencyLookup.java
@@ -10,28 +10,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds out for a submission whether its dependencies were accepted, and which of them have ended. */
+/** Checks for a submission whether its dependencies were accepted, and which of them have ended. */
 public final class DependencyLookup {
-    /** Learns by exactly one call what a lookup found. */
+    /** Receives exactly one call with the result of a lookup. */
     interface Listener {
         /**
-         * All dependencies were accepted.
+         * Called if all dependencies were accepted.
          *
-         * @param pending those that are not known to be done
+         * @param pending the dependencies that are not done, as far as this controller has observed
          * @param cancelled whether one of them is cancelled
          */
         void found(List<String> pending, boolean cancelled);
 
-        /** A dependency was never accepted. */
+        /** Called if a dependency was never accepted. */
         void neverAccepted(String dependency);
 
-        /** What is stored of a dependency cannot be read. */
+        /** Called if a stored value of a dependency cannot be read. */
         void unreadable(String dependency);
 
-        /** More reads than the request rate allows. What was read is remembered, so a repetition has less to read. */
+        /** Called if the request rate allows no more reads. Results read so far are cached, so a retry needs fewer. */
         void tooManyReads();
 
-        /** The store does not answer. */
+        /** Called if the store did not answer. */
         void unavailable();
     }
 
@@ -40,7 +40,7 @@
     private final ReadBarrier barrier;
     private final JobResultReader resultReader;
 
-    /** Looks dependencies up in the replica, and in the store by the reader. */
+    /** Creates a lookup that searches the replica, and then the store through the reader. */
     public DependencyLookup(
             StoreReplica replica, DependencyTracker tracker, ReadBarrier barrier, JobResultReader resultReader) {
         this.replica = replica;
@@ -49,53 +49,56 @@
         this.resultReader = resultReader;
     }
 
-    /** Looks the dependencies up, and calls the listener now, or once the store has answered. */
+    /** Looks up the dependencies. The listener is called immediately if the replica suffices, otherwise later. */
     void lookUp(List<String> dependencies, Listener listener) {
         Lookup lookup = new Lookup(dependencies, listener);
         if (lookup.unknown().isEmpty()) {
             lookup.complete();
         } else {
-            // Another controller may have accepted a dependency a moment ago.
+            // Another controller may have accepted a dependency that the replica does not show yet.
             barrier.await(lookup::readNext, listener::unavailable);
         }
     }
 
-    /** The dependencies of one submission, with the results that were read for them so far. */
+    /** The lookup of the dependencies of one submission, with the results that were read so far. */
     private final class Lookup implements JobResultReader.Listener {
         private final List<String> dependencies;
         private final Listener listener;
         private final Map<String, JobResult> resultsRead = new HashMap<>();
-        private String reading;
+        private String currentRead;
 
         Lookup(List<String> dependencies, Listener listener) {
             this.dependencies = dependencies;
             this.listener = listener;
         }
 
-        /** The dependencies of which neither the replica nor a read says that they were accepted. */
+        /** Returns the dependencies that neither the replica nor a read has shown to be accepted. */
         List<String> unknown() {
             return dependencies.stream()
                     .filter(id -> replica.activeJob(id) == null && resultOf(id) == null)
                     .toList();
         }
 
-        /** The result of a dependency, or null if it is not known. */
+        /** Returns the result of a dependency, or null if neither the replica nor a read has shown one. */
         private JobResult resultOf(String id) {
-            JobResult known = replica.result(id);
-            return known == null ? resultsRead.get(id) : known;
+            JobResult cached = replica.result(id);
+            return cached == null ? resultsRead.get(id) : cached;
         }
 
-        /** The replica holds every accepted job that has not ended; any other has a result, or was never accepted. */
+        /**
+         * Reads the result of the next unknown dependency. The replica is current and so holds every accepted job that
+         * has not ended; a job that it lacks either has a result or was never accepted.
+         */
         void readNext() {
             List<String> unknown = unknown();
             if (unknown.isEmpty()) {
                 complete();
                 return;
             }
-            reading = unknown.get(0);
-            if (replica.isUnreadable(reading)) {
-                listener.unreadable(reading);
-            } else if (!resultReader.read(reading, this)) {
+            currentRead = unknown.get(0);
+            if (replica.isUnreadable(currentRead)) {
+                listener.unreadable(currentRead);
+            } else if (!resultReader.read(currentRead, this)) {
                 listener.tooManyReads();
             }
         }
@@ -119,13 +122,13 @@
 
         @Override
         public void found(JobResult result) {
-            resultsRead.put(reading, result);
+            resultsRead.put(currentRead, result);
             readNext();
         }
 
         @Override
         public void absent() {
-            listener.neverAccepted(reading);
+            listener.neverAccepted(currentRead);
         }
 
         @Override
--- a/src/main/java/dewlane/core/admission/JobLookup.java
+++ b/src/main/java/dewlane/core/admission/JobLookup.java
@@ -9,11 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * Finds the job that a user asks about: in the replica, or among the stored results of jobs that have ended. Answers
- * the user for every job that is not active.
+ * Finds the job of a user's request in the replica, or among the stored results of jobs that have ended. Answers the
+ * request itself if the job is not active.
  *
- * <p>A result is final and is shown as soon as it is known. Everything else is shown only behind a {@link ReadBarrier},
- * so that no controller shows a state older than one that another has shown.
+ * <p>A result is final and is returned as soon as this controller holds it. Any other state is returned only after a
+ * {@link ReadBarrier}, so that no controller returns a state older than one that another controller has returned.
  */
 public final class JobLookup {
     private final StoreReplica replica;
@@ -22,7 +22,7 @@
     private final JobResultReader resultReader;
     private final UserResponses responses;
 
-    /** Looks jobs up in the replica, and in the store by the reader. */
+    /** Creates a lookup that searches the replica, and then the store through the reader. */
     public JobLookup(
             StoreReplica replica,
             DependencyTracker dependencies,
@@ -36,31 +36,32 @@
         this.responses = responses;
     }
 
-    /** True if the replica holds anything of the job: its record, a slice or its result. */
-    boolean isKnown(String job) {
+    /** Returns true if the replica holds anything of the job: its record, a slice or its result. */
+    boolean isInReplica(String job) {
         return replica.job(job) != null || replica.result(job) != null;
     }
 
-    /** True if the replica holds the job's record. */
+    /** Returns true if the replica holds the job's record. */
     boolean hasRecord(String job) {
         return replica.activeJob(job) != null;
     }
 
-    /** The job's result if the replica holds it, or null, which proves nothing. */
-    JobResult knownResult(String job) {
+    /** Returns the job's result if the replica holds it, else null. Null does not mean that the job has no result. */
+    JobResult cachedResult(String job) {
         return replica.result(job);
     }
 
-    /** Runs {@code proceed} once the replica holds all that is durable now, or {@code onUnavailable} if it cannot. */
+    /** Runs {@code proceed} once the replica holds all that is durable now, or {@code onUnavailable} if that fails. */
     void whenCurrent(Runnable proceed, Runnable onUnavailable) {
         barrier.await(proceed, onUnavailable);
     }
 
     /**
-     * Answers the user from the replica as it is now, and from the job's stored result if the replica has nothing.
+     * Answers the user from the replica as it is now, or from the job's stored result if the replica has neither a
+     * record nor a result.
      *
-     * @param onUnknown run in place of an answer if the job was never accepted
-     * @param onActive given the job in place of an answer if it is neither ended nor cancelled
+     * @param onUnknown run instead of an answer if the job was never accepted
+     * @param onActive called with the job instead of an answer if the job is neither ended nor cancelled
      */
     void answerUnlessActive(long requestId, String job, Runnable onUnknown, Consumer<JobEntry> onActive) {
         JobResult result = replica.result(job);
@@ -70,7 +71,7 @@
         } else if (replica.isUnreadable(job)) {
             responses.retryLater(requestId, "the job's state cannot be read, try again");
         } else if (entry == null) {
-            // A job's record is deleted only once its result is stored.
+            // A job's record is deleted only after its result is stored, so the result tells whether the job existed.
             answerFromStore(requestId, job, onUnknown);
         } else if (dependencies.isCancelled(entry)) {
             responses.cancelled(requestId, job);
--- a/src/main/java/dewlane/core/admission/JobValidator.java
+++ b/src/main/java/dewlane/core/admission/JobValidator.java
@@ -5,33 +5,33 @@
 import dewlane.core.model.Job;
 import dewlane.core.model.MachineType;
 
-/** Decides from the settings and the cloud's machine types whether a job can ever run. */
+/** Checks against the settings and the cloud's machine types whether a job can ever run. */
 public final class JobValidator {
-    /** Covers rounding errors of amounts that come as decimal numbers. */
+    /** Allows for rounding errors of amounts that are given as decimal numbers. */
     private static final double TOLERANCE = 1e-9;
 
-    /** Whether a job can ever run. */
+    /** The result of a validation. */
     sealed interface Validation {}
 
     /** The job can run on at least one machine type. */
     record Valid() implements Validation {}
 
-    /** No machine types are known yet, and nothing else forbids the job. */
+    /** Not decided: the cloud's machine types were not read yet, and nothing else rules out the job. */
     record Undecided() implements Validation {}
 
-    /** The job can never run. */
+    /** The job cannot run; the reason is an answer to the user. */
     record Invalid(String reason) implements Validation {}
 
     private final Settings settings;
     private final MachineRegistry machines;
 
-    /** Validates against the teams of the settings and the machine types of the registry. */
+    /** Creates a validator that checks against the teams of the settings and the machine types of the registry. */
     public JobValidator(Settings settings, MachineRegistry machines) {
         this.settings = settings;
         this.machines = machines;
     }
 
-    /** Validates a job; machine types may appear later, so the answer holds for now. */
+    /** Validates a job against the present machine types. The result can change when the cloud offers other types. */
     Validation validate(Job job) {
         Settings.TeamQuota team = settings.teams().get(job.team());
         if (team == null) {
@@ -46,7 +46,7 @@
         return fitsSomeType(job) ? new Valid() : new Invalid("a task fits no allowed machine type");
     }
 
-    /** True if one task alone exceeds the limit; 0 is no limit. */
+    /** Returns true if a single task exceeds the limit. A limit of 0 means that there is none. */
     private static boolean exceeds(double limit, double perTask) {
         return limit > 0 && perTask > limit + TOLERANCE;
     }
--- a/src/main/java/dewlane/core/admission/NewJobWriter.java
+++ b/src/main/java/dewlane/core/admission/NewJobWriter.java
@@ -13,17 +13,17 @@
 import dewlane.core.store.StoreReplica;
 import dewlane.core.store.TransactionQueue;
 
-/** Makes accepted jobs durable, on condition that no job with the same id was accepted before. */
+/** Writes new jobs to the store, on condition that no job with the same id was accepted before. */
 public final class NewJobWriter {
-    /** Learns by exactly one call how a write ended; after a conflict a job with its id was accepted before. */
+    /** Receives exactly one call with the outcome of a write. A conflict means that the id is already taken. */
     interface Listener extends WriteListener {
-        /** The job is durably accepted, in the given condition. */
+        /** Called when the job is durably accepted, in the given condition. */
         void accepted(JobCondition condition);
 
-        /** The job's record does not fit into a stored value; nothing was written. */
+        /** Called if the job's record does not fit into a stored value. Nothing was written. */
         void tooLarge(int maxValueBytes);
 
-        /** More submissions than the write rate allows; nothing was written. */
+        /** Called if there are more submissions than the write rate allows. Nothing was written. */
         void overloaded();
     }
 
@@ -33,7 +33,7 @@
     private final SliceAssigner assigner;
     private final ValueSizer sizer;
 
-    /** Writes through the queue; the assigner chooses the owners of a job's slices. */
+    /** Creates a writer that submits to the queue. The assigner splits jobs into slices and selects their owners. */
     public NewJobWriter(
             ControllerContext context,
             StoreReplica replica,
@@ -47,7 +47,10 @@
         this.sizer = sizer;
     }
 
-    /** Writes the record of a job that is accepted now. */
+    /**
+     * Writes the record of a new job. If its slice assignments make the record too large for a stored value, the job is
+     * assigned as a single slice.
+     */
     void writePending(Job submitted, Listener listener) {
         Job job = submitted.withAcceptedAt(context.wallClockMs());
         int maxBytes = context.settings().maxValueBytes();
@@ -66,8 +69,8 @@
     }
 
     /**
-     * Writes a job that depends on a cancelled one. It has ended as soon as it is accepted, so only its result is
-     * stored.
+     * Writes a job that depends on a cancelled one. The job is cancelled as soon as it is accepted, so only its result
+     * is stored.
      */
     void writeCancelled(Job job, Listener listener) {
         if (!transactions.tryAdmitSubmission()) {
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Takes submissions. A job is accepted if it can run at all and all its dependencies were accepted; the user is
- * answered once that is durable. Requests are idempotent: the submission of a job that was accepted before is answered
- * with the job's state, whatever its body says now.
+ * Handles submissions. A job is accepted if it can ever run and all its dependencies were accepted. The user is
+ * answered once the job is durable. Requests are idempotent: the submission of a job that was accepted before is
+ * answered with the job's state, even if the body of the request differs.
  */
 public final class SubmissionHandler {
     private final Membership membership;
@@ -22,7 +22,7 @@
     private final NewJobWriter writer;
     private final UserResponses responses;
 
-    /** Accepts jobs by way of the validator, the lookup of their dependencies and the writer. */
+    /** Creates a handler that checks jobs with the validator and the dependency lookup, and writes them. */
     public SubmissionHandler(
             Membership membership,
             JobStatusHandler statuses,
@@ -38,11 +38,11 @@
         this.responses = responses;
     }
 
-    /** Checks a submission, writes the job, and answers once that is durable. */
+    /** Validates a submission, writes the job, and answers once it is durable. */
     public void onSubmit(Input.SubmitJob request) {
         if (request.jobId() == null) {
             responses.malformed(request.id(), request.rejection());
-        } else if (statuses.isKnown(request.jobId())) {
+        } else if (statuses.isInReplica(request.jobId())) {
             statuses.answer(request.id(), request.jobId(), () -> admit(request));
         } else if (request.job() == null) {
             rejectMalformed(request);
@@ -52,8 +52,9 @@
     }
 
     /**
-     * No accepted job was malformed, but only the store knows of all jobs that have ended. Where it does not answer,
-     * the user learns all the same that the body could never be accepted.
+     * Rejects a malformed body, unless the job was accepted earlier with a valid one. That takes a look at the store,
+     * since the replica does not hold all jobs that have ended. If the store does not answer, the request is rejected
+     * nevertheless, because such a body can never be accepted.
      */
     private void rejectMalformed(Input.SubmitJob request) {
         statuses.answer(
@@ -79,7 +80,7 @@
         statuses.answer(request.id(), request.jobId(), () -> responses.cannotRun(request.id(), reason));
     }
 
-    /** Admits a job of which nothing is known. */
+    /** Accepts a job for which neither the replica nor the store has a record or a result. */
     private void admit(Input.SubmitJob request) {
         if (request.job() == null) {
             responses.malformed(request.id(), request.rejection());
@@ -90,19 +91,19 @@
             return;
         }
         Admission admission = new Admission(request);
-        List<String> named = request.job().dependencies();
-        if (named.isEmpty()) {
+        List<String> declared = request.job().dependencies();
+        if (declared.isEmpty()) {
             writer.writePending(request.job(), admission);
         } else if (!membership.allControllersUpgraded()) {
             responses.upgradeUnfinished(request.id());
-        } else if (named.contains(request.jobId())) {
+        } else if (declared.contains(request.jobId())) {
             rejectAsUnrunnable(request, "the job awaits itself");
         } else {
-            dependencies.lookUp(named, admission);
+            dependencies.lookUp(declared, admission);
         }
     }
 
-    /** One request on its way through the lookup of its dependencies and the write of its job. */
+    /** A request whose dependencies are being looked up or whose job is being written. */
     private final class Admission implements DependencyLookup.Listener, NewJobWriter.Listener {
         private final Input.SubmitJob request;
 
@@ -112,7 +113,7 @@
 
         @Override
         public void found(List<String> pending, boolean cancelled) {
-            // A dependency that is done is not stored, so it need not be looked up again after a restart.
+            // Dependencies that are done are left out of the record, so they need no lookup after a restart.
             Job job = request.job().withDependencies(pending);
             if (cancelled) {
                 writer.writeCancelled(job, this);
@@ -141,7 +142,7 @@
             responses.accepted(request.id(), request.jobId(), condition);
         }
 
-        /** A job whose record fits no value is malformed for this service: its lists or names are too long. */
+        /** Rejects the job as malformed: its lists or names are too long for the store's value limit. */
         @Override
         public void tooLarge(int maxValueBytes) {
             String reason = "the job, with " + request.job().dependencies().size()
@@ -154,7 +155,7 @@
             responses.tooManySubmissions(request.id());
         }
 
-        /** The job was accepted before, maybe by an earlier copy of this request. */
+        /** Answers with the state of the job, which was accepted before, maybe by an earlier copy of this request. */
         @Override
         public void conflict() {
             statuses.answer(request.id(), request.jobId(), () -> responses.retryLater(request.id(), "try again"));
--- a/src/main/java/dewlane/core/admission/UserResponses.java
+++ b/src/main/java/dewlane/core/admission/UserResponses.java
@@ -6,7 +6,7 @@
 import dewlane.core.message.Effect.JobStatus;
 import dewlane.core.schema.StoredValue.JobResult;
 
-/** Answers users' requests, each of which is known by an id. The texts are part of the users' protocol. */
+/** Answers users' requests, which are identified by ids. The texts are part of the user protocol. */
 public final class UserResponses {
     private static final int STATUS_OK = 200;
     private static final int STATUS_CREATED = 201;
@@ -16,51 +16,51 @@
     private static final int STATUS_UNAVAILABLE = 503;
 
     private static final int DEFAULT_RETRY_AFTER_S = 1;
-    /** For submissions beyond what can be written. */
+    /** Retry delay for submissions that exceed the write rate. */
     private static final int OVERLOAD_RETRY_AFTER_S = 4;
-    /** For requests that have to wait until every controller is upgraded. */
+    /** Retry delay for requests that cannot be accepted before every controller is upgraded. */
     private static final int UPGRADE_RETRY_AFTER_S = 5;
 
     private final ControllerContext context;
 
-    /** Emits the answers as effects. */
+    /** Creates an instance that emits the answers as effects. */
     public UserResponses(ControllerContext context) {
         this.context = context;
     }
 
-    /** The job is newly accepted, in the given condition. */
+    /** Answers that the job is newly accepted, in the given condition. */
     void accepted(long requestId, String job, JobCondition condition) {
         JobStatus status = new JobStatus(job, condition, 0, 0);
         context.emit(new Effect.AnswerUser(requestId, STATUS_CREATED, status, null, DEFAULT_RETRY_AFTER_S));
     }
 
-    /** The job's state. */
-    void state(long requestId, JobStatus status) {
+    /** Answers with the job's status. */
+    void status(long requestId, JobStatus status) {
         context.emit(new Effect.AnswerUser(requestId, STATUS_OK, status, null, DEFAULT_RETRY_AFTER_S));
     }
 
-    /** The final state of a job that has ended. */
+    /** Answers with the final state of a job that has ended. */
     void result(long requestId, String job, JobResult result) {
         JobCondition condition = result.cancelled() ? JobCondition.CANCELLED : JobCondition.DONE;
-        state(requestId, new JobStatus(job, condition, 0, 0));
+        status(requestId, new JobStatus(job, condition, 0, 0));
     }
 
-    /** The job is cancelled. */
+    /** Answers that the job is cancelled. */
     void cancelled(long requestId, String job) {
-        state(requestId, new JobStatus(job, JobCondition.CANCELLED, 0, 0));
+        status(requestId, new JobStatus(job, JobCondition.CANCELLED, 0, 0));
     }
 
-    /** The job was never accepted. */
+    /** Answers that the job was never accepted. */
     void notFound(long requestId) {
         reject(requestId, STATUS_NOT_FOUND, "no such job");
     }
 
-    /** The submission is malformed, or too large for this service. */
+    /** Answers that the submission is malformed, or too large to be stored. */
     void malformed(long requestId, String reason) {
         reject(requestId, STATUS_MALFORMED, reason);
     }
 
-    /** The job can never run. */
+    /** Answers that the job can never run. */
     void cannotRun(long requestId, String reason) {
         reject(requestId, STATUS_CANNOT_RUN, reason);
     }
@@ -69,32 +69,32 @@
         context.emit(new Effect.AnswerUser(requestId, status, null, reason, DEFAULT_RETRY_AFTER_S));
     }
 
-    /** The request may be repeated soon. */
+    /** Asks the user to retry the request soon. */
     void retryLater(long requestId, String reason) {
         retryLater(requestId, reason, DEFAULT_RETRY_AFTER_S);
     }
 
-    /** This controller cannot decide yet. */
+    /** Asks the user to retry because this controller cannot decide yet. */
     void notReady(long requestId) {
         retryLater(requestId, "not ready, try again");
     }
 
-    /** The store does not answer. */
+    /** Asks the user to retry because the store did not answer. */
     void unavailable(long requestId) {
         retryLater(requestId, "state service out of reach, try again");
     }
 
-    /** More reads of results than the request rate allows. */
+    /** Asks the user to retry because the request rate allows no further read of a result now. */
     void tooManyReads(long requestId) {
         retryLater(requestId, "too many questions, try again");
     }
 
-    /** More submissions than the write rate allows. */
+    /** Asks the user to retry because there are more submissions than the write rate allows. */
     void tooManySubmissions(long requestId) {
         retryLater(requestId, "too many submissions, try again", OVERLOAD_RETRY_AFTER_S);
     }
 
-    /** A controller of an older version that may still run does not know what the request asks for. */
+    /** Asks the user to retry because a controller may still run an older version that does not support the request. */
     void upgradeUnfinished(long requestId) {
         retryLater(
                 requestId, "not every controller has shown yet that it is upgraded, try again", UPGRADE_RETRY_AFTER_S);
--- a/src/main/java/dewlane/core/admission/WriteListener.java
+++ b/src/main/java/dewlane/core/admission/WriteListener.java
@@ -3,15 +3,15 @@
 import dewlane.core.schema.Transaction;
 import dewlane.core.store.TransactionQueue;
 
-/** Learns of a write for a user that it was not committed. */
+/** Receives the failure of a write that was made for a user's request. */
 interface WriteListener {
-    /** A precondition did not hold, so nothing was written. */
+    /** Called if a precondition failed, so that nothing was written. */
     void conflict();
 
-    /** The store did not execute the write, or did not say so. */
+    /** Called if the store did not execute the write, or gave no definite answer. */
     void unavailable();
 
-    /** Calls the callback once the write is committed, or else one method of the listener. */
+    /** Returns a queue listener that runs the callback if the write is committed, or else calls the listener. */
     static TransactionQueue.Listener reportingTo(WriteListener listener, Runnable onCommitted) {
         return (status, revision) -> {
             if (status == Transaction.Status.COMMITTED) {
--- a/src/main/java/dewlane/core/admission/package-info.java
+++ b/src/main/java/dewlane/core/admission/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The requests of users: submissions, status queries and cancellations.
+ * Handling of users' requests: submissions, status queries and cancellations.
  *
- * <p>Guards the rule that every answer about a job is durable first, and that no user sees a state older than one shown
- * before. May depend on {@code scheduling} and below.
+ * <p>Enforces that a change of a job is durable before a user is told of it, and that no user receives a state older
+ * than one that was returned before. May depend on {@code scheduling} and the packages below it.
  */
 package dewlane.core.admission;
