--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -5,8 +5,9 @@
 import dewlane.core.message.Input;
 
 /**
- * Manages the cloud's instances while this controller leads: creates them for unmet demand and deletes those that are
- * decommissioned. Which idle machines are decommissioned is decided by each partition's owner (see {@link ScaleIn}).
+ * Manages the cloud's instances while this controller is the leader: creates instances for unmet demand and deletes
+ * those that are decommissioned. The owner of each partition decides which idle machines are decommissioned (see
+ * {@link ScaleIn}).
  */
 public final class Autoscaler {
     private final ControllerContext context;
@@ -17,10 +18,10 @@
     private final ScaleOut scaleOut;
     private boolean leading;
     private long leadingSinceMs;
-    /** True once this leader knows what its predecessor created, so that it does not create it again. */
-    private boolean fleetKnown;
+    /** False until the instances that a previous leader created are listed, so that they are not created twice. */
+    private boolean scaleOutAllowed;
 
-    /** Leads by the given steps. */
+    /** Creates an autoscaler that runs the given components in turn. */
     public Autoscaler(
             ControllerContext context,
             Membership membership,
@@ -36,7 +37,10 @@
         this.scaleOut = scaleOut;
     }
 
-    /** Keeps the catalog current; the leader also keeps the list of instances, deletes and creates some. */
+    /**
+     * Polls the cloud's catalog. On the leader, also polls the list of instances, and deletes and creates instances.
+     * Called periodically.
+     */
     public void tick() {
         poller.pollCatalog();
         if (!membership.isLeader()) {
@@ -54,8 +58,8 @@
         inventory.detectBooted();
         decommissions.process();
         inventory.decommissionOverdue();
-        if (poller.knowsFleet(context.nowMs() - leadingSinceMs)) {
-            fleetKnown = true;
+        if (poller.isScaleOutAllowed(context.nowMs() - leadingSinceMs)) {
+            scaleOutAllowed = true;
             scaleOut.run();
         }
     }
@@ -68,17 +72,17 @@
 
     private void stopLeading() {
         leading = false;
-        fleetKnown = false;
+        scaleOutAllowed = false;
         inventory.clear();
         scaleOut.clear();
     }
 
-    /** A page of the list of instances was read. */
+    /** Called when a page of the list of instances was read. */
     public void onInstancesListed(Input.InstancesListed in) {
         inventory.onListed(in.machines());
     }
 
-    /** A deletion was answered. */
+    /** Called when a deletion of instances was answered or timed out. */
     public void onInstancesDeleted(Input.InstancesDeleted in) {
         inventory.onDeleted(in);
         if (membership.isLeader()) {
@@ -86,10 +90,10 @@
         }
     }
 
-    /** A request for instances was answered. */
+    /** Called when a request to create instances was answered or timed out. */
     public void onInstancesCreated(Input.InstancesCreated in) {
-        boolean known = scaleOut.onInstancesCreated(in);
-        if (known && fleetKnown && membership.isLeader()) {
+        boolean wasInFlight = scaleOut.onInstancesCreated(in);
+        if (wasInFlight && scaleOutAllowed && membership.isLeader()) {
             scaleOut.run();
         }
     }
--- a/src/main/java/dewlane/core/autoscaling/CapacityBins.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityBins.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /**
- * The bins of a first-fit bin packing: machines into which tasks are put by estimate. Bins are kept by pool, so that a
- * job looks only at machines that it may use, and a full one is dropped at once.
+ * Bins of a first-fit packing, which estimates how many pending tasks fit on machines. The bins are grouped by pool, so
+ * that a job is compared only with machines that it may use. A bin whose CPUs are used up is removed immediately.
  */
 final class CapacityBins {
-    /** A machine's type and what is in use on it. */
+    /** The type of a machine and the resources in use on it. */
     private static final class Bin {
         private final MachineType type;
         private final ResourceUsage usage;
@@ -24,8 +24,8 @@
             this.usage = usage;
         }
 
-        /** Puts up to the given number of tasks into the bin; returns how many. */
-        int put(Job job, int tasks) {
+        /** Adds as many of the tasks as fit, and returns how many were added. */
+        int add(Job job, int tasks) {
             int fitting = Math.min(tasks, usage.capacityFor(type, job));
             if (fitting > 0) {
                 usage.add(job, fitting);
@@ -40,27 +40,27 @@
 
     private final Map<InstancePool, List<Bin>> binsByPool = new LinkedHashMap<>();
 
-    /** Adds a machine with the given usage, which is changed from now on. */
+    /** Adds a machine. The usage object is modified when tasks are added. */
     void add(InstancePool pool, MachineType type, ResourceUsage usage) {
         binsByPool.computeIfAbsent(pool, p -> new ArrayList<>()).add(new Bin(type, usage));
     }
 
-    /** Puts tasks of the job into the first bins that they fit into; returns how many fit into none. */
-    int put(Job job, int tasks) {
+    /** Adds tasks of the job to the first bins that they fit into, and returns how many fit into none. */
+    int pack(Job job, int tasks) {
         int remaining = tasks;
         for (Map.Entry<InstancePool, List<Bin>> entry : binsByPool.entrySet()) {
             if (remaining > 0 && entry.getKey().isAllowedFor(job)) {
-                remaining = put(entry.getValue(), job, remaining);
+                remaining = pack(entry.getValue(), job, remaining);
             }
         }
         return remaining;
     }
 
-    private static int put(List<Bin> bins, Job job, int tasks) {
+    private static int pack(List<Bin> bins, Job job, int tasks) {
         int remaining = tasks;
         for (Iterator<Bin> iterator = bins.iterator(); iterator.hasNext() && remaining > 0; ) {
             Bin bin = iterator.next();
-            remaining -= bin.put(job, remaining);
+            remaining -= bin.add(job, remaining);
             if (bin.isFull()) {
                 iterator.remove();
             }
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
@@ -22,14 +22,14 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Estimates for how many pending tasks there is no capacity on the machines that are up or on their way. */
+/** Estimates the pending tasks for which neither running machines nor requested instances have capacity. */
 public final class CapacityDemand {
-    /** The time for which an instance that is created for a task is counted on; shorter tasks follow one another. */
-    private static final double SLOT_S = 80;
-    /** The least part of a slot that a task counts for, however short it is. */
+    /** The time for which a new instance is planned to run tasks. Shorter tasks share a slot, one after the other. */
+    private static final double SLOT_DURATION_S = 80;
+    /** The minimum fraction of a slot that is planned for a task, however short it is. */
     private static final double MIN_SLOT_FRACTION = 0.1;
-    /** A pending instance is counted on for so many times its boot time. */
-    private static final double COUNTED_BOOT_TIMES = 2;
+    /** A pending instance counts as capacity until this many boot times of its type have passed since its request. */
+    private static final double PENDING_TIMEOUT_FACTOR = 2;
 
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -38,7 +38,7 @@
     private final QuotaEnforcer quota;
     private final DependencyGraph dependencies;
 
-    /** Estimates by the replica's jobs and the registry's machines. */
+    /** Creates an estimator for the jobs of the replica and the machines of the registry. */
     public CapacityDemand(
             ControllerContext context,
             StoreReplica replica,
@@ -55,9 +55,10 @@
     }
 
     /**
-     * Tasks for which neither machines that are up nor those on their way have capacity, in slots of machine time.
+     * Returns the demand for which neither running machines nor requested instances have capacity, by job. It is given
+     * in slots: the room for one task on a machine for {@link #SLOT_DURATION_S}.
      *
-     * @param pending instances that were created but are not up, by name
+     * @param pending instances that were created but have not booted, by name
      * @param inFlight requests that the cloud has not answered yet
      */
     Map<JobEntry, Double> unmetDemand(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
@@ -67,7 +68,7 @@
         Set<Job.Requirements> withoutCapacity = new HashSet<>();
         for (JobEntry job : pendingJobs()) {
             int allowed = takeQuota(job, usageByTeam);
-            int remaining = withoutCapacity.contains(job.requirements()) ? allowed : bins.put(job.job(), allowed);
+            int remaining = withoutCapacity.contains(job.requirements()) ? allowed : bins.pack(job.job(), allowed);
             if (remaining > 0) {
                 withoutCapacity.add(job.requirements());
                 unmet.put(job, slots(job, remaining, pending.values()));
@@ -76,7 +77,7 @@
         return unmet;
     }
 
-    /** How many pending tasks of the job its team's limit allows, which then count for the team. */
+    /** Returns how many pending tasks of the job its team's limit allows, and adds them to the team's usage. */
     private int takeQuota(JobEntry job, Map<String, ResourceUsage> usageByTeam) {
         Job spec = job.job();
         ResourceUsage usage = usageByTeam.computeIfAbsent(
@@ -99,7 +100,7 @@
         }
         pending.forEach((name, request) -> {
             MachineType type = machines.type(request.pool().type());
-            if (type != null && isCountedOn(name, request, type)) {
+            if (type != null && isExpectedToBoot(name, request, type)) {
                 bins.add(request.pool(), type, new ResourceUsage());
             }
         });
@@ -112,12 +113,15 @@
         return bins;
     }
 
-    private boolean isCountedOn(String name, InstanceRequest request, MachineType type) {
+    private boolean isExpectedToBoot(String name, InstanceRequest request, MachineType type) {
         return !replica.isDecommissioned(name)
-                && context.nowMs() - request.requestedAtMs() < COUNTED_BOOT_TIMES * 1000 * type.bootS();
+                && context.nowMs() - request.requestedAtMs() < PENDING_TIMEOUT_FACTOR * 1000 * type.bootS();
     }
 
-    /** Jobs with the fewest types to choose from come first, and the others get the capacity that they leave. */
+    /**
+     * Returns the jobs with pending tasks that may run. Jobs that can use the fewest machine types come first; the
+     * others are packed into the capacity that these leave.
+     */
     private List<JobEntry> pendingJobs() {
         List<JobEntry> jobs = new ArrayList<>();
         for (JobEntry job : replica.jobs()) {
@@ -135,16 +139,17 @@
     }
 
     /**
-     * Short tasks share a slot one after the other while an instance is there. Where there is none on which the job can
-     * run, the smallest demand still needs one, or the job would wait for ever.
+     * Returns the demand of the tasks in slots. Short tasks share a slot, one after the other. If the job can run
+     * neither on a machine nor on a pending instance, the demand is at least a whole machine: a smaller one could be
+     * rounded down to no instance, and the job would never start.
      */
     private double slots(JobEntry job, int tasks, Collection<InstanceRequest> pending) {
-        double slotsPerTask = Math.max(MIN_SLOT_FRACTION, job.job().expectedRunS() / SLOT_S);
+        double slotsPerTask = Math.max(MIN_SLOT_FRACTION, job.job().expectedRunS() / SLOT_DURATION_S);
         double slots = tasks * Math.min(1, slotsPerTask);
         return canRunSomewhere(job, pending) ? slots : Math.max(slots, maxTasksPerMachine(job.job()));
     }
 
-    /** True if there is or soon will be a machine on which tasks of the job can run at all. */
+    /** Returns true if tasks of the job can run on a schedulable machine, busy or not, or on a pending instance. */
     private boolean canRunSomewhere(JobEntry job, Collection<InstanceRequest> pending) {
         Job spec = job.job();
         Job.Requirements requirements = job.requirements();
--- a/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
@@ -12,25 +12,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** Carries out decommission records: deletes their instances, records the proof, and drops records that are done. */
+/**
+ * Executes decommission records: deletes the instances, records that they are terminated, and deletes records that are
+ * no longer needed.
+ */
 public final class DecommissionProcessor {
     private static final long DELETE_RETRY_INTERVAL_MS = 6000;
-    /** For how long a record of terminated machines is kept. */
-    private static final long TERMINATED_TTL_MS = 60_000;
-    /** For how long the cloud's list may still show a machine that was scaled in. */
-    private static final long SCALED_IN_TTL_MS = 30_000;
+    /** The time for which a record is kept after all its machines are terminated. */
+    private static final long TERMINATED_RECORD_TTL_MS = 60_000;
+    /** The same for a scale-in record. The cloud's list may show terminated machines for up to this time. */
+    private static final long SCALED_IN_RECORD_TTL_MS = 30_000;
 
     private final ControllerContext context;
     private final StoreReplica replica;
     private final MachineRegistry machines;
     private final InstanceInventory inventory;
     private final DecommissionWriter writer;
-    /** By machine, when its deletion was last requested. */
-    private final Map<String, Long> deletedAtMs = new HashMap<>();
-    /** By key of a record, when all its machines were first found terminated. */
-    private final Map<String, Long> terminatedAtMs = new HashMap<>();
+    /** The time of the last deletion request, by machine. */
+    private final Map<String, Long> deletionRequestedAtMs = new HashMap<>();
+    /** The time at which all machines of a record were first found terminated, by the key of the record. */
+    private final Map<String, Long> allTerminatedAtMs = new HashMap<>();
 
-    /** Processes the replica's records, changing them by the writer. */
+    /** Creates a processor for the records of the replica. Changes are written by the writer. */
     public DecommissionProcessor(
             ControllerContext context,
             StoreReplica replica,
@@ -44,73 +47,76 @@
         this.writer = writer;
     }
 
-    /** Acts on all records. */
+    /** Processes all records, and requests the deletion of as many instances as one request may name. */
     void process() {
-        List<String> names = new ArrayList<>();
+        List<String> deletable = new ArrayList<>();
         for (DecommissionIndex.Entry entry : replica.decommissions()) {
             switch (entry.record().state()) {
-                case SCALE_IN -> processScaleIn(entry, names);
-                case DELETE -> processDelete(entry, names);
-                case TERMINATED -> processTerminated(entry, names);
+                case SCALE_IN -> processScaleIn(entry, deletable);
+                case DELETE -> processDelete(entry, deletable);
+                case TERMINATED -> processTerminated(entry, deletable);
             }
         }
-        names.removeIf(this::wasDeletedRecently);
-        if (!names.isEmpty()) {
-            deleteInstances(
-                    List.copyOf(names.subList(0, Math.min(Effect.DeleteInstances.MAX_INSTANCES, names.size()))));
+        deletable.removeIf(this::wasDeletionRequestedRecently);
+        if (!deletable.isEmpty()) {
+            deleteInstances(List.copyOf(
+                    deletable.subList(0, Math.min(Effect.DeleteInstances.MAX_INSTANCES, deletable.size()))));
         }
     }
 
-    private boolean wasDeletedRecently(String name) {
-        return context.nowMs() - deletedAtMs.getOrDefault(name, ControllerContext.NEVER_MS) < DELETE_RETRY_INTERVAL_MS;
+    private boolean wasDeletionRequestedRecently(String name) {
+        return context.nowMs() - deletionRequestedAtMs.getOrDefault(name, ControllerContext.NEVER_MS)
+                < DELETE_RETRY_INTERVAL_MS;
     }
 
     private void deleteInstances(List<String> names) {
-        names.forEach(name -> deletedAtMs.put(name, context.nowMs()));
-        context.debug("deleting " + names);
+        names.forEach(name -> deletionRequestedAtMs.put(name, context.nowMs()));
+        context.debug("deleting instances " + names);
         context.emit(new Effect.DeleteInstances(names));
     }
 
-    /** Adds the record's machines that can be deleted to the names. */
-    private void processScaleIn(DecommissionIndex.Entry entry, List<String> names) {
+    /** Adds the idle machines of the record to the deletable ones. */
+    private void processScaleIn(DecommissionIndex.Entry entry, List<String> deletable) {
         if (inventory.areTerminated(entry.machines())) {
-            if (terminatedForMs(entry) > SCALED_IN_TTL_MS) {
+            if (terminatedForMs(entry) > SCALED_IN_RECORD_TTL_MS) {
                 delete(entry);
             }
             return;
         }
         for (String name : entry.machines()) {
-            // Nothing can have been launched there since; if ever something is there, it ends first.
+            // No task can have been launched since the record was written. If there are attempts all the same, they
+            // end before the machine is deleted.
             if (!inventory.isTerminated(name) && isIdle(name)) {
-                names.add(name);
+                deletable.add(name);
             }
         }
     }
 
-    private void processDelete(DecommissionIndex.Entry entry, List<String> names) {
+    private void processDelete(DecommissionIndex.Entry entry, List<String> deletable) {
         if (inventory.areTerminated(entry.machines())) {
             writer.update(entry, DecommissionState.TERMINATED, "deleted");
         } else {
-            names.addAll(entry.machines());
+            deletable.addAll(entry.machines());
         }
     }
 
-    private void processTerminated(DecommissionIndex.Entry entry, List<String> names) {
+    /** Deletes machines again that the list still shows, and later the record, once no attempts are left on them. */
+    private void processTerminated(DecommissionIndex.Entry entry, List<String> deletable) {
         long terminatedForMs = terminatedForMs(entry);
-        if (terminatedForMs < TERMINATED_TTL_MS / 2) {
-            entry.machines().stream().filter(inventory::isListed).forEach(names::add);
-        } else if (terminatedForMs > TERMINATED_TTL_MS
+        if (terminatedForMs < TERMINATED_RECORD_TTL_MS / 2) {
+            entry.machines().stream().filter(inventory::isListed).forEach(deletable::add);
+        } else if (terminatedForMs > TERMINATED_RECORD_TTL_MS
                 && entry.machines().stream().allMatch(this::isIdle)) {
             delete(entry);
         }
     }
 
     private long terminatedForMs(DecommissionIndex.Entry entry) {
-        return context.nowMs() - terminatedAtMs.computeIfAbsent(entry.key(), key -> context.nowMs());
+        return context.nowMs() - allTerminatedAtMs.computeIfAbsent(entry.key(), key -> context.nowMs());
     }
 
     private void delete(DecommissionIndex.Entry entry) {
-        writer.delete(entry, () -> terminatedAtMs.remove(entry.key()));
+        writer.delete(entry, () -> allTerminatedAtMs.remove(entry.key()));
     }
 
     private boolean isIdle(String name) {
--- a/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Writes the leader's changes of decommission records, of each record one at a time. */
+/** Writes the leader's changes of decommission records. At most one write of a record is in flight. */
 public final class DecommissionWriter {
     private final ControllerContext context;
     private final StoreReplica replica;
@@ -23,29 +23,30 @@
     /** Keys of records with a write in flight. */
     private final Set<String> inFlight = new HashSet<>();
 
-    /** Writes records through the queue, on condition of what the replica shows. */
+    /** Creates a writer that submits to the queue, on condition that records have the revision in the replica. */
     public DecommissionWriter(ControllerContext context, StoreReplica replica, TransactionQueue transactions) {
         this.context = context;
         this.replica = replica;
         this.transactions = transactions;
     }
 
-    /** True if a record about the machine is stored. */
+    /** Returns true if the replica holds a record of the machine. */
     boolean isDecommissioned(String machine) {
         return replica.isDecommissioned(machine);
     }
 
-    /** Records a state of one machine; not while a record of several machines holds it. */
+    /** Writes the state of a machine, unless that is its state already or a record of several machines includes it. */
     void decommission(String machine, DecommissionState state, String reason) {
-        DecommissionIndex.Entry known = replica.decommission(machine);
-        if (known == null) {
+        DecommissionIndex.Entry existing = replica.decommission(machine);
+        if (existing == null) {
             write(StoreKeys.decommission(machine), 0, new DecommissionRecord(state, reason, List.of()));
-        } else if (known.record().state() != state && known.record().machines().isEmpty()) {
-            update(known, state, reason);
+        } else if (existing.record().state() != state
+                && existing.record().machines().isEmpty()) {
+            update(existing, state, reason);
         }
     }
 
-    /** Changes the state of a record's machines. */
+    /** Changes the state of the machines of a record. */
     void update(DecommissionIndex.Entry entry, DecommissionState state, String reason) {
         DecommissionRecord record = entry.record();
         List<List<String>> batches =
@@ -58,7 +59,7 @@
         write(entry.key(), entry.revision(), new DecommissionRecord(state, reason, record.machines(), unknown));
     }
 
-    /** A record that was stored under larger limits becomes several, as many as one transaction holds. */
+    /** Replaces a record that was stored under a larger size limit by several, as many as fit into a transaction. */
     private void updateOversized(
             DecommissionIndex.Entry entry, DecommissionState state, String reason, List<List<String>> batches) {
         Transaction.Builder transaction = new Transaction.Builder().require(entry.key(), entry.revision());
@@ -68,7 +69,7 @@
             if (i > 0) {
                 transaction.require(key, 0);
             }
-            // Machines beyond what the transaction holds are decommissioned one by one, by their partitions' owners.
+            // Machines that do not fit into the transaction are decommissioned one by one by their partition owners.
             transaction.put(key, new DecommissionRecord(state, reason, batches.get(i)));
         }
         submit(entry.key(), TransactionPriority.OUTCOME, transaction, () -> {});
@@ -80,14 +81,14 @@
         submit(key, TransactionPriority.OUTCOME, transaction, () -> {});
     }
 
-    /** Deletes a record; the callback runs once the store has answered. */
+    /** Deletes a record. The callback is run when the transaction has completed, whatever its outcome. */
     void delete(DecommissionIndex.Entry entry, Runnable onCompleted) {
         Transaction.Builder transaction =
                 new Transaction.Builder().require(entry.key(), entry.revision()).delete(entry.key());
         submit(entry.key(), TransactionPriority.LATER, transaction, onCompleted);
     }
 
-    /** Submits a write of the key's record, unless one is in flight. */
+    /** Submits a write of the record with the key, unless one is in flight. */
     private void submit(
             String key, TransactionPriority priority, Transaction.Builder transaction, Runnable onCompleted) {
         if (inFlight.add(key)) {
--- a/src/main/java/dewlane/core/autoscaling/IdleMachineFinder.java
+++ b/src/main/java/dewlane/core/autoscaling/IdleMachineFinder.java
@@ -11,9 +11,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds machines of this partition that have been idle for so long that they are not worth their price. */
+/** Finds machines of this controller's partition that have been idle for so long that keeping them costs too much. */
 public final class IdleMachineFinder {
-    /** While jobs are pending, idle machines are kept for so many times as long: tasks may be about to reach them. */
+    /** Multiplies the idle timeout while jobs are pending, since their tasks may be launched on idle machines soon. */
     private static final int PENDING_WORK_FACTOR = 3;
 
     private final ControllerContext context;
@@ -22,7 +22,7 @@
     private final MachineSchedulability schedulability;
     private final DependencyGraph dependencies;
 
-    /** Looks at the registry's machines of this partition, and at the replica's jobs. */
+    /** Creates a finder for the machines of the registry and the jobs of the replica. */
     public IdleMachineFinder(
             ControllerContext context,
             StoreReplica replica,
@@ -36,7 +36,7 @@
         this.dependencies = dependencies;
     }
 
-    /** As many such machines as one record holds, or fewer. */
+    /** Returns idle machines, at most as many as a decommission record may name. */
     List<Machine> find() {
         long idleTimeoutMs = idleTimeoutMs();
         List<Machine> idle = new ArrayList<>();
@@ -62,7 +62,10 @@
         return false;
     }
 
-    /** True if the machine is idle for the timeout; an on-demand machine costs more, and is kept half as long. */
+    /**
+     * Returns true if the machine has been idle for the timeout. For an on-demand machine the timeout is half as long,
+     * since it costs more.
+     */
     private boolean isIdleFor(Machine machine, long timeoutMs) {
         return machine.attempts().isEmpty()
                 && machine.usage().isEmpty()
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -17,71 +17,71 @@
 import java.util.Set;
 
 /**
- * What the leader knows of the cloud's instances: those on its list, which lags, those that are pending, and those that
- * are proven terminated.
+ * The cloud's instances as the leader observes them: those on the cloud's list, which lags; those that were created but
+ * have not booted; and those that are certain to be terminated.
  */
 public final class InstanceInventory {
-    /** An instance that no page of the list showed for so long is not listed any more. */
+    /** An instance that no page of the list has shown for this time counts as no longer listed. */
     private static final long LISTED_TTL_MS = 20_000;
-    /** How long an instance of an unknown type may take to boot. */
+    /** The boot timeout of an instance whose type is not in the catalog. */
     private static final double UNKNOWN_TYPE_BOOT_TIMEOUT_S = 300;
 
     private final ControllerContext context;
     private final MachineRegistry machines;
     private final DecommissionWriter decommissions;
-    /** By name, when the list last showed an instance. */
+    /** The time at which the list last showed an instance, by name. */
     private final Map<String, Long> listedAtMs = new HashMap<>();
-    /** Instances that were created but have not been seen up. */
+    /** Instances that were created but have not booted, by name. */
     private final Map<String, InstanceRequest> pending = new LinkedHashMap<>();
-    /** Instances that have been seen up. */
+    /** Instances that have booted and are not terminated. */
     private final Set<String> booted = new HashSet<>();
-    /** Instances whose deletion was answered, or that the cloud calls failed. */
+    /** Instances whose deletion the cloud has confirmed, or that its list shows as failed. */
     private final Set<String> terminated = new HashSet<>();
 
-    /** An empty inventory, which has failed and overdue instances decommissioned by the writer. */
+    /** Creates an empty inventory. Failed and overdue instances are decommissioned through the writer. */
     public InstanceInventory(ControllerContext context, MachineRegistry machines, DecommissionWriter decommissions) {
         this.context = context;
         this.machines = machines;
         this.decommissions = decommissions;
     }
 
-    /** Forgets what only a leader keeps current. */
+    /** Drops the listed and pending instances, which only the leader keeps up to date. */
     void clear() {
         listedAtMs.clear();
         pending.clear();
     }
 
-    /** True once a list was read since this controller leads. */
+    /** Returns true if any instance is listed, so that a list was read since this controller became the leader. */
     boolean hasList() {
         return !listedAtMs.isEmpty();
     }
 
-    /** How many instances the list has shown of late. */
+    /** Returns how many instances are listed. */
     int listedCount() {
         return listedAtMs.size();
     }
 
-    /** True if the list has shown the instance of late. */
+    /** Returns true if the instance is listed. */
     boolean isListed(String name) {
         return listedAtMs.containsKey(name);
     }
 
-    /** True if all of the instances are proven terminated. */
+    /** Returns true if all of the instances are certain to be terminated. */
     boolean areTerminated(Collection<String> names) {
         return terminated.containsAll(names);
     }
 
-    /** True if the instance is proven terminated. */
+    /** Returns true if the instance is certain to be terminated. */
     boolean isTerminated(String name) {
         return terminated.contains(name);
     }
 
-    /** Instances that were created but have not been seen up, by name. */
+    /** Returns the instances that were created but have not booted, by name. */
     Map<String, InstanceRequest> pending() {
         return Collections.unmodifiableMap(pending);
     }
 
-    /** Takes a page of the cloud's list, which may be older than the one before. */
+    /** Called when a page of the cloud's list was read. A page may be older than the previous one. */
     void onListed(List<CloudInstance> page) {
         for (CloudInstance instance : page) {
             if (!machines.isTerminated(instance.name())) {
@@ -106,12 +106,12 @@
         }
     }
 
-    /** Takes instances that the cloud said it created. */
+    /** Called when the cloud has reported that it created instances. */
     void onCreated(List<String> names, InstanceRequest request) {
         names.forEach(name -> pending.put(name, request));
     }
 
-    /** Takes what a deletion's answer proves. */
+    /** Called when a deletion was answered or timed out. Only an answer shows that the instances are terminated. */
     void onDeleted(Input.InstancesDeleted in) {
         if (!in.terminated()) {
             return;
@@ -123,7 +123,10 @@
         }
     }
 
-    /** Finds pending instances that are up: their workers were heard, here or by their owners. */
+    /**
+     * Moves pending instances to the booted ones if their workers have contacted this controller, have attempts, or are
+     * listed by their partition owner.
+     */
     void detectBooted() {
         for (Machine machine : machines.all()) {
             if (machine.reachability().everConfirmed()
@@ -136,7 +139,7 @@
         pending.keySet().removeIf(name -> booted.contains(name) || machines.isTerminated(name));
     }
 
-    /** Has instances deleted that did not boot in time: they are paid for without use. */
+    /** Decommissions instances that did not boot in time, since they cost money without being usable. */
     void decommissionOverdue() {
         pending.forEach((name, request) -> {
             boolean overdue = context.nowMs() - request.requestedAtMs() > bootTimeoutS(request) * 1000;
--- a/src/main/java/dewlane/core/autoscaling/InstancePoolSelector.java
+++ b/src/main/java/dewlane/core/autoscaling/InstancePoolSelector.java
@@ -10,34 +10,37 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Selects the pool in which instances for a job cost least, among those from which the cloud can create some now. */
+/** Selects the cheapest pool for a job among those from which the cloud may have instances to create now. */
 public final class InstancePoolSelector {
-    /** Jobs of idle priority get on-demand instances only after such a wait. */
+    /** Jobs of idle priority that may run on spot instances get on-demand ones only after waiting for this time. */
     private static final long IDLE_PRIORITY_WAIT_MS = 60_000;
-    /** By how much a type counts as more expensive if other jobs need it more. */
+    /** The fraction by which the price of a type is raised if another job that can use fewer types needs it. */
     private static final double CONTENTION_PRICE_FACTOR = 0.4;
-    /** The time over which an instance's boot and its first image fetch count as lost. */
+    /** The time over which the cost of the boot and of the first image fetch is spread. */
     private static final double EXPECTED_LIFETIME_S = 300;
 
     private static final boolean[] SPOT_THEN_ON_DEMAND = {true, false};
 
     private final ControllerContext context;
     private final MachineRegistry machines;
-    /** Until when nothing is requested of a pool, in steady time. */
+    /** The monotonic time until which no instances of a pool are requested. */
     private final Map<InstancePool, Long> backoffUntilMs = new HashMap<>();
 
-    /** Selects among the pools of the registry's machine types. */
+    /** Creates a selector for the pools of all machine types in the registry. */
     public InstancePoolSelector(ControllerContext context, MachineRegistry machines) {
         this.context = context;
         this.machines = machines;
     }
 
-    /** Requests nothing of the pool for the given time. */
+    /** Excludes the pool for the given time. */
     void backOff(InstancePool pool, long durationMs) {
         backoffUntilMs.put(pool, context.nowMs() + durationMs);
     }
 
-    /** The pool where a task of the job costs least, by price, contention and the time lost to boot and image fetch. */
+    /**
+     * Returns the pool with the lowest cost per task of the job, or empty if no pool is eligible. The cost includes the
+     * price, the contention for the machine type, and the time that is lost to the boot and the image fetch.
+     */
     Optional<InstancePool> cheapest(JobEntry job) {
         InstancePool best = null;
         double bestCost = Double.POSITIVE_INFINITY;
--- a/src/main/java/dewlane/core/autoscaling/InstanceRequest.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceRequest.java
@@ -3,6 +3,6 @@
 /**
  * A request to create instances of one pool.
  *
- * @param requestedAtMs when it was made, in steady time
+ * @param requestedAtMs the monotonic time at which the request was made
  */
 record InstanceRequest(InstancePool pool, int count, long requestedAtMs) {}
--- a/src/main/java/dewlane/core/autoscaling/ScaleIn.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleIn.java
@@ -14,13 +14,14 @@
 import java.util.List;
 
 /**
- * Decommissions idle machines of this partition, as many as are idle by one record, since records cost writes.
+ * Decommissions idle machines of this controller's partition. One record names as many idle machines as it can hold,
+ * since each record costs a write.
  *
- * <p>The partition's owner alone launches on a machine, and the record is conditional on the partition map, so nothing
- * can be on the machines once it is written; the leader deletes them.
+ * <p>Only the partition's owner launches tasks on a machine, and the record is conditional on the partition map, so no
+ * task can be on the machines once the record is written. The leader then deletes them.
  */
 public final class ScaleIn {
-    /** Machines that become idle soon after one another share a record. */
+    /** The minimum time between records, so that machines that become idle shortly after each other share one. */
     private static final long MIN_INTERVAL_MS = 4000;
 
     private final ControllerContext context;
@@ -30,9 +31,9 @@
     private final TransactionQueue transactions;
     private final IdleMachineFinder idleMachines;
     private long recordCount;
-    private long decommissionedAtMs = ControllerContext.NEVER_MS;
+    private long lastDecommissionAtMs = ControllerContext.NEVER_MS;
 
-    /** Decommissions the machines that the finder finds, through the queue. */
+    /** Creates a scale-in of the machines that the finder returns. Records are written through the queue. */
     public ScaleIn(
             ControllerContext context,
             StoreReplica replica,
@@ -48,38 +49,38 @@
         this.idleMachines = idleMachines;
     }
 
-    /** Decommissions machines that have been idle for long enough. */
+    /** Decommissions machines that have been idle for longer than the timeout. Called periodically. */
     public void tick() {
         if (!authority.current().mayDecide()
-                || context.nowMs() - decommissionedAtMs < MIN_INTERVAL_MS
+                || context.nowMs() - lastDecommissionAtMs < MIN_INTERVAL_MS
                 || !transactions.hasCapacity(TransactionPriority.LATER)) {
             return;
         }
         List<Machine> idle = idleMachines.find();
         if (!idle.isEmpty()) {
-            decommissionedAtMs = context.nowMs();
+            lastDecommissionAtMs = context.nowMs();
             decommission(firstBatch(idle));
         }
     }
 
-    /** As many of the machines as a record's value holds; the others follow by the next one. */
+    /** Returns as many of the machines as fit into one record. The others follow in the next one. */
     private List<Machine> firstBatch(List<Machine> idle) {
         List<String> names = idle.stream().map(Machine::name).toList();
         int maxBytes = context.settings().maxValueBytes();
         return idle.subList(0, DecommissionBatches.split(names, maxBytes).get(0).size());
     }
 
-    private void decommission(List<Machine> leaving) {
-        List<String> names = leaving.stream().map(Machine::name).toList();
+    private void decommission(List<Machine> machines) {
+        List<String> names = machines.stream().map(Machine::name).toList();
         context.info("scaling in idle machines " + names);
-        leaving.forEach(machine -> machine.lifecycle().beginScaleIn());
+        machines.forEach(machine -> machine.lifecycle().beginScaleIn());
         String key = StoreKeys.decommissionBatch(
                 context.settings().controllerName() + "-idle", membership.incarnation(), ++recordCount);
         Transaction transaction = DecommissionBatches.transaction(
                 key, replica.partitionMapRevision(), DecommissionState.SCALE_IN, "idle", names);
         transactions.submit(TransactionPriority.LATER, transaction, (status, revision) -> {
             if (status != Transaction.Status.COMMITTED) {
-                leaving.forEach(machine -> machine.lifecycle().abortScaleIn());
+                machines.forEach(machine -> machine.lifecycle().abortScaleIn());
             }
         });
     }
--- a/src/main/java/dewlane/core/autoscaling/ScaleOut.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleOut.java
@@ -10,19 +10,19 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Requests instances for unmet demand, and follows the requests until the cloud answers. */
+/** Requests instances for unmet demand, and tracks the requests until the cloud answers or they time out. */
 public final class ScaleOut {
-    /** A pool that gave fewer instances than requested gets no request for so long. */
+    /** The backoff of a pool after the cloud created fewer instances than requested, or none for lack of capacity. */
     private static final long NO_CAPACITY_BACKOFF_MS = 20_000;
-    /** The same after an answer that does not say what was created. */
-    private static final long UNKNOWN_BACKOFF_MS = 3000;
-    /** A request that was not answered for so long will not be. */
+    /** The backoff of a pool after an invalid request, or one without a definite answer. */
+    private static final long UNRESOLVED_BACKOFF_MS = 3000;
+    /** A request that is not answered within this time is dropped: no answer is expected any more. */
     private static final long REQUEST_TIMEOUT_MS = 30_000;
-    /** No request is made while so many are in flight. */
+    /** The maximum number of requests without an answer yet. */
     private static final int MAX_REQUESTS_IN_FLIGHT = 3;
-    /** As many as the cloud creates by one request. */
+    /** The largest number of instances that the cloud creates for one request. */
     private static final int MAX_INSTANCES_PER_REQUEST = 50;
-    /** Demand for a smaller part of an instance than this is worth none. */
+    /** No instance is created for a smaller fraction of an instance than this. */
     private static final double MIN_INSTANCE_FRACTION = 0.2;
 
     private final ControllerContext context;
@@ -30,10 +30,10 @@
     private final InstanceInventory inventory;
     private final CapacityDemand demand;
     private final InstancePoolSelector pools;
-    /** Requests that the cloud has not answered yet, by their ids. */
+    /** Requests that the cloud has not answered yet, by id. */
     private final Map<String, InstanceRequest> inFlight = new HashMap<>();
 
-    /** Requests instances of the selected pools for the estimated demand. */
+    /** Creates a scale-out that requests instances of the selected pools for the estimated demand. */
     public ScaleOut(
             ControllerContext context,
             MachineRegistry machines,
@@ -47,17 +47,17 @@
         this.pools = pools;
     }
 
-    /** Forgets all requests: this controller does not lead. */
+    /** Drops all requests. Called when this controller is not the leader. */
     void clear() {
         inFlight.clear();
     }
 
-    /** Forgets requests that will not be answered. */
+    /** Drops requests that were not answered in time. */
     void expireRequests() {
         inFlight.values().removeIf(request -> context.nowMs() - request.requestedAtMs() > REQUEST_TIMEOUT_MS);
     }
 
-    /** Requests instances for the demand that neither machines nor requests under way meet. */
+    /** Requests instances for the demand that neither running machines nor requested instances meet. */
     void run() {
         if (inFlight.size() >= MAX_REQUESTS_IN_FLIGHT) {
             return;
@@ -87,7 +87,11 @@
         context.emit(new Effect.CreateInstances(id, pool.type(), pool.zone(), pool.spot(), count));
     }
 
-    /** Takes the answer to a request; returns false if the request is not known any more. */
+    /**
+     * Called when a request was answered or timed out.
+     *
+     * @return false if the request was dropped before
+     */
     boolean onInstancesCreated(Input.InstancesCreated in) {
         InstanceRequest request = inFlight.remove(in.requestId());
         if (request == null) {
@@ -106,8 +110,8 @@
                 pools.backOff(pool, NO_CAPACITY_BACKOFF_MS);
                 context.debug("no capacity for " + pool);
             }
-            // The request may be carried out late: the instances then show up in heartbeats and lists.
-            case INVALID, UNKNOWN -> pools.backOff(pool, UNKNOWN_BACKOFF_MS);
+            // A request without an answer may still be executed. Its instances then appear in heartbeats and the list.
+            case INVALID, UNKNOWN -> pools.backOff(pool, UNRESOLVED_BACKOFF_MS);
         }
         return true;
     }
