--- a/src/main/java/dewlane/core/admission/DependencyLookup.java
+++ b/src/main/java/dewlane/core/admission/DependencyLookup.java
@@ -121,18 +121,18 @@
         }
 
         @Override
-        public void found(JobResult result) {
+        public void onFound(JobResult result) {
             resultsRead.put(currentRead, result);
             readNext();
         }
 
         @Override
-        public void absent() {
+        public void onAbsent() {
             listener.neverAccepted(currentRead);
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
             listener.unavailable();
         }
     }
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -41,7 +41,7 @@
     /** Validates a submission, writes the job, and answers once it is durable. */
     public void onSubmit(Input.SubmitJob request) {
         if (request.jobId() == null) {
-            responses.malformed(request.id(), request.rejection());
+            responses.malformed(request.id(), request.bodyError());
         } else if (statuses.isInReplica(request.jobId())) {
             statuses.answer(request.id(), request.jobId(), () -> admit(request));
         } else if (request.job() == null) {
@@ -61,7 +61,7 @@
                 request.id(),
                 request.jobId(),
                 () -> admit(request),
-                () -> responses.malformed(request.id(), request.rejection()));
+                () -> responses.malformed(request.id(), request.bodyError()));
     }
 
     private void admitIfValid(Input.SubmitJob request) {
@@ -83,7 +83,7 @@
     /** Accepts a job for which neither the replica nor the store has a record or a result. */
     private void admit(Input.SubmitJob request) {
         if (request.job() == null) {
-            responses.malformed(request.id(), request.rejection());
+            responses.malformed(request.id(), request.bodyError());
             return;
         }
         if (!membership.isMember()) {
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -129,7 +129,7 @@
      */
     void detectBooted() {
         for (Machine machine : machines.all()) {
-            if (machine.reachability().everConfirmed()
+            if (machine.reachability().wasConfirmed()
                     || !machine.attempts().isEmpty()
                     || machines.isListedByOwner(machine)) {
                 booted.add(machine.name());
--- a/src/main/java/dewlane/core/autoscaling/CapacityBins.java
+++ b/src/main/java/dewlane/core/autoscaling/MachineBins.java
@@ -13,7 +13,7 @@
  * Bins of a first-fit packing, which estimates how many pending tasks fit on machines. The bins are grouped by pool, so
  * that a job is compared only with machines that it may use. A bin whose CPUs are used up is removed immediately.
  */
-final class CapacityBins {
+final class MachineBins {
     /** The type of a machine and the resources in use on it. */
     private static final class Bin {
         private final MachineType type;
--- a/src/main/java/dewlane/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/dewlane/core/autoscaling/UnmetDemandEstimator.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 
 /** Estimates the pending tasks for which neither running machines nor requested instances have capacity. */
-public final class CapacityDemand {
+public final class UnmetDemandEstimator {
     /** The time for which a new instance is planned to run tasks. Shorter tasks share a slot, one after the other. */
     private static final double SLOT_DURATION_S = 80;
     /** The minimum fraction of a slot that is planned for a task, however short it is. */
@@ -39,7 +39,7 @@
     private final DependencyGraph dependencies;
 
     /** Creates an estimator for the jobs of the replica and the machines of the registry. */
-    public CapacityDemand(
+    public UnmetDemandEstimator(
             ControllerContext context,
             StoreReplica replica,
             MachineRegistry machines,
@@ -62,7 +62,7 @@
      * @param inFlight requests that the cloud has not answered yet
      */
     Map<JobEntry, Double> unmetDemand(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
-        CapacityBins bins = bins(pending, inFlight);
+        MachineBins bins = bins(pending, inFlight);
         Map<JobEntry, Double> unmet = new LinkedHashMap<>();
         Map<String, ResourceUsage> usageByTeam = new HashMap<>();
         Set<Job.Requirements> withoutCapacity = new HashSet<>();
@@ -87,8 +87,8 @@
         return allowed;
     }
 
-    private CapacityBins bins(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
-        CapacityBins bins = new CapacityBins();
+    private MachineBins bins(Map<String, InstanceRequest> pending, Collection<InstanceRequest> inFlight) {
+        MachineBins bins = new MachineBins();
         for (Machine machine : machines.all()) {
             MachineType type = machines.type(machine);
             if (type != null
--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -69,7 +69,7 @@
     }
 
     /** Called when this controller has committed the write that cancels the job. */
-    public void onConfirmed(String job) {
+    public void onCancellationCommitted(String job) {
         cancelledSinceMs.putIfAbsent(job, context.nowMs());
         committedAtMs.put(job, context.nowMs());
         announcementDue = true;
@@ -80,7 +80,7 @@
      *
      * @return true if the cancellation was not recorded before
      */
-    public boolean onPeerConfirmed(String job) {
+    public boolean onPeerCancellation(String job) {
         return cancelledSinceMs.putIfAbsent(job, context.nowMs()) == null;
     }
 
--- a/src/main/java/dewlane/core/job/DependencyResolver.java
+++ b/src/main/java/dewlane/core/job/DependencyResolver.java
@@ -91,7 +91,7 @@
         }
         boolean resolved = true;
         Set<String> visited = new HashSet<>();
-        Deque<String> queue = new ArrayDeque<>(graph.dependencies(job));
+        Deque<String> queue = new ArrayDeque<>(graph.unsatisfiedDependencies(job));
         while (!queue.isEmpty()) {
             String id = queue.poll();
             if (!visited.add(id)) {
@@ -101,7 +101,7 @@
                 urgent.add(id);
                 resolved = false;
             }
-            queue.addAll(graph.dependencies(id));
+            queue.addAll(graph.unsatisfiedDependencies(id));
         }
         return resolved;
     }
@@ -114,13 +114,13 @@
         }
 
         @Override
-        public void found(JobResult result) {
+        public void onFound(JobResult result) {
             // The reader has added the result to the replica, which notifies the tracker.
             inFlight.remove(job);
         }
 
         @Override
-        public void absent() {
+        public void onAbsent() {
             backOff();
             if (unresolved.contains(job) && replica.activeJob(job) == null) {
                 context.info("job " + job + " is a dependency, but has neither a record nor a result");
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
             backOff();
         }
 
--- a/src/test/java/dewlane/core/job/DependencyGraphTest.java
+++ b/src/test/java/dewlane/core/job/DependencyGraphTest.java
@@ -20,11 +20,11 @@
         graph.add("right", List.of("root"));
         graph.add("root", List.of());
         assertEquals(List.of("root"), List.copyOf(graph.ready()));
-        graph.finish("root", Result.DONE);
+        graph.recordResult("root", Result.DONE);
         assertEquals(List.of("left", "right"), List.copyOf(graph.ready()));
-        graph.finish("right", Result.DONE);
+        graph.recordResult("right", Result.DONE);
         assertFalse(graph.isReady("join"));
-        graph.finish("left", Result.DONE);
+        graph.recordResult("left", Result.DONE);
         assertEquals(List.of("join"), List.copyOf(graph.ready()));
     }
 
@@ -32,8 +32,8 @@
     void laterResultsAndRepeatedAddsAreIgnored() {
         graph.add("a", List.of());
         graph.add("b", List.of("a"));
-        graph.finish("a", Result.DONE);
-        assertEquals(List.of(), graph.finish("a", Result.FAILED));
+        graph.recordResult("a", Result.DONE);
+        assertEquals(List.of(), graph.recordResult("a", Result.FAILED));
         assertTrue(graph.isReady("b"));
         graph.add("a", List.of());
         assertFalse(graph.isReady("a"), "a job that is done must not become ready when it is added again");
@@ -45,8 +45,8 @@
         graph.add("b", List.of("a"));
         graph.add("c", List.of("b", "other"));
         graph.add("other", List.of());
-        assertEquals(Set.of("b", "c"), Set.copyOf(graph.finish("a", Result.FAILED)));
-        graph.finish("other", Result.DONE);
+        assertEquals(Set.of("b", "c"), Set.copyOf(graph.recordResult("a", Result.FAILED)));
+        graph.recordResult("other", Result.DONE);
         assertEquals(List.of(), List.copyOf(graph.ready()));
         graph.add("late", List.of("c"));
         assertFalse(graph.isReady("late"), "a dependent that is added after the failure fails, too");
@@ -55,7 +55,7 @@
     @Test
     void dependentOfDoneDependencyIsReadyWhenAdded() {
         graph.add("a", List.of());
-        graph.finish("a", Result.DONE);
+        graph.recordResult("a", Result.DONE);
         graph.add("b", List.of("a"));
         assertTrue(graph.isReady("b"));
     }
