--- a/src/main/java/dewlane/core/admission/CancellationHandler.java
+++ b/src/main/java/dewlane/core/admission/CancellationHandler.java
@@ -49,18 +49,18 @@
         }
 
         @Override
-        public void committed() {
+        public void onCommitted() {
             responses.cancelled(request.id(), job.id());
         }
 
         @Override
-        public void conflict() {
+        public void onConflict() {
             // The job is done, or was cancelled by another request or an earlier copy of this one. Look it up again.
             cancelWhenCurrent(request);
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
             responses.unavailable(request.id());
         }
     }
--- a/src/main/java/dewlane/core/admission/CancellationWriter.java
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -19,7 +19,7 @@
      */
     interface Listener extends WriteListener {
         /** Called when the job is durably cancelled. */
-        void committed();
+        void onCommitted();
     }
 
     private final ControllerContext context;
@@ -57,7 +57,7 @@
             context.info("job " + job + " cancelled");
             cancellations.onCancellationCommitted(job);
             replica.cacheResult(job, result);
-            listener.committed();
+            listener.onCommitted();
         };
         transactions.submit(TransactionPriority.SAFETY, transaction, WriteListener.reportingTo(listener, onCommitted));
     }
--- a/src/main/java/dewlane/core/admission/DependencyLookup.java
+++ b/src/main/java/dewlane/core/admission/DependencyLookup.java
@@ -20,19 +20,19 @@
          * @param pending the dependencies that are not done, as far as this controller has observed
          * @param cancelled whether one of them is cancelled
          */
-        void found(List<String> pending, boolean cancelled);
+        void onFound(List<String> pending, boolean cancelled);
 
         /** Called if a dependency was never accepted. */
-        void neverAccepted(String dependency);
+        void onNeverAccepted(String dependency);
 
         /** Called if a stored value of a dependency cannot be read. */
-        void unreadable(String dependency);
+        void onUnreadable(String dependency);
 
         /** Called if the request rate allows no more reads. Results read so far are cached, so a retry needs fewer. */
-        void tooManyReads();
+        void onReadRateExceeded();
 
         /** Called if the store did not answer. */
-        void unavailable();
+        void onUnavailable();
     }
 
     private final StoreReplica replica;
@@ -56,7 +56,7 @@
             lookup.complete();
         } else {
             // Another controller may have accepted a dependency that the replica does not show yet.
-            barrier.await(lookup::readNext, listener::unavailable);
+            barrier.await(lookup::readNext, listener::onUnavailable);
         }
     }
 
@@ -97,16 +97,16 @@
             }
             currentRead = unknown.get(0);
             if (replica.isUnreadable(currentRead)) {
-                listener.unreadable(currentRead);
+                listener.onUnreadable(currentRead);
             } else if (!resultReader.read(currentRead, this)) {
-                listener.tooManyReads();
+                listener.onReadRateExceeded();
             }
         }
 
         void complete() {
             List<String> pending =
                     dependencies.stream().filter(id -> !isDone(id)).toList();
-            listener.found(pending, pending.stream().anyMatch(this::isCancelled));
+            listener.onFound(pending, pending.stream().anyMatch(this::isCancelled));
         }
 
         private boolean isDone(String id) {
@@ -128,12 +128,12 @@
 
         @Override
         public void onAbsent() {
-            listener.neverAccepted(currentRead);
+            listener.onNeverAccepted(currentRead);
         }
 
         @Override
         public void onUnavailable() {
-            listener.unavailable();
+            listener.onUnavailable();
         }
     }
 }
--- a/src/main/java/dewlane/core/admission/NewJobWriter.java
+++ b/src/main/java/dewlane/core/admission/NewJobWriter.java
@@ -18,13 +18,13 @@
     /** Receives exactly one call with the outcome of a write. A conflict means that the id is already taken. */
     interface Listener extends WriteListener {
         /** Called when the job is durably accepted, in the given condition. */
-        void accepted(JobCondition condition);
+        void onAccepted(JobCondition condition);
 
         /** Called if the job's record does not fit into a stored value. Nothing was written. */
-        void tooLarge(int maxValueBytes);
+        void onTooLarge(int maxValueBytes);
 
         /** Called if there are more submissions than the write rate allows. Nothing was written. */
-        void overloaded();
+        void onWriteRateExceeded();
     }
 
     private final ControllerContext context;
@@ -59,12 +59,12 @@
             record = new JobRecord(job, assigner.assignAsOneSlice(job), 0);
         }
         if (sizer.bytes(record) > maxBytes) {
-            listener.tooLarge(maxBytes);
+            listener.onTooLarge(maxBytes);
         } else if (!transactions.tryAdmitSubmission()) {
-            listener.overloaded();
+            listener.onWriteRateExceeded();
         } else {
             Transaction.Builder transaction = ifAbsent(job.id()).put(StoreKeys.job(job.id()), record);
-            submit(transaction, listener, () -> listener.accepted(JobCondition.PENDING));
+            submit(transaction, listener, () -> listener.onAccepted(JobCondition.PENDING));
         }
     }
 
@@ -74,7 +74,7 @@
      */
     void writeCancelled(Job job, Listener listener) {
         if (!transactions.tryAdmitSubmission()) {
-            listener.overloaded();
+            listener.onWriteRateExceeded();
             return;
         }
         JobResult result = new JobResult(true, context.wallClockMs());
@@ -82,7 +82,7 @@
         submit(transaction, listener, () -> {
             context.info("job " + job.id() + " is accepted as cancelled, since a dependency is cancelled");
             replica.cacheResult(job.id(), result);
-            listener.accepted(JobCondition.CANCELLED);
+            listener.onAccepted(JobCondition.CANCELLED);
         });
     }
 
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -112,7 +112,7 @@
         }
 
         @Override
-        public void found(List<String> pending, boolean cancelled) {
+        public void onFound(List<String> pending, boolean cancelled) {
             // Dependencies that are done are left out of the record, so they need no lookup after a restart.
             Job job = request.job().withDependencies(pending);
             if (cancelled) {
@@ -123,46 +123,46 @@
         }
 
         @Override
-        public void neverAccepted(String dependency) {
+        public void onNeverAccepted(String dependency) {
             rejectAsUnrunnable(request, "awaits " + dependency + ", which was never accepted");
         }
 
         @Override
-        public void unreadable(String dependency) {
+        public void onUnreadable(String dependency) {
             responses.retryLater(request.id(), "the state of " + dependency + " cannot be read, try again");
         }
 
         @Override
-        public void tooManyReads() {
+        public void onReadRateExceeded() {
             responses.tooManyReads(request.id());
         }
 
         @Override
-        public void accepted(JobCondition condition) {
+        public void onAccepted(JobCondition condition) {
             responses.accepted(request.id(), request.jobId(), condition);
         }
 
         /** Rejects the job as malformed: its lists or names are too long for the store's value limit. */
         @Override
-        public void tooLarge(int maxValueBytes) {
+        public void onTooLarge(int maxValueBytes) {
             String reason = "the job, with " + request.job().dependencies().size()
                     + " awaited jobs, does not fit into a stored value of " + maxValueBytes + " bytes";
             statuses.answer(request.id(), request.jobId(), () -> responses.malformed(request.id(), reason));
         }
 
         @Override
-        public void overloaded() {
+        public void onWriteRateExceeded() {
             responses.tooManySubmissions(request.id());
         }
 
         /** Answers with the state of the job, which was accepted before, maybe by an earlier copy of this request. */
         @Override
-        public void conflict() {
+        public void onConflict() {
             statuses.answer(request.id(), request.jobId(), () -> responses.retryLater(request.id(), "try again"));
         }
 
         @Override
-        public void unavailable() {
+        public void onUnavailable() {
             responses.unavailable(request.id());
         }
     }
--- a/src/main/java/dewlane/core/admission/WriteListener.java
+++ b/src/main/java/dewlane/core/admission/WriteListener.java
@@ -6,10 +6,10 @@
 /** Receives the failure of a write that was made for a user's request. */
 interface WriteListener {
     /** Called if a precondition failed, so that nothing was written. */
-    void conflict();
+    void onConflict();
 
     /** Called if the store did not execute the write, or gave no definite answer. */
-    void unavailable();
+    void onUnavailable();
 
     /** Returns a queue listener that runs the callback if the write is committed, or else calls the listener. */
     static TransactionQueue.Listener reportingTo(WriteListener listener, Runnable onCommitted) {
@@ -17,9 +17,9 @@
             if (status == Transaction.Status.COMMITTED) {
                 onCommitted.run();
             } else if (status == Transaction.Status.CONFLICT) {
-                listener.conflict();
+                listener.onConflict();
             } else {
-                listener.unavailable();
+                listener.onUnavailable();
             }
         };
     }
--- a/src/main/java/dewlane/core/job/DependencyResolver.java
+++ b/src/main/java/dewlane/core/job/DependencyResolver.java
@@ -85,7 +85,7 @@
      * Returns true if the result of no dependency, direct or transitive, is missing, so that it can be decided whether
      * the job is cancelled through one. Otherwise the missing results are read before all others.
      */
-    boolean isResolved(String job) {
+    boolean areDependenciesResolved(String job) {
         if (unresolved.isEmpty()) {
             return true;
         }
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -158,7 +158,7 @@
      * Otherwise the missing results are read before all others, and the caller has to call again later.
      */
     public boolean areDependenciesResolved(String job) {
-        return resolver.isResolved(job);
+        return resolver.areDependenciesResolved(job);
     }
 
     /** Returns true if the job is cancelled, by its own user or through a dependency. */
