--- a/src/main/java/dewlane/core/autoscaling/ScaleOut.java
+++ b/src/main/java/dewlane/core/autoscaling/ScaleOut.java
@@ -22,7 +22,7 @@
     private static final int MAX_REQUESTS_IN_FLIGHT = 3;
     /** The largest number of instances that the cloud creates for one request. */
     private static final int MAX_INSTANCES_PER_REQUEST = 50;
-    /** No instance is created for a smaller fraction of an instance than this. */
+    /** Demand for a smaller fraction of an instance than this does not justify its price. */
     private static final double MIN_INSTANCE_FRACTION = 0.2;
 
     private final ControllerContext context;
