--- a/src/main/java/dewlane/wire/CloudProtocol.java
+++ b/src/main/java/dewlane/wire/CloudProtocol.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The cloud's protocol: machine types, instances, and requests to create and delete them. */
+/** The protocol of the cloud: machine types, instances, and requests to create and delete instances. */
 public final class CloudProtocol {
     /** The path that lists the machine types. */
     public static final String MACHINE_TYPES_PATH = "/catalog";
-    /** The path that lists instances and creates them. */
+    /** The path that lists and creates instances. */
     public static final String INSTANCES_PATH = "/machines";
     /** The path that deletes instances. */
     public static final String DELETE_PATH = "/machines/delete";
@@ -47,19 +47,19 @@
     /**
      * A page of the list of instances.
      *
-     * @param more true if instances with greater names follow
+     * @param more true if another page follows, with greater names
      */
     public record Page(List<CloudInstance> instances, boolean more) {}
 
     /**
-     * Reads the machine types, their zones and present prices.
+     * Parses the machine types with their zones and current prices.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static List<MachineType> machineTypes(byte[] body) throws IOException {
         List<MachineType> types = new ArrayList<>();
-        for (Object element : Json.list(Json.object(body), MACHINE_TYPES)) {
-            types.add(machineType(Json.object(element)));
+        for (Object element : Json.list(Json.parse(body), MACHINE_TYPES)) {
+            types.add(machineType(Json.asObject(element)));
         }
         return types;
     }
@@ -83,21 +83,21 @@
         return Double.isNaN(number) ? 0 : number;
     }
 
-    /** The path of one page of the list of instances, beginning after the given name; null begins at the first. */
+    /** Returns the path of the page of instances after the given name, or of the first page if that is null. */
     public static String pagePath(String after) {
         return INSTANCES_PATH + "?limit=" + Effect.ListInstances.PAGE_SIZE + (after == null ? "" : "&since=" + after);
     }
 
     /**
-     * Reads one page of the list of instances.
+     * Parses one page of the list of instances.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static Page page(byte[] body) throws IOException {
-        Map<String, Object> fields = Json.object(body);
+        Map<String, Object> fields = Json.parse(body);
         List<CloudInstance> instances = new ArrayList<>();
         for (Object element : Json.list(fields, INSTANCES)) {
-            instances.add(instance(Json.object(element)));
+            instances.add(instance(Json.asObject(element)));
         }
         return new Page(instances, Json.bool(fields, MORE));
     }
@@ -121,7 +121,7 @@
         };
     }
 
-    /** The body that asks for instances; under the same id it is idempotent. */
+    /** Returns the body of a request to create instances; requests with the same id are idempotent. */
     public static byte[] createRequest(String requestId, String type, String zone, boolean spot, int count) {
         return Json.write(out -> {
             out.writeStartObject();
@@ -135,24 +135,24 @@
     }
 
     /**
-     * The names of the instances that were created.
+     * Parses the names of the instances that were created.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static List<String> createdInstances(byte[] body) throws IOException {
-        return Json.strings(Json.object(body), INSTANCES);
+        return Json.strings(Json.parse(body), INSTANCES);
     }
 
-    /** True if a refusal means that there is no capacity of the kind, not that the cloud is unavailable. */
+    /** Returns true if the error is a lack of capacity for the request, and not an unavailable cloud. */
     public static boolean isNoCapacity(byte[] body) {
         try {
-            return NO_CAPACITY.equals(Json.string(Json.object(body), ERROR));
+            return NO_CAPACITY.equals(Json.string(Json.parse(body), ERROR));
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** The body that asks for the deletion of instances. */
+    /** Returns the body of a request to delete instances. */
     public static byte[] deleteRequest(List<String> names) {
         return Json.write(out -> {
             out.writeStartObject();
--- a/src/main/java/dewlane/wire/JobCodec.java
+++ b/src/main/java/dewlane/wire/JobCodec.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields in which a job's record keeps what its user submitted. */
+/** Encodes and decodes the fields of a job record that hold the submitted job. */
 final class JobCodec {
     private static final String ID = "id";
     private static final String JOB_CLASS = "lot";
@@ -35,7 +35,7 @@
     private static final String ACCEPTED_AT_MS = "accepted";
     private static final String DEPENDENCIES = "awaits";
 
-    /** The fields of a job. */
+    /** The names of these fields. */
     static final Set<String> FIELDS = Set.of(
             ID,
             JOB_CLASS,
@@ -89,13 +89,13 @@
         }
     }
 
-    /** Reads a job; throws a runtime exception if the fields are not those of one. */
+    /** Reads a job; throws a runtime exception if the fields are malformed. */
     static Job read(Map<String, Object> fields) {
         if (!(fields.get(TASKS) instanceof Long tasks)) {
-            throw new IllegalArgumentException("tasks is missing");
+            throw new IllegalArgumentException("field tasks: expected an integer");
         }
         if (fields.get(DEPENDENCIES) != null && !(fields.get(DEPENDENCIES) instanceof String)) {
-            throw new IllegalArgumentException("awaits is not a list of job ids");
+            throw new IllegalArgumentException("field awaits: expected a string");
         }
         return Job.builder(Json.string(fields, ID))
                 .ownership(readOwnership(fields))
--- a/src/main/java/dewlane/wire/JobIdListCodec.java
+++ b/src/main/java/dewlane/wire/JobIdListCodec.java
@@ -9,21 +9,21 @@
 import java.util.TreeSet;
 
 /**
- * A list of job ids in few bytes, as hundreds of them have to fit into the value of the job that awaits them. Ids are a
- * prefix and digits; those with equally many digits are sorted and written as differences, five bits a character:
- * {@code 6:differences;7:differences}.
+ * Encodes and decodes lists of job ids in few bytes, since the ids of hundreds of dependencies have to fit into the
+ * stored value of a job. An id is a prefix and digits. Ids with the same number of digits are sorted and written as
+ * differences with five bits per character, least significant bits first: {@code 6:differences;7:differences}.
  */
 final class JobIdListCodec {
     private static final String PREFIX = "wk-";
-    /** The first half ends a number, the second half says that more of it follows. */
+    /** A character of the first half is the last one of a number; after one of the second half, more follow. */
     private static final String DIGITS = "0123456789ABCDEFGHIJKLMNOPQRSTUV" + "abcdefghijklmnopqrstuvwxyz!#$&*+";
 
-    private static final int BITS = 5;
-    private static final int MORE = 1 << BITS;
+    private static final int BITS_PER_CHARACTER = 5;
+    private static final int BASE = 1 << BITS_PER_CHARACTER;
 
     private JobIdListCodec() {}
 
-    /** The text of a list; the order of the ids is lost. */
+    /** Encodes a list; the order of the ids is lost. */
     static String write(Collection<String> ids) {
         Map<Integer, TreeSet<BigInteger>> byLength = new TreeMap<>();
         for (String id : ids) {
@@ -44,15 +44,15 @@
 
     private static void writeNumber(StringBuilder text, BigInteger number) {
         BigInteger left = number;
-        BigInteger base = BigInteger.valueOf(MORE);
+        BigInteger base = BigInteger.valueOf(BASE);
         while (left.compareTo(base) >= 0) {
-            text.append(DIGITS.charAt(MORE + left.mod(base).intValue()));
-            left = left.shiftRight(BITS);
+            text.append(DIGITS.charAt(BASE + left.mod(base).intValue()));
+            left = left.shiftRight(BITS_PER_CHARACTER);
         }
         text.append(DIGITS.charAt(left.intValue()));
     }
 
-    /** The ids of a list; throws {@link IllegalArgumentException} if the text is none. */
+    /** Decodes a list; throws {@link IllegalArgumentException} if the text is malformed. */
     static List<String> read(String text) {
         List<String> ids = new ArrayList<>();
         if (text == null || text.isEmpty()) {
@@ -64,11 +64,12 @@
         return List.copyOf(ids);
     }
 
-    /** Reads the ids of one length. */
+    /** Decodes the ids with the same number of digits. */
     private static void readGroup(String group, List<String> ids) {
         int colon = group.indexOf(':');
         if (colon < 1) {
-            throw new IllegalArgumentException("not a list of job ids: " + group);
+            throw new IllegalArgumentException(
+                    "malformed list of job ids: expected a number of digits and a colon, got " + group);
         }
         int length = Integer.parseInt(group.substring(0, colon));
         BigInteger number = BigInteger.ZERO;
@@ -77,11 +78,11 @@
         for (char character : group.substring(colon + 1).toCharArray()) {
             int digit = DIGITS.indexOf(character);
             if (digit < 0) {
-                throw new IllegalArgumentException("not a list of job ids: " + character);
+                throw new IllegalArgumentException("malformed list of job ids: unexpected character " + character);
             }
-            difference = difference.add(BigInteger.valueOf(digit % MORE).shiftLeft(shift));
-            shift += BITS;
-            if (digit < MORE) {
+            difference = difference.add(BigInteger.valueOf(digit % BASE).shiftLeft(shift));
+            shift += BITS_PER_CHARACTER;
+            if (digit < BASE) {
                 number = number.add(difference);
                 ids.add(id(number, length));
                 difference = BigInteger.ZERO;
--- a/src/main/java/dewlane/wire/JobRecordCodec.java
+++ b/src/main/java/dewlane/wire/JobRecordCodec.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The stored form of a job's record: what its user submitted, how it was assigned, and when it was cancelled. */
+/** Encodes and decodes job records: the submitted job, its assignment to controllers, and when it was cancelled. */
 final class JobRecordCodec {
     private static final String ASSIGNMENTS = "deals";
     private static final String CANCELLED_AT = "aborted";
@@ -39,7 +39,7 @@
         UnknownFieldsCodec.write(out, record.unknown());
     }
 
-    /** Reads a job's record; throws a runtime exception if the fields are not those of one. */
+    /** Reads a job record; throws a runtime exception if the fields are malformed. */
     static JobRecord read(Map<String, Object> fields) {
         return new JobRecord(
                 JobCodec.read(fields),
--- a/src/main/java/dewlane/wire/Json.java
+++ b/src/main/java/dewlane/wire/Json.java
@@ -19,16 +19,16 @@
 
     private Json() {}
 
-    /** Something that writes JSON. */
-    interface Body {
+    /** Writes the contents of a JSON document. */
+    interface DocumentWriter {
         void write(JsonGenerator out) throws IOException;
     }
 
-    /** The document that the body writes. */
-    static byte[] write(Body body) {
+    /** Returns the document that the writer writes. */
+    static byte[] write(DocumentWriter writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
-            body.write(out);
+            writer.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -36,18 +36,18 @@
     }
 
     /**
-     * The document's object, as maps, lists, strings, numbers and booleans.
+     * Parses a document that is one object, into maps, lists, strings, numbers and booleans.
      *
-     * @throws IOException if it is not JSON, not an object, or followed by more
+     * @throws IOException if the document is not JSON, is not an object, or has content after it
      */
-    static Map<String, Object> object(byte[] bytes) throws IOException {
+    static Map<String, Object> parse(byte[] bytes) throws IOException {
         try (JsonParser in = FACTORY.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("not a JSON object");
+                throw new IOException("expected a JSON object");
             }
             Map<String, Object> read = readFields(in);
             if (in.nextToken() != null) {
-                throw new IOException("more than one JSON value");
+                throw new IOException("unexpected content after the JSON object");
             }
             return read;
         }
@@ -66,7 +66,7 @@
     private static Object value(JsonParser in) throws IOException {
         JsonToken token = in.currentToken();
         if (token == null) {
-            throw new IOException("JSON ends too early");
+            throw new IOException("truncated JSON");
         }
         return switch (token) {
             case START_OBJECT -> readFields(in);
@@ -86,11 +86,11 @@
             case VALUE_TRUE -> Boolean.TRUE;
             case VALUE_FALSE -> Boolean.FALSE;
             case VALUE_NULL -> null;
-            default -> throw new IOException("unexpected JSON");
+            default -> throw new IOException("unexpected JSON token");
         };
     }
 
-    /** Writes a value as {@link #object} reads it. */
+    /** Writes a value that {@link #parse} has read. */
     static void writeValue(JsonGenerator out, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
             out.writeStartObject();
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Writes a field with an array of strings. */
+    /** Writes a field whose value is an array of strings. */
     static void writeStrings(JsonGenerator out, String field, Iterable<String> strings) throws IOException {
         out.writeArrayFieldStart(field);
         for (String string : strings) {
@@ -129,39 +129,39 @@
         out.writeEndArray();
     }
 
-    /** The string, or null if there is none. */
+    /** Returns the field's string, or null if it is absent or of another type. */
     static String string(Map<String, Object> fields, String field) {
         return fields.get(field) instanceof String string ? string : null;
     }
 
-    /** The number without its fraction, or 0 if there is none. */
+    /** Returns the field's number without its fraction, or 0 if it is absent or of another type. */
     static long integer(Map<String, Object> fields, String field) {
         return fields.get(field) instanceof Number number ? number.longValue() : 0;
     }
 
-    /** The number, or NaN if there is none. */
+    /** Returns the field's number, or NaN if it is absent or of another type. */
     static double number(Map<String, Object> fields, String field) {
         return fields.get(field) instanceof Number number ? number.doubleValue() : Double.NaN;
     }
 
-    /** True if the field is true, false if it is anything else or absent. */
+    /** Returns true if the field is true, and false if it is absent or anything else. */
     static boolean bool(Map<String, Object> fields, String field) {
         return Boolean.TRUE.equals(fields.get(field));
     }
 
-    /** The elements of an array, or none if there is no array. */
+    /** Returns the elements of the field's array, or an empty list if it is absent or no array. */
     @SuppressWarnings("unchecked")
     static List<Object> list(Map<String, Object> fields, String field) {
         return fields.get(field) instanceof List<?> list ? (List<Object>) list : List.of();
     }
 
-    /** The fields of an object, or none if the value is no object. */
+    /** Returns the fields of an object, or an empty map if the value is no object. */
     @SuppressWarnings("unchecked")
-    static Map<String, Object> object(Object value) {
+    static Map<String, Object> asObject(Object value) {
         return value instanceof Map<?, ?> object ? (Map<String, Object>) object : Map.of();
     }
 
-    /** The strings of an array; elements of other types are left out. */
+    /** Returns the strings of the field's array; elements of other types are skipped. */
     static List<String> strings(Map<String, Object> fields, String field) {
         List<String> strings = new ArrayList<>();
         for (Object element : list(fields, field)) {
--- a/src/main/java/dewlane/wire/PartitionMapCodec.java
+++ b/src/main/java/dewlane/wire/PartitionMapCodec.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The stored form of the partition map. Quota transfers and schema versions are written only where there are any. */
+/** Encodes and decodes the partition map. Quota transfers and schema versions are omitted if there are none. */
 final class PartitionMapCodec {
     private static final String EPOCH = "epoch";
     private static final String MEMBERS = "members";
@@ -62,20 +62,20 @@
         out.writeEndArray();
     }
 
-    /** Reads a partition map; throws a runtime exception if the fields are not those of one. */
+    /** Reads a partition map; throws a runtime exception if the fields are malformed. */
     static PartitionMap read(Map<String, Object> fields) {
         if (!(fields.get(EPOCH) instanceof Long epoch) || !(fields.get(MEMBERS) instanceof Map<?, ?>)) {
-            throw new IllegalArgumentException("epoch or members are missing");
+            throw new IllegalArgumentException("expected an integer in field epoch and an object in field members");
         }
         Map<String, String> reassigned = new HashMap<>();
-        Json.object(fields.get(REASSIGNED_MACHINES))
+        Json.asObject(fields.get(REASSIGNED_MACHINES))
                 .forEach((machine, controller) -> reassigned.put(machine, (String) controller));
         Map<String, Integer> versions = new HashMap<>();
-        Json.object(fields.get(SCHEMA_VERSIONS))
+        Json.asObject(fields.get(SCHEMA_VERSIONS))
                 .forEach((controller, version) -> versions.put(controller, ((Number) version).intValue()));
         return new PartitionMap(
                 epoch,
-                readMembers(Json.object(fields.get(MEMBERS))),
+                readMembers(Json.asObject(fields.get(MEMBERS))),
                 Map.copyOf(reassigned),
                 readTransfers(Json.list(fields, QUOTA_TRANSFERS)),
                 Map.copyOf(versions),
--- a/src/main/java/dewlane/wire/PeerProtocol.java
+++ b/src/main/java/dewlane/wire/PeerProtocol.java
@@ -9,14 +9,14 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** What controllers tell one another: fields by their position, as MessagePack. */
+/** The protocol between controllers. Messages are MessagePack with fields identified by their position. */
 public final class PeerProtocol {
     /** The path to which a controller sends its status. */
     public static final String STATUS_PATH = "/peer/status";
 
     private PeerProtocol() {}
 
-    /** Encodes what a controller tells its peers. */
+    /** Encodes a status. */
     public static byte[] status(PeerStatus status) throws IOException {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packString(status.controller()).packLong(status.epoch()).packBoolean(status.storeReachable());
@@ -39,9 +39,10 @@
     }
 
     /**
-     * Decodes what a peer tells.
+     * Decodes a status.
      *
-     * @throws IOException if the body ends too early; malformed contents give a runtime exception of the library
+     * @throws IOException if the body is truncated; other malformed bodies cause a runtime exception of the MessagePack
+     *     library
      */
     public static PeerStatus status(byte[] body) throws IOException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
--- a/src/main/java/dewlane/wire/SliceCodec.java
+++ b/src/main/java/dewlane/wire/SliceCodec.java
@@ -12,11 +12,12 @@
 import java.util.Set;
 
 /**
- * The stored form of a slice. Attempts of one launch on one machine are one entry, and what a launch's entries share is
- * written once: the value is written anew at each change and read by every controller.
+ * Encodes and decodes slices. The format is compact, since a slice is rewritten at each change and read by every
+ * controller: the attempts of one launch on one machine share an entry, and what is common to a launch is written once.
  *
- * <p>A launch is an array of its number, its time, its first fencing token, and then for each machine four elements:
- * name, worker incarnation, difference to the first fencing token, and the tasks as ranges of offsets.
+ * <p>A launch is an array of the attempt number, the launch time, the fencing token of its first machine, and then four
+ * elements for each machine: name, worker incarnation, difference to the first machine's fencing token, and the tasks
+ * as ranges of offsets in the slice.
  */
 final class SliceCodec {
     private static final String OWNER = "owner";
@@ -32,10 +33,10 @@
 
     private SliceCodec() {}
 
-    /** What attempts of one launch share. */
+    /** The fields that the attempts of one launch have in common. */
     private record Launch(int number, long atMs) {}
 
-    /** What attempts of one launch on one machine share. */
+    /** The fields that the attempts of one launch on one machine have in common. */
     private record Placement(String machine, long incarnation, long fencingToken) {}
 
     static void write(JsonGenerator out, Slice slice) throws IOException {
@@ -45,14 +46,15 @@
         out.writeNumberField(LAUNCH_COUNT, slice.launchCount());
         out.writeStringField(DONE, TaskRangeCodec.write(slice.done()));
         out.writeArrayFieldStart(ATTEMPTS);
-        for (Map.Entry<Launch, Map<Placement, BitSet>> launch : byLaunch(slice).entrySet()) {
+        for (Map.Entry<Launch, Map<Placement, BitSet>> launch :
+                groupByLaunch(slice).entrySet()) {
             writeLaunch(out, launch.getKey(), launch.getValue());
         }
         out.writeEndArray();
         UnknownFieldsCodec.write(out, slice.unknown());
     }
 
-    private static Map<Launch, Map<Placement, BitSet>> byLaunch(Slice slice) {
+    private static Map<Launch, Map<Placement, BitSet>> groupByLaunch(Slice slice) {
         Map<Launch, Map<Placement, BitSet>> launches = new LinkedHashMap<>();
         for (Attempt attempt : slice.attempts()) {
             Launch launch = new Launch(attempt.number(), attempt.launchedAtMs());
@@ -81,10 +83,10 @@
         out.writeEndArray();
     }
 
-    /** Reads a slice; throws a runtime exception if the fields are not those of one. */
+    /** Reads a slice; throws a runtime exception if the fields are malformed. */
     static Slice read(Map<String, Object> fields) {
         if (!(fields.get(FIRST) instanceof Long first) || !(fields.get(COUNT) instanceof Long count)) {
-            throw new IllegalArgumentException("first or count is missing");
+            throw new IllegalArgumentException("fields first and count: expected integers");
         }
         List<Attempt> attempts = new ArrayList<>();
         for (Object launch : Json.list(fields, ATTEMPTS)) {
@@ -100,7 +102,7 @@
                 UnknownFieldsCodec.read(fields, FIELDS));
     }
 
-    private static void readLaunch(List<?> launch, int first, List<Attempt> into) {
+    private static void readLaunch(List<?> launch, int first, List<Attempt> attempts) {
         int number = ((Number) launch.get(0)).intValue();
         long atMs = ((Number) launch.get(1)).longValue();
         long firstToken = ((Number) launch.get(2)).longValue();
@@ -110,8 +112,8 @@
             long token = firstToken + ((Number) launch.get(i + 2)).longValue();
             BitSet offsets = TaskRangeCodec.read((String) launch.get(i + 3));
             offsets.stream()
-                    .forEach(
-                            offset -> into.add(new Attempt(first + offset, number, machine, incarnation, token, atMs)));
+                    .forEach(offset ->
+                            attempts.add(new Attempt(first + offset, number, machine, incarnation, token, atMs)));
         }
     }
 }
--- a/src/main/java/dewlane/wire/StoreProtocol.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The store's protocol; {@link StoredValueCodec} has the form in which values are kept there. */
+/** The protocol of the store. {@link StoredValueCodec} encodes and decodes the values in its messages. */
 public final class StoreProtocol {
-    /** The path for transactions. */
+    /** The path of transactions. */
     public static final String TRANSACTION_PATH = "/txn";
     /** The path that grants leases. */
     public static final String LEASES_PATH = "/grants";
@@ -37,36 +37,36 @@
     /**
      * A page of a listing.
      *
-     * @param lastKey the last key of the page, also if this version does not know it; null if the page is empty
-     * @param more true if greater keys follow
+     * @param lastKey the last key of the page, even if this version does not know it; null if the page is empty
+     * @param more true if another page follows, with greater keys
      * @param revision the store's revision when the page was read
      */
     public record Page(List<StoreRow> rows, String lastKey, boolean more, long revision) {}
 
-    /** An answer of the watch: the changes of known keys up to the revision. */
+    /** The changes that a watch returned, of known keys and up to the revision. */
     public record Events(List<KeyChange> changes, long revision) {}
 
-    /** The path that reads one key. */
+    /** Returns the path that reads one key. */
     public static String valuePath(String key) {
         return "/store/" + key;
     }
 
-    /** The path that lists keys with the prefix, beginning after the given one. */
+    /** Returns the path that lists the keys with the prefix that follow the given key. */
     public static String listPath(String prefix, String after, int limit) {
         return "/store?prefix=" + prefix + "&since=" + after + "&limit=" + limit;
     }
 
-    /** The path that waits for changes after the revision. */
+    /** Returns the path that waits for changes after the revision. */
     public static String watchPath(String prefix, long afterRevision, long waitMs) {
         return "/watch?prefix=" + prefix + "&since=" + afterRevision + "&blockMs=" + waitMs;
     }
 
-    /** The path that renews a lease. */
+    /** Returns the path that renews a lease. */
     public static String renewalPath(long lease) {
         return LEASES_PATH + "/" + lease + "/touch";
     }
 
-    /** The body that asks for a lease. */
+    /** Returns the body of a request for a lease. */
     public static byte[] grantRequest(long ttlMs) {
         return Json.write(out -> {
             out.writeStartObject();
@@ -76,30 +76,30 @@
     }
 
     /**
-     * The lease that was granted.
+     * Parses the id of the lease that was granted.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static long grantedLease(byte[] body) throws IOException {
-        return Json.integer(Json.object(body), LEASE);
+        return Json.integer(Json.parse(body), LEASE);
     }
 
     /**
-     * The revision that an answer names.
+     * Parses the store's revision in an answer.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static long revision(byte[] body) throws IOException {
-        return Json.integer(Json.object(body), REVISION);
+        return Json.integer(Json.parse(body), REVISION);
     }
 
     /**
-     * The value and revision of a key that was read.
+     * Parses the value and revision of a key.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static StoreRow row(String key, byte[] body) throws IOException {
-        return row(key, Json.object(body));
+        return row(key, Json.parse(body));
     }
 
     private static StoreRow row(String key, Map<String, Object> fields) {
@@ -107,20 +107,20 @@
     }
 
     private static StoredValue value(String key, Map<String, Object> fields) {
-        return StoredValueCodec.decode(key, Json.object(fields.get(VALUE)));
+        return StoredValueCodec.decode(key, Json.asObject(fields.get(VALUE)));
     }
 
     /**
-     * Reads one page of a listing.
+     * Parses one page of a listing.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static Page page(byte[] body) throws IOException {
-        Map<String, Object> fields = Json.object(body);
+        Map<String, Object> fields = Json.parse(body);
         List<StoreRow> rows = new ArrayList<>();
         String lastKey = null;
         for (Object element : Json.list(fields, ROWS)) {
-            Map<String, Object> row = Json.object(element);
+            Map<String, Object> row = Json.asObject(element);
             String key = Json.string(row, KEY);
             lastKey = key;
             if (StoreKeys.isKnown(key)) {
@@ -131,15 +131,15 @@
     }
 
     /**
-     * Reads the changes that a watch returned.
+     * Parses the changes that a watch returned.
      *
      * @throws IOException if the body is not a JSON object
      */
     public static Events events(byte[] body) throws IOException {
-        Map<String, Object> fields = Json.object(body);
+        Map<String, Object> fields = Json.parse(body);
         List<KeyChange> changes = new ArrayList<>();
         for (Object element : Json.list(fields, EVENTS)) {
-            Map<String, Object> event = Json.object(element);
+            Map<String, Object> event = Json.asObject(element);
             String putKey = Json.string(event, PUT);
             String key = putKey == null ? Json.string(event, DELETE) : putKey;
             if (StoreKeys.isKnown(key)) {
@@ -150,7 +150,7 @@
         return new Events(changes, Json.integer(fields, REVISION));
     }
 
-    /** The body of a transaction. */
+    /** Returns the body of a transaction. */
     public static byte[] transactionRequest(Transaction transaction) {
         return Json.write(out -> {
             out.writeStartObject();
--- a/src/main/java/dewlane/wire/StoredValueCodec.java
+++ b/src/main/java/dewlane/wire/StoredValueCodec.java
@@ -14,9 +14,10 @@
 import java.util.Set;
 
 /**
- * The form in which values are kept in the store. Version 0.1 reads and writes the same form: it ignores fields that it
- * does not know and loses them when it rewrites a value, so a field that is new here is written only where it has
- * something to say. Fields that this version does not know are kept.
+ * Encodes and decodes the values in the store. Version 0.1 reads and writes the same format. It ignores unknown fields
+ * and drops them when it rewrites a value, so this version omits the fields it adds unless they hold something other
+ * than their default; only the schema version of a presence is always written. This version preserves the fields that
+ * it does not know.
  */
 public final class StoredValueCodec {
     private static final String CANCELLED = "aborted";
@@ -32,7 +33,7 @@
 
     private StoredValueCodec() {}
 
-    /** A value as it is kept. */
+    /** Encodes a value. */
     public static byte[] encode(StoredValue value) {
         return Json.write(out -> encode(out, value));
     }
@@ -57,7 +58,7 @@
         } else if (value instanceof DecommissionRecord record) {
             write(out, record);
         } else {
-            throw new IllegalArgumentException("never written: " + value);
+            throw new IllegalArgumentException("cannot encode a value of this type: " + value);
         }
         out.writeEndObject();
     }
@@ -71,7 +72,7 @@
         UnknownFieldsCodec.write(out, record.unknown());
     }
 
-    /** The value of a key, or {@link StoredValue.Unreadable} if this version cannot make sense of it. */
+    /** Decodes the value of a key; returns {@link StoredValue.Unreadable} if the fields are not valid for the key. */
     static StoredValue decode(String key, Map<String, Object> fields) {
         try {
             return decodeReadable(key, fields);
@@ -99,7 +100,7 @@
 
     private static JobResult jobResult(Map<String, Object> fields) {
         if (!(fields.get(CANCELLED) instanceof Boolean cancelled)) {
-            throw new IllegalArgumentException("aborted is missing");
+            throw new IllegalArgumentException("field aborted: expected true or false");
         }
         return new JobResult(cancelled, Json.integer(fields, ENDED_AT));
     }
--- a/src/main/java/dewlane/wire/StoredWords.java
+++ b/src/main/java/dewlane/wire/StoredWords.java
@@ -4,8 +4,9 @@
 import dewlane.core.schema.StoredValue.DecommissionState;
 
 /**
- * The words that stand for constants in stored values. They are kept apart from the names of the Java constants, as
- * values outlive the version that wrote them: a constant may be renamed, its word may not change.
+ * Converts enum constants to and from their names in stored values. The stored names are independent of the names of
+ * the Java constants, because values outlive the version that wrote them: a Java constant may be renamed, its stored
+ * name may not change.
  */
 final class StoredWords {
     private static final String IDLE = "IDLE";
@@ -19,7 +20,7 @@
 
     private StoredWords() {}
 
-    /** The word that stands for a priority. */
+    /** Returns the stored name of a priority. */
     static String word(Priority priority) {
         return switch (priority) {
             case IDLE -> IDLE;
@@ -29,18 +30,20 @@
         };
     }
 
-    /** The priority that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
+    /** Returns the priority with a stored name; throws {@link IllegalArgumentException} if there is none. */
     static Priority priority(String word) {
         return switch (String.valueOf(word)) {
             case IDLE -> Priority.IDLE;
             case STANDARD -> Priority.STANDARD;
             case HIGH -> Priority.HIGH;
             case CRITICAL -> Priority.CRITICAL;
-            default -> throw new IllegalArgumentException("unknown priority " + word);
+            default ->
+                throw new IllegalArgumentException(
+                        "field priority: expected IDLE, STANDARD, HIGH or CRITICAL, got " + word);
         };
     }
 
-    /** The word that stands for a state of a decommission. */
+    /** Returns the stored name of a decommission state. */
     static String word(DecommissionState state) {
         return switch (state) {
             case SCALE_IN -> RETURN;
@@ -49,13 +52,13 @@
         };
     }
 
-    /** The state that a word stands for; throws {@link IllegalArgumentException} if it stands for none. */
+    /** Returns the decommission state with a stored name; throws {@link IllegalArgumentException} if there is none. */
     static DecommissionState decommissionState(String word) {
         return switch (String.valueOf(word)) {
             case RETURN -> DecommissionState.SCALE_IN;
             case DELETE -> DecommissionState.DELETE;
             case GONE -> DecommissionState.TERMINATED;
-            default -> throw new IllegalArgumentException("unknown fate of a machine " + word);
+            default -> throw new IllegalArgumentException("field fate: expected RETURN, DELETE or GONE, got " + word);
         };
     }
 }
--- a/src/main/java/dewlane/wire/SubmissionParser.java
+++ b/src/main/java/dewlane/wire/SubmissionParser.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 
 /**
- * Reads the body of a submission. Fields are read in a fixed order, since the first that is malformed is the one that
- * the user is told of.
+ * Parses the body of a submission. Fields are read in a fixed order, since the error that the user receives is about
+ * the first malformed one.
  */
 final class SubmissionParser {
     private static final int MAX_TASKS = 100_000;
@@ -51,7 +51,7 @@
         this.fields = fields;
     }
 
-    /** Why a body is no submission; the message is for the user. */
+    /** Thrown if a field is malformed; the message is sent to the user. */
     private static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -60,11 +60,11 @@
         }
     }
 
-    /** Reads a submission; one that is malformed says why. */
+    /** Parses a submission; the result of a malformed one holds the reason instead of a job. */
     static Submission parse(byte[] body) {
         Map<String, Object> fields;
         try {
-            fields = Json.object(body);
+            fields = Json.parse(body);
         } catch (IOException e) {
             return new Submission(null, null, "the body is not one JSON object");
         }
@@ -93,7 +93,7 @@
         return Job.builder(id)
                 .ownership(new JobOwnership(text(TEAM), jobClass, priority))
                 .tasks(tasks)
-                .resources(new Resources(positive(CPUS), notNegative(GPUS), positive(MEMORY_GB)))
+                .resources(new Resources(positive(CPUS), nonNegative(GPUS), positive(MEMORY_GB)))
                 .image(new ContainerImage(text(IMAGE), positive(IMAGE_GB)))
                 .placement(
                         new PlacementConstraints(types, zone, bool(SAME_ZONE), bool(SPREAD_ZONES), bool(SPOT_ALLOWED)))
@@ -124,21 +124,21 @@
         if (field == null) {
             return List.of();
         }
-        String malformed = "racks must be null or a list of machine types";
+        String message = "racks must be null or a list of machine types";
         if (!(field instanceof List<?> elements) || elements.isEmpty()) {
-            throw new MalformedException(malformed);
+            throw new MalformedException(message);
         }
         List<String> types = new ArrayList<>();
         for (Object element : elements) {
             if (!(element instanceof String type) || !isName(type)) {
-                throw new MalformedException(malformed);
+                throw new MalformedException(message);
             }
             types.add(type);
         }
         return types;
     }
 
-    /** Each dependency once. A list that fits no stored value is refused by the core. */
+    /** Returns the dependencies without duplicates. The core rejects a list that does not fit into a stored value. */
     private List<String> dependencies() throws MalformedException {
         Object field = fields.get(DEPENDENCIES);
         if (field == null) {
@@ -160,8 +160,8 @@
     private JobTiming timing(double deadlineS) throws MalformedException {
         return new JobTiming(
                 positive(EXPECTED_RUN_S),
-                notNegative(CHECKPOINT_INTERVAL_S),
-                notNegative(CHECKPOINT_DURATION_S),
+                nonNegative(CHECKPOINT_INTERVAL_S),
+                nonNegative(CHECKPOINT_DURATION_S),
                 deadlineS);
     }
 
@@ -191,7 +191,7 @@
         return number;
     }
 
-    private double notNegative(String field) throws MalformedException {
+    private double nonNegative(String field) throws MalformedException {
         double number = Json.number(fields, field);
         if (!Double.isFinite(number) || number < 0) {
             throw new MalformedException(field + " must be a number of at least 0");
--- a/src/main/java/dewlane/wire/TaskRangeCodec.java
+++ b/src/main/java/dewlane/wire/TaskRangeCodec.java
@@ -2,11 +2,14 @@
 
 import java.util.BitSet;
 
-/** Sets of tasks as ranges, such as 0-4,7: tasks are launched in order, so there are few. */
+/**
+ * Encodes and decodes sets of tasks as ranges, such as {@code 0-4,7}. Tasks are launched in order, so a set has few
+ * ranges.
+ */
 final class TaskRangeCodec {
     private TaskRangeCodec() {}
 
-    /** The text of a set. */
+    /** Encodes a set. */
     static String write(BitSet set) {
         StringBuilder text = new StringBuilder();
         for (int from = set.nextSetBit(0); from >= 0; ) {
@@ -20,7 +23,7 @@
         return text.toString();
     }
 
-    /** The set of a text; throws a runtime exception if the text is none. */
+    /** Decodes a set; throws a runtime exception if the text is malformed. */
     static BitSet read(String text) {
         BitSet set = new BitSet();
         if (!text.isEmpty()) {
@@ -31,14 +34,14 @@
         return set;
     }
 
-    private static void readRange(String range, BitSet into) {
+    private static void readRange(String range, BitSet set) {
         int dash = range.indexOf('-');
         if (dash < 0) {
-            into.set(Integer.parseInt(range));
+            set.set(Integer.parseInt(range));
             return;
         }
         int first = Integer.parseInt(range.substring(0, dash));
         int last = Integer.parseInt(range.substring(dash + 1));
-        into.set(first, last + 1);
+        set.set(first, last + 1);
     }
 }
--- a/src/main/java/dewlane/wire/UnknownFieldsCodec.java
+++ b/src/main/java/dewlane/wire/UnknownFieldsCodec.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Fields of stored values that this version does not know, which are written back as they were read. */
+/** Reads and writes the fields of stored values that this version does not know; a rewrite preserves them. */
 final class UnknownFieldsCodec {
     private UnknownFieldsCodec() {}
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /** The fields of an object that are not among the known ones. */
+    /** Returns the fields of an object that are not among the known ones. */
     static UnknownFields read(Map<String, Object> fields, Set<String> known) {
         Map<String, Object> unknown = null;
         for (Map.Entry<String, Object> field : fields.entrySet()) {
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -5,11 +5,11 @@
 import dewlane.core.model.Job;
 import java.util.regex.Pattern;
 
-/** The users' protocol: submissions, and what users are told. */
+/** The protocol between users and controllers: submissions, queries, cancellations, and the answers to them. */
 public final class UserProtocol {
-    /** The path for submissions; a slash and a job's id follow for queries. */
+    /** The path of submissions; followed by a slash and a job id, the path of status queries. */
     public static final String JOBS_PATH = "/v2/runs";
-    /** What follows a job's path and a slash to cancel it. */
+    /** The last segment of the path that cancels a job. */
     public static final String CANCEL_ACTION = "abort";
 
     static final String JOB_ID = "uid";
@@ -18,30 +18,30 @@
     private static final String TASKS_DONE = "done";
     private static final String TASKS_RUNNING = "running";
     private static final String ERROR = "error";
-    private static final Pattern JOB_ID_FORM = Pattern.compile("wk-[0-9]{1,30}");
+    private static final Pattern JOB_ID_PATTERN = Pattern.compile("wk-[0-9]{1,30}");
 
     private UserProtocol() {}
 
     /**
-     * A submission's body.
+     * A parsed submission.
      *
-     * @param jobId the job's id, or null if the body has none of the right form
+     * @param jobId the job's id, or null if the body has no well-formed one
      * @param job the job, or null if the body is malformed
      * @param bodyError why the body is malformed, or null if it is not
      */
     public record Submission(String jobId, Job job, String bodyError) {}
 
-    /** True if the text has the form of a job id. */
+    /** Returns true if the text is a well-formed job id. */
     public static boolean isJobId(String text) {
-        return JOB_ID_FORM.matcher(text).matches();
+        return JOB_ID_PATTERN.matcher(text).matches();
     }
 
-    /** Reads a submission; one that is malformed says why. */
+    /** Parses a submission; the result of a malformed one holds the reason instead of a job. */
     public static Submission submission(byte[] body) {
         return SubmissionParser.parse(body);
     }
 
-    /** The body that tells a user the status of a job. */
+    /** Returns the body of an answer with the status of a job. */
     public static byte[] state(JobStatus status) {
         return Json.write(out -> {
             out.writeStartObject();
@@ -62,7 +62,7 @@
         };
     }
 
-    /** The body that tells why a request was refused. */
+    /** Returns the body of an answer that says why a request was rejected. */
     public static byte[] error(String reason) {
         return Json.write(out -> {
             out.writeStartObject();
--- a/src/main/java/dewlane/wire/WorkerProtocol.java
+++ b/src/main/java/dewlane/wire/WorkerProtocol.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The workers' protocol: heartbeats with their answers, and direct commands. */
+/** The protocol between workers and controllers: heartbeats, the answers to them, and direct commands. */
 public final class WorkerProtocol {
-    /** The controllers' path for heartbeats. */
+    /** The path on controllers that receives heartbeats. */
     public static final String HEARTBEAT_PATH = "/v1/report";
-    /** The workers' path for direct commands. */
+    /** The path on workers that receives direct commands. */
     public static final String COMMAND_PATH = "/do";
 
     private static final String MACHINE = "cask";
@@ -41,13 +41,13 @@
     private WorkerProtocol() {}
 
     /**
-     * Reads a heartbeat.
+     * Parses a heartbeat.
      *
-     * @throws IOException if it lacks what makes it one
-     * @throws NumberFormatException if a task has no number
+     * @throws IOException if the body is not JSON, lacks a required field, or has a malformed task
+     * @throws NumberFormatException if the index in a task's name is not an integer
      */
     public static Heartbeat heartbeat(byte[] body) throws IOException {
-        Map<String, Object> fields = Json.object(body);
+        Map<String, Object> fields = Json.parse(body);
         String machine = Json.string(fields, MACHINE);
         String address = Json.string(fields, ADDRESS);
         String type = Json.string(fields, MACHINE_TYPE);
@@ -58,7 +58,7 @@
         }
         List<TaskStatus> tasks = new ArrayList<>();
         for (Object element : Json.list(fields, TASKS)) {
-            tasks.add(taskStatus(Json.object(element)));
+            tasks.add(taskStatus(Json.asObject(element)));
         }
         return new Heartbeat(
                 machine,
@@ -77,7 +77,7 @@
         String name = Json.string(fields, TASK);
         int slash = name == null ? -1 : name.lastIndexOf('/');
         if (slash < 1) {
-            throw new IOException("not a task: " + name);
+            throw new IOException("field bottle: expected JOB/INDEX, got " + name);
         }
         Phase phase = phase(Json.string(fields, PHASE));
         return new TaskStatus(
@@ -95,7 +95,8 @@
             case "running" -> Phase.RUNNING;
             case "saving" -> Phase.SAVING;
             case "ended" -> Phase.EXITED;
-            default -> throw new IOException("unknown task state " + word);
+            default ->
+                throw new IOException("field condition: expected pulling, running, saving or ended, got " + word);
         };
     }
 
@@ -110,7 +111,7 @@
         };
     }
 
-    /** The answer to a heartbeat: the fencing token to obey and the commands under it. */
+    /** Returns the body of the answer to a heartbeat: the current fencing token and commands with that token. */
     public static byte[] heartbeatAnswer(long fencingToken, List<WorkerCommand> commands) {
         return Json.write(out -> {
             out.writeStartObject();
@@ -120,7 +121,7 @@
         });
     }
 
-    /** The body of a direct command, valid for one incarnation of the worker. */
+    /** Returns the body of direct commands, which are valid for one incarnation of the worker. */
     public static byte[] commandRequest(long incarnation, long fencingToken, List<WorkerCommand> commands) {
         return Json.write(out -> {
             out.writeStartObject();
@@ -131,7 +132,7 @@
         });
     }
 
-    /** The body of an answer that names the controller to send heartbeats to; null names none. */
+    /** Returns the body of an answer that names the controller to send heartbeats to, or none if it is null. */
     public static byte[] redirectAnswer(String controller) {
         return Json.write(out -> {
             out.writeStartObject();
--- a/src/main/java/dewlane/wire/package-info.java
+++ b/src/main/java/dewlane/wire/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The protocols as they stand on the wire, and the encoding of stored values.
+ * Encodes and decodes the messages of the protocols and the values in the store.
  *
- * <p>The only place that knows their words: field names of the protocols are mapped to the types of
- * {@code dewlane.core} here, once in each direction.
+ * <p>Only this package contains the field names of the protocols and of stored values. It maps them to the types of
+ * {@code dewlane.core}, once in each direction.
  */
 package dewlane.wire;
--- a/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -12,9 +12,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The exact messages of the cloud's protocol. They must not change when the code that reads and writes them does. */
+/**
+ * The exact messages of the protocol of the cloud. A change to the code that reads or writes them must not alter them.
+ */
 class CloudProtocolGoldenTest {
-    private static final String CATALOG =
+    private static final String MACHINE_TYPES =
             """
             {"racks":[{"name":"g8","vcpus":96,"gpus":8,"ramGb":768.5,"cacheGb":200,"fetchGbPerS":0.5,"hourly":12.25,\
             "marketPrice":4.5,"readyS":45,"cellars":["a","b"]},\
@@ -42,15 +44,15 @@
     }
 
     @Test
-    void catalogIsRead() throws IOException {
+    void machineTypesAreRead() throws IOException {
         List<MachineType> expected = List.of(
                 new MachineType("g8", 96, 8, 768.5, 200, 0.5, 12.25, 4.5, 45, List.of("a", "b")),
                 new MachineType("c2", 2, 0, 8, 20, 0.25, 0.1, 0.03, 30, List.of()));
-        assertEquals(expected, CloudProtocol.machineTypes(Golden.bytes(CATALOG)));
+        assertEquals(expected, CloudProtocol.machineTypes(Golden.bytes(MACHINE_TYPES)));
     }
 
     @Test
-    void pageOfMachinesInEveryStateIsRead() throws IOException {
+    void pageOfInstancesInEveryStateIsRead() throws IOException {
         List<CloudInstance> machines = List.of(
                 new CloudInstance("vm-1", "10.1.0.1:9000", "g8", "a", true, State.RUNNING, 61.5),
                 new CloudInstance("vm-2", null, "c2", "b", false, State.STARTING, 0),
@@ -67,14 +69,14 @@
 
     @ParameterizedTest
     @CsvSource({"true, 3", "false, 1"})
-    void rentalIsWritten(boolean spot, int count) {
+    void createRequestIsWritten(boolean spot, int count) {
         String expected = "{\"indent\":\"cask-0-4-17\",\"rack\":\"g8\",\"cellar\":\"a\",\"consignment\":" + spot
                 + ",\"count\":" + count + "}";
         Golden.assertMessage(expected, CloudProtocol.createRequest("cask-0-4-17", "g8", "a", spot, count));
     }
 
     @Test
-    void rentedMachinesAreRead() throws IOException {
+    void createdInstancesAreRead() throws IOException {
         byte[] body = Golden.bytes("{\"casks\":[\"vm-000231\",\"vm-000232\"]}");
         assertEquals(List.of("vm-000231", "vm-000232"), CloudProtocol.createdInstances(body));
     }
@@ -88,12 +90,12 @@
                 "{}                          | false",
                 "no JSON                     | false"
             })
-    void lackOfCapacityIsRead(String body, boolean expected) {
+    void lackOfCapacityIsRecognized(String body, boolean expected) {
         assertEquals(expected, CloudProtocol.isNoCapacity(Golden.bytes(body)));
     }
 
     @Test
-    void deletionIsWritten() {
+    void deleteRequestIsWritten() {
         byte[] message = CloudProtocol.deleteRequest(List.of("vm-000231", "vm-000232"));
         Golden.assertMessage("{\"casks\":[\"vm-000231\",\"vm-000232\"]}", message);
     }
--- a/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
@@ -13,14 +13,17 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The exact messages between controllers. They must not change when the code that reads and writes them does. */
+/**
+ * The exact messages of the protocol between controllers. A change to the code that reads or writes them must not alter
+ * them.
+ */
 class PeerProtocolGoldenTest {
-    /** Node, epoch, whether it reaches the state service; no cancelled jobs and no machines. */
+    /** Controller, epoch, store not reachable; no cancelled jobs and no machines. */
     private static final String EMPTY = "a66361736b2d30" + "01" + "c2" + "90" + "90";
 
-    private static final String FULL = "a76361736b2d3132" + "ce00011170" + "c3" // node, epoch, state is reachable
+    private static final String FULL = "a76361736b2d3132" + "ce00011170" + "c3" // controller, epoch, store reachable
             + "92" + "a9776b2d303030303037" + "a4776b2d38" // two cancelled jobs
-            + "92" // two machines: name, address, type, zone, spot, session, sequence
+            + "92" // two machines: name, address, type, zone, spot, incarnation, sequence
             + "a9766d2d303030323331" + "af31302e312e302e3233323a39303030" + "a26738" + "a465617374"
             + "c3" + "03" + "cf000000012a05f200"
             + "a4766d2d32" + "a3683a31" + "a26332" + "a161"
--- a/src/test/java/dewlane/wire/SampleJob.java
+++ b/src/test/java/dewlane/wire/SampleJob.java
@@ -3,11 +3,11 @@
 import dewlane.core.model.JobBuilder;
 import java.util.List;
 
-/** The job that the tests of the protocols send and store, each with its own deviations. */
+/** The job that the tests of the protocols and stored values start from. */
 final class SampleJob {
     private SampleJob() {}
 
-    /** The job with the default priority, on spot instances, not accepted yet and without dependencies. */
+    /** Returns a job with default priority that allows spot instances, is not accepted yet and has no dependencies. */
     static JobBuilder builder() {
         return JobBuilder.job("wk-000412")
                 .jobClass("train")
--- a/src/test/java/dewlane/wire/SliceSizeTest.java
+++ b/src/test/java/dewlane/wire/SliceSizeTest.java
@@ -12,18 +12,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The bound of a slice's size against what is really written, for random slices and outcomes. */
+/** Compares the bound of a slice's size with its encoded size, for random slices and outcomes. */
 class SliceSizeTest {
     private final SplittableRandom random = new SplittableRandom(5);
 
-    private Slice slice(int count, int live) {
+    private Slice slice(int count, int maxAttempts) {
         BitSet done = new BitSet();
         List<Attempt> attempts = new ArrayList<>();
         int launches = 1 + random.nextInt(40);
         for (int task = 0; task < count; task++) {
-            if (attempts.size() < live && random.nextInt(3) > 0) {
+            if (attempts.size() < maxAttempts && random.nextInt(3) > 0) {
                 int number = 1 + random.nextInt(launches);
-                int machine = random.nextInt(1 + live / 3);
+                int machine = random.nextInt(1 + maxAttempts / 3);
                 attempts.add(new Attempt(
                         1000 + task,
                         number,
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void noOutcomesMakeASliceLargerThanItsBound() {
+    void sliceStaysWithinItsBoundThroughAllOutcomes() {
         for (int round = 0; round < 400; round++) {
             Slice slice = slice(1 + random.nextInt(600), random.nextInt(200));
             int bound = SliceSizes.bound(slice);
             while (true) {
                 int bytes = StoredValueCodec.encode(slice).length;
                 assertTrue(bytes <= bound, bytes + " bytes, bound " + bound);
-                assertTrue(SliceSizes.bound(slice) <= bound, "the bound itself never grows");
+                assertTrue(SliceSizes.bound(slice) <= bound, "the bound must not grow");
                 if (slice.attempts().isEmpty()) {
                     break;
                 }
@@ -70,21 +70,21 @@
     }
 
     @Test
-    void aCutSliceKeepsEveryAttemptAndDoneMarkAndFits() {
+    void splitSliceKeepsAllAttemptsAndDoneTasksAndFits() {
         for (int round = 0; round < 200; round++) {
             Slice slice = slice(1 + random.nextInt(900), random.nextInt(400));
-            List<Slice> runs = SliceSizes.split(slice, 2048);
+            List<Slice> parts = SliceSizes.split(slice, 2048);
             int next = slice.first();
             List<Attempt> attempts = new ArrayList<>();
             BitSet done = new BitSet();
-            for (Slice run : runs) {
-                assertEquals(next, run.first());
-                next += run.count();
-                attempts.addAll(run.attempts());
-                int offset = run.first() - slice.first();
-                run.done().stream().forEach(task -> done.set(task + offset));
-                assertEquals(slice.launchCount(), run.launchCount());
-                assertTrue(StoredValueCodec.encode(run).length <= 2048);
+            for (Slice part : parts) {
+                assertEquals(next, part.first());
+                next += part.count();
+                attempts.addAll(part.attempts());
+                int offset = part.first() - slice.first();
+                part.done().stream().forEach(task -> done.set(task + offset));
+                assertEquals(slice.launchCount(), part.launchCount());
+                assertTrue(StoredValueCodec.encode(part).length <= 2048);
             }
             assertEquals(slice.first() + slice.count(), next);
             assertEquals(slice.attempts(), attempts);
--- a/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The exact messages of the state service's protocol, with every kind of value in both directions. They must not change
- * when the code that reads and writes them does.
+ * The exact messages of the store's protocol, with every kind of value in both directions. A change to the code that
+ * reads or writes them must not alter them.
  */
 class StoreProtocolGoldenTest {
     private static final String JOB =
@@ -41,15 +41,15 @@
             [3,1764668450000,77,"vm-1",2,0,"5,8-9","vm-2",1,-1,"6"],[2,1764668440000,70,"vm-1",2,0,"11"]],\
             "newer":{"a":true}}""";
 
-    private static final String MAP =
+    private static final String PARTITION_MAP =
             """
             {"epoch":5,"members":{"cask-0":4,"cask-1":5},"moved":{"vm-1":"cask-1"},\
             "loans":["blue","cask-0",1.5,0.0,"blue","cask-1",-1.5,0.0],"formats":{"cask-0":2},"newer":2.5}""";
 
-    private static final String FINAL = "{\"aborted\":true,\"at\":1764668600001}";
+    private static final String JOB_RESULT = "{\"aborted\":true,\"at\":1764668600001}";
     private static final String PRESENCE = "{\"incarnation\":4,\"format\":2}";
-    private static final String TEAM = "{\"cpus\":12.5,\"gpus\":2.0}";
-    private static final String MACHINES =
+    private static final String TEAM_USAGE = "{\"cpus\":12.5,\"gpus\":2.0}";
+    private static final String DECOMMISSIONS =
             "{\"fate\":\"RETURN\",\"reason\":\"idle\",\"names\":[\"vm-1\",\"vm-2\"],\"newer\":null}";
 
     private static UnknownFields newer(Object value) {
@@ -63,9 +63,9 @@
                 .acceptedAtMs(1_764_668_400_123L)
                 .build()
                 .withDependencies(List.of("wk-7", "wk-000398"));
-        List<StoredValue.SliceAssignment> deals = List.of(
+        List<StoredValue.SliceAssignment> assignments = List.of(
                 new StoredValue.SliceAssignment("cask-0", 0, 10), new StoredValue.SliceAssignment("cask-1", 10, 6));
-        return new StoredValue.JobRecord(job, deals, 1_764_668_500_000L, newer(List.of(1L, "two")));
+        return new StoredValue.JobRecord(job, assignments, 1_764_668_500_000L, newer(List.of(1L, "two")));
     }
 
     private static StoredValue.Slice slice() {
@@ -81,7 +81,7 @@
         return new StoredValue.Slice("cask-1", 40, 20, 3, done, attempts, newer(Map.of("a", true)));
     }
 
-    private static StoredValue.PartitionMap clusterMap() {
+    private static StoredValue.PartitionMap partitionMap() {
         return new StoredValue.PartitionMap(
                 5,
                 List.of(new StoredValue.Member("cask-0", 4), new StoredValue.Member("cask-1", 5)),
@@ -93,7 +93,7 @@
                 newer(2.5));
     }
 
-    private static StoredValue.DecommissionRecord machineRecord() {
+    private static StoredValue.DecommissionRecord decommissionRecord() {
         UnknownFields unknown = new UnknownFields(Collections.singletonMap("newer", null));
         return new StoredValue.DecommissionRecord(
                 StoredValue.DecommissionState.SCALE_IN, "idle", List.of("vm-1", "vm-2"), unknown);
@@ -102,12 +102,13 @@
     private static Stream<Arguments> values() {
         return Stream.of(
                 Arguments.of("dewlane/job/wk-000412", JOB, jobRecord()),
-                Arguments.of("dewlane/final/wk-000412", FINAL, new StoredValue.JobResult(true, 1_764_668_600_001L)),
+                Arguments.of(
+                        "dewlane/final/wk-000412", JOB_RESULT, new StoredValue.JobResult(true, 1_764_668_600_001L)),
                 Arguments.of("dewlane/slice/wk-000412/2", SLICE, slice()),
-                Arguments.of("dewlane/map", MAP, clusterMap()),
+                Arguments.of("dewlane/map", PARTITION_MAP, partitionMap()),
                 Arguments.of("dewlane/node/cask-0", PRESENCE, new StoredValue.Presence(4, 2)),
-                Arguments.of("dewlane/team/vision", TEAM, new StoredValue.TeamUsageRecord(12.5, 2)),
-                Arguments.of("dewlane/machine/+cask-0-3-1", MACHINES, machineRecord()));
+                Arguments.of("dewlane/team/vision", TEAM_USAGE, new StoredValue.TeamUsageRecord(12.5, 2)),
+                Arguments.of("dewlane/machine/+cask-0-3-1", DECOMMISSIONS, decommissionRecord()));
     }
 
     @Test
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void leaseIsAskedForAndGranted() throws IOException {
+    void leaseIsRequestedAndGranted() throws IOException {
         Golden.assertMessage("{\"ttlMs\":10000}", StoreProtocol.grantRequest(10_000));
         assertEquals(17, StoreProtocol.grantedLease(Golden.bytes("{\"tenancy\":17}")));
     }
@@ -157,7 +158,7 @@
     }
 
     @Test
-    void transactionWithEveryKindOfGuardAndWriteIsWritten() {
+    void transactionWithEveryKindOfPreconditionAndWriteIsWritten() {
         Transaction transaction = new Transaction.Builder()
                 .require("dewlane/map", 7)
                 .require("dewlane/team/vision", 0)
@@ -176,11 +177,11 @@
 
     @Test
     void pageOfKeysIsRead() throws IOException {
-        String body = "{\"rows\":[{\"key\":\"dewlane/map\",\"value\":" + MAP + ",\"entry\":8},"
-                + "{\"key\":\"dewlane/team/vision\",\"value\":" + TEAM + ",\"entry\":9}],"
+        String body = "{\"rows\":[{\"key\":\"dewlane/map\",\"value\":" + PARTITION_MAP + ",\"entry\":8},"
+                + "{\"key\":\"dewlane/team/vision\",\"value\":" + TEAM_USAGE + ",\"entry\":9}],"
                 + "\"more\":true,\"ledger\":50}";
         List<StoreRow> rows = List.of(
-                new StoreRow("dewlane/map", clusterMap(), 8),
+                new StoreRow("dewlane/map", partitionMap(), 8),
                 new StoreRow("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2), 9));
         StoreProtocol.Page expected = new StoreProtocol.Page(rows, "dewlane/team/vision", true, 50);
         assertEquals(expected, StoreProtocol.page(Golden.bytes(body)));
@@ -194,7 +195,7 @@
 
     @Test
     void changesAreRead() throws IOException {
-        String body = "{\"log\":[{\"set\":\"dewlane/team/vision\",\"value\":" + TEAM + ",\"entry\":48},"
+        String body = "{\"log\":[{\"set\":\"dewlane/team/vision\",\"value\":" + TEAM_USAGE + ",\"entry\":48},"
                 + "{\"delete\":\"dewlane/job/wk-1\",\"entry\":49}],\"ledger\":50}";
         List<KeyChange> changes = List.of(
                 new KeyChange("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2), 48),
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -31,8 +31,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What versions that run beside each other read of what the other has written. The files were recorded from a build of
- * version 0.1, the one that this version replaces process by process.
+ * Values and messages stay compatible between two versions that run side by side during a rolling upgrade. The files
+ * were recorded from a build of version 0.1, which this version replaces.
  */
 class StoredFormatTest {
     private static final Path RECORDED = Path.of("src/test/resources/version-0.1");
@@ -64,18 +64,18 @@
     }
 
     private static Stream<Arguments> values() {
-        List<SliceAssignment> deals =
+        List<SliceAssignment> assignments =
                 List.of(new SliceAssignment("cask-0", 0, 10), new SliceAssignment("cask-1", 10, 6));
-        List<QuotaTransfer> loans =
+        List<QuotaTransfer> transfers =
                 List.of(new QuotaTransfer("blue", "cask-0", 1.5, 0), new QuotaTransfer("blue", "cask-1", -1.5, 0));
         List<Member> members = List.of(new Member("cask-0", 4), new Member("cask-1", 5));
         return Stream.concat(
-                jobValues(deals),
+                jobValues(assignments),
                 Stream.of(
                         Arguments.of(
                                 "map.json",
                                 StoreKeys.PARTITION_MAP,
-                                new StoredValue.PartitionMap(5, members, Map.of("vm-000231", "cask-1"), loans)),
+                                new StoredValue.PartitionMap(5, members, Map.of("vm-000231", "cask-1"), transfers)),
                         Arguments.of(
                                 "map-first.json",
                                 StoreKeys.PARTITION_MAP,
@@ -100,9 +100,9 @@
                                         List.of("vm-000001", "vm-000002")))));
     }
 
-    private static Stream<Arguments> jobValues(List<SliceAssignment> deals) {
+    private static Stream<Arguments> jobValues(List<SliceAssignment> assignments) {
         return Stream.of(
-                Arguments.of("job.json", StoreKeys.job("wk-000412"), new StoredValue.JobRecord(job(), deals, 0)),
+                Arguments.of("job.json", StoreKeys.job("wk-000412"), new StoredValue.JobRecord(job(), assignments, 0)),
                 Arguments.of(
                         "job-cancelled.json",
                         StoreKeys.job("wk-000412"),
@@ -125,14 +125,14 @@
 
     @ParameterizedTest
     @MethodSource("values")
-    void whatTheVersionBeforeStoredIsReadAsItWasMeant(String file, String key, StoredValue value) throws IOException {
-        assertEquals(value, StoredValueCodec.decode(key, Json.object(recorded(file))));
+    void valuesStoredByVersion01AreRead(String file, String key, StoredValue value) throws IOException {
+        assertEquals(value, StoredValueCodec.decode(key, Json.parse(recorded(file))));
     }
 
-    /** What says nothing new is written to the letter as the version before writes it, but for a process's own form. */
+    /** Only a presence differs from what version 0.1 writes: it holds the schema version. */
     @ParameterizedTest
     @MethodSource("values")
-    void whatSaysNothingNewIsWrittenAsTheVersionBeforeWritesIt(String file, String key, StoredValue value)
+    void valuesWithoutNewFieldsAreWrittenAsVersion01WritesThem(String file, String key, StoredValue value)
             throws IOException {
         String written = new String(StoredValueCodec.encode(value), StandardCharsets.UTF_8);
         String expected = new String(recorded(file), StandardCharsets.UTF_8);
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void peersOfBothVersionsUnderstandEachOther() throws IOException {
+    void peerStatusIsTheSameInBothVersions() throws IOException {
         PeerStatus status = new PeerStatus(
                 "cask-0",
                 9,
@@ -161,16 +161,16 @@
         "map.json, dewlane/map",
         "machines.json, dewlane/machine/+n-1-1"
     })
-    void fieldsOfANewerVersionSurviveARewrite(String file, String key) throws IOException {
-        Map<String, Object> in = Json.object(recorded(file));
+    void fieldsOfANewerVersionArePreservedByARewrite(String file, String key) throws IOException {
+        Map<String, Object> in = Json.parse(recorded(file));
         in.put("newer", Map.of("list", List.of(1L, "two", true, 2.5)));
         StoredValue value = StoredValueCodec.decode(key, in);
-        Map<String, Object> again = Json.object(StoredValueCodec.encode(value));
+        Map<String, Object> again = Json.parse(StoredValueCodec.encode(value));
         assertEquals(in, again);
     }
 
     @Test
-    void jobsThatAwaitNoneHaveNoFieldForIt() {
+    void jobWithoutDependenciesOmitsTheirField() {
         StoredValue.JobRecord plain = new StoredValue.JobRecord(job(), List.of(), 0);
         assertTrue(!new String(StoredValueCodec.encode(plain), StandardCharsets.UTF_8).contains("awaits"));
         StoredValue.JobRecord waiting =
@@ -185,7 +185,7 @@
 
     private static Map<String, Object> parsed(byte[] json) {
         try {
-            return Json.object(json);
+            return Json.parse(json);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -205,13 +205,13 @@
                 "dewlane/map | {\"epoch\":\"one\"}",
                 "dewlane/machine/vm-1 | {\"fate\":\"SOLD\"}"
             })
-    void aValueThatMakesNoSenseIsCalledUnreadable(String key, String json) throws IOException {
-        StoredValue value = StoredValueCodec.decode(key, Json.object(json.getBytes(StandardCharsets.UTF_8)));
+    void malformedValueIsUnreadable(String key, String json) throws IOException {
+        StoredValue value = StoredValueCodec.decode(key, Json.parse(json.getBytes(StandardCharsets.UTF_8)));
         assertInstanceOf(StoredValue.Unreadable.class, value);
     }
 
     @Test
-    void keysOfANewerVersionAreLeftAlone() throws IOException {
+    void keysOfANewerVersionAreIgnored() throws IOException {
         String final1 = new String(recorded("final-done.json"), StandardCharsets.UTF_8);
         StoreProtocol.Events events =
                 StoreProtocol.events(("{\"ledger\":9,\"log\":[{\"set\":\"dewlane/newer/1\",\"value\":{},"
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void hundredsOfJobIdsFitIntoASmallValue() {
+    void hundredsOfJobIdsAreEncodedInLessThan1000Characters() {
         List<String> ids = IntStream.range(0, 300)
                 .mapToObj(i -> String.format("wk-%06d", (i * 7919L) % 1_000_000))
                 .toList();
--- a/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The words that stand for constants in stored values. They stay the same whatever the constants are called. */
+/** The names of enum constants in stored values. They must not change when a Java constant is renamed. */
 class StoredWordsGoldenTest {
     private static StoredValue.JobRecord jobRecord(Priority priority) {
         Job job = JobBuilder.job("wk-1").priority(priority).build();
@@ -29,52 +29,53 @@
                 .formatted(priority);
     }
 
-    private static String machineJson(String fate) {
+    private static String decommissionJson(String fate) {
         return "{\"fate\":\"" + fate + "\",\"reason\":\"silent\"}";
     }
 
     private static StoredValue decode(String key, String json) throws IOException {
-        return StoredValueCodec.decode(key, Json.object(Golden.bytes(json)));
+        return StoredValueCodec.decode(key, Json.parse(Golden.bytes(json)));
     }
 
     @ParameterizedTest
     @CsvSource({"IDLE, IDLE", "STANDARD, STANDARD", "HIGH, HIGH", "CRITICAL, CRITICAL"})
-    void priorityHasItsWord(String word, Priority priority) throws IOException {
-        Golden.assertMessage(jobJson(word), StoredValueCodec.encode(jobRecord(priority)));
-        assertEquals(jobRecord(priority), decode(StoreKeys.job("wk-1"), jobJson(word)));
+    void priorityHasItsStoredName(String name, Priority priority) throws IOException {
+        Golden.assertMessage(jobJson(name), StoredValueCodec.encode(jobRecord(priority)));
+        assertEquals(jobRecord(priority), decode(StoreKeys.job("wk-1"), jobJson(name)));
     }
 
     @ParameterizedTest
     @CsvSource({"RETURN, SCALE_IN", "DELETE, DELETE", "GONE, TERMINATED"})
-    void fateOfAMachineHasItsWord(String word, DecommissionState fate) throws IOException {
-        StoredValue.DecommissionRecord machine = new StoredValue.DecommissionRecord(fate, "silent", List.of());
-        Golden.assertMessage(machineJson(word), StoredValueCodec.encode(machine));
-        assertEquals(machine, decode(StoreKeys.decommission("vm-1"), machineJson(word)));
+    void decommissionStateHasItsStoredName(String name, DecommissionState state) throws IOException {
+        StoredValue.DecommissionRecord record = new StoredValue.DecommissionRecord(state, "silent", List.of());
+        Golden.assertMessage(decommissionJson(name), StoredValueCodec.encode(record));
+        assertEquals(record, decode(StoreKeys.decommission("vm-1"), decommissionJson(name)));
     }
 
     @ParameterizedTest
     @EnumSource
-    void everyPriorityIsReadAsItIsWritten(Priority priority) {
+    void everyPriorityIsDecodedToItself(Priority priority) {
         assertEquals(priority, StoredWords.priority(StoredWords.word(priority)));
     }
 
     @ParameterizedTest
     @EnumSource
-    void everyFateIsReadAsItIsWritten(DecommissionState fate) {
-        assertEquals(fate, StoredWords.decommissionState(StoredWords.word(fate)));
+    void everyDecommissionStateIsDecodedToItself(DecommissionState state) {
+        assertEquals(state, StoredWords.decommissionState(StoredWords.word(state)));
     }
 
     @ParameterizedTest
     @CsvSource({"URGENT", "high", "''"})
-    void valueWithAnUnknownPriorityIsUnreadable(String word) throws IOException {
-        StoredValue expected = new StoredValue.Unreadable("unknown priority " + word);
-        assertEquals(expected, decode(StoreKeys.job("wk-1"), jobJson(word)));
+    void valueWithAnUnknownPriorityIsUnreadable(String name) throws IOException {
+        StoredValue expected =
+                new StoredValue.Unreadable("field priority: expected IDLE, STANDARD, HIGH or CRITICAL, got " + name);
+        assertEquals(expected, decode(StoreKeys.job("wk-1"), jobJson(name)));
     }
 
     @ParameterizedTest
     @CsvSource({"SOLD", "gone", "''"})
-    void valueWithAnUnknownFateIsUnreadable(String word) throws IOException {
-        StoredValue expected = new StoredValue.Unreadable("unknown fate of a machine " + word);
-        assertEquals(expected, decode(StoreKeys.decommission("vm-1"), machineJson(word)));
+    void valueWithAnUnknownDecommissionStateIsUnreadable(String name) throws IOException {
+        StoredValue expected = new StoredValue.Unreadable("field fate: expected RETURN, DELETE or GONE, got " + name);
+        assertEquals(expected, decode(StoreKeys.decommission("vm-1"), decommissionJson(name)));
     }
 }
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The exact messages of the users' protocol. They must not change when the code that reads and writes them does. */
+/**
+ * The exact messages of the protocol between users and controllers. A change to the code that reads or writes them must
+ * not alter them.
+ */
 class UserProtocolGoldenTest {
     private static final String EVERY_FIELD =
             """
@@ -84,7 +87,7 @@
 
     @ParameterizedTest
     @CsvSource({"critical, CRITICAL", "high, HIGH", "standard, STANDARD", "idle, IDLE"})
-    void everyRankIsRead(String word, Priority priority) {
+    void everyPriorityIsRead(String word, Priority priority) {
         String body = EVERY_FIELD.replace("\"rank\":\"critical\"", "\"rank\":\"" + word + "\"");
         assertEquals(priority, read(body).job().priority());
     }
@@ -98,7 +101,7 @@
                 "{}                  | uid must be a string such as wk-000412",
                 "{\"uid\":\"run-1\"} | uid must be a string such as wk-000412"
             })
-    void bodyWithoutAnIdIsRefusedWithTheReason(String body, String reason) {
+    void bodyWithoutAnIdIsRejectedWithTheReason(String body, String reason) {
         assertEquals(new UserProtocol.Submission(null, null, reason), read(body));
     }
 
@@ -132,7 +135,7 @@
                 "[\"wk-000398\",         | [\"run-1\",           "
                         + "| awaits must be null or a list of job ids such as wk-000412"
             })
-    void badFieldIsRefusedWithTheReason(String good, String bad, String reason) {
+    void badFieldIsRejectedWithTheReason(String good, String bad, String reason) {
         assertTrue(EVERY_FIELD.contains(good));
         UserProtocol.Submission expected = new UserProtocol.Submission("wk-000412", null, reason);
         assertEquals(expected, read(EVERY_FIELD.replace(good, bad)));
@@ -140,10 +143,10 @@
 
     @ParameterizedTest
     @CsvSource({"PENDING, pending", "RUNNING, running", "DONE, done", "CANCELLED, aborted"})
-    void stateOfAJobIsWritten(JobCondition condition, String word) {
-        JobStatus state = new JobStatus("wk-000412", condition, 3, 13);
+    void statusOfAJobIsWritten(JobCondition condition, String word) {
+        JobStatus status = new JobStatus("wk-000412", condition, 3, 13);
         String expected = "{\"uid\":\"wk-000412\",\"condition\":\"" + word + "\",\"done\":3,\"running\":13}";
-        Golden.assertMessage(expected, UserProtocol.state(state));
+        Golden.assertMessage(expected, UserProtocol.state(status));
     }
 
     @Test
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The protocols, word by word, and what is malformed. */
+/** Parses valid and malformed messages, and reads values back from what was written. */
 class WireTest {
     private static final String GOOD =
             """
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aGoodSubmissionIsRead() {
+    void validSubmissionIsRead() {
         Job job = submission(GOOD).job();
         assertEquals(SampleJob.builder().types(List.of("g8")).zone(null).build(), job);
         assertEquals(
@@ -78,7 +78,7 @@
                 "\"cellar\":null | \"cellar\":null,\"awaits\":[\"job-1\"]",
                 "\"cellar\":null | \"cellar\":null,\"awaits\":[null]"
             })
-    void aBadFieldIsToldAndTheIdKept(String good, String bad) {
+    void badFieldIsReportedWithTheJobId(String good, String bad) {
         UserProtocol.Submission s = submission(GOOD.replace(good, bad == null ? "" : bad));
         assertNull(s.job());
         assertNotNull(s.bodyError());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void awaitedJobsAreReadOnceEach() {
+    void duplicateDependenciesAreDropped() {
         String some = GOOD.replace("\"cellar\":null", "\"awaits\":[\"wk-000398\",\"wk-4\",\"wk-000398\"]");
         assertEquals(List.of("wk-000398", "wk-4"), submission(some).job().dependencies());
         for (String none : List.of("null", "[]")) {
@@ -98,17 +98,17 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"", "x", "[]", "null", "{", "{}", "{\"uid\":\"wk-\"}", "{\"uid\":7}", "{\"uid\":\"wk-1/2\"}"})
-    void aBodyWithoutAnIdIsMalformed(String body) {
+    void bodyWithoutAnIdIsMalformed(String body) {
         assertNull(submission(body).jobId());
     }
 
     @Test
-    void deepNestingIsRefusedNotFollowed() {
+    void deepNestingIsRejected() {
         assertNull(submission("{\"uid\":" + "[".repeat(30_000)).jobId());
     }
 
     @Test
-    void aReportIsRead() throws IOException {
+    void heartbeatIsRead() throws IOException {
         Heartbeat heartbeat = WorkerProtocol.heartbeat(
                 """
                 {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":1,
@@ -177,15 +177,15 @@
     }
 
     @Test
-    void valuesComeBackFromTheStoreAsTheyWentIn() throws IOException {
+    void storedValuesAreDecodedAsTheyWereEncoded() throws IOException {
         for (Map.Entry<String, StoredValue> e : valuesByKey().entrySet()) {
             byte[] json = StoredValueCodec.encode(e.getValue());
-            assertEquals(e.getValue(), StoredValueCodec.decode(e.getKey(), Json.object(json)));
+            assertEquals(e.getValue(), StoredValueCodec.decode(e.getKey(), Json.parse(json)));
         }
     }
 
     @Test
-    void aHundredThousandDoneTasksFitInAValue() {
+    void hundredThousandDoneTasksAreOneRange() {
         BitSet done = new BitSet();
         done.set(0, 100_000);
         assertEquals("0-99999", TaskRangeCodec.write(done));
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void peersUnderstandEachOther() throws IOException {
+    void peerStatusIsDecodedAsItWasEncoded() throws IOException {
         PeerStatus status = new PeerStatus(
                 "n0",
                 9,
--- a/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The exact messages of the workers' protocol. They must not change when the code that reads and writes them does. */
+/**
+ * The exact messages of the protocol between workers and controllers. A change to the code that reads or writes them
+ * must not alter them.
+ */
 class WorkerProtocolGoldenTest {
-    private static final String REPORT =
+    private static final String HEARTBEAT =
             """
             {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":2,\
             "tally":88,"seal":5000000041,"recallS":29.5,"bottles":[\
@@ -36,13 +39,13 @@
             {"cask":"vm-1","address":"h:1","rack":"g4","cellar":"b","consignment":false,"pour":1,"tally":1,"seal":0,\
             "recallS":null,"bottles":[]}""";
 
-    private static final List<WorkerCommand> ORDERS = List.of(
+    private static final List<WorkerCommand> COMMANDS = List.of(
             new WorkerCommand(WorkerCommand.Action.LAUNCH, "wk-000412", 4, 2, 0),
             new WorkerCommand(WorkerCommand.Action.STOP, "wk-000377", 1, 1, 10),
             new WorkerCommand(WorkerCommand.Action.STOP, "wk-000377", 2, 1, 0.5),
             new WorkerCommand(WorkerCommand.Action.FORGET, "wk-000398", 0, 1, 0));
 
-    private static final String ORDERS_TEXT =
+    private static final String COMMANDS_JSON =
             """
             "orders":[{"order":"launch","bottle":"wk-000412/4","try":2},\
             {"order":"stop","bottle":"wk-000377/1","try":1,"restS":10.0},\
@@ -60,7 +63,7 @@
     }
 
     @Test
-    void reportWithEveryTaskStateIsRead() throws IOException {
+    void heartbeatWithEveryTaskStateIsRead() throws IOException {
         List<TaskStatus> tasks = List.of(
                 task(0, Phase.FETCHING, null, false),
                 task(1, Phase.RUNNING, null, false),
@@ -74,11 +77,11 @@
                 task(9, Phase.EXITED, ExitReason.ERROR, false));
         Heartbeat expected =
                 new Heartbeat("vm-000231", "10.1.0.232:9000", "g8", "a", true, 2, 88, 5_000_000_041L, 29.5, tasks);
-        assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(REPORT)));
+        assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(HEARTBEAT)));
     }
 
     @Test
-    void reportWithoutTasksAndNoticeIsRead() throws IOException {
+    void heartbeatWithoutTasksAndTerminationNoticeIsRead() throws IOException {
         Heartbeat expected = new Heartbeat("vm-1", "h:1", "g4", "b", false, 1, 1, 0, Double.NaN, List.of());
         assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(WITHOUT_TASKS)));
     }
@@ -92,30 +95,32 @@
                 "\"rack\":              | \"x\":            | not a report",
                 "\"cellar\":            | \"x\":            | not a report",
                 "\"pour\":2             | \"pour\":0        | not a report",
-                "\"wk-1/0\"             | \"wk-1\"          | not a task: wk-1",
-                "\"pulling\"            | \"asleep\"        | unknown task state asleep"
+                "\"wk-1/0\"             | \"wk-1\"          | field bottle: expected JOB/INDEX, got wk-1",
+                "\"pulling\"            | \"asleep\"        "
+                        + "| field condition: expected pulling, running, saving or ended, got asleep"
             })
-    void malformedReportIsRefused(String good, String bad, String reason) {
-        byte[] body = Golden.bytes(REPORT.replace(good, bad));
-        IOException refusal = assertThrows(IOException.class, () -> WorkerProtocol.heartbeat(body));
-        assertEquals(reason, refusal.getMessage());
+    void malformedHeartbeatIsRejected(String good, String bad, String reason) {
+        byte[] body = Golden.bytes(HEARTBEAT.replace(good, bad));
+        IOException error = assertThrows(IOException.class, () -> WorkerProtocol.heartbeat(body));
+        assertEquals(reason, error.getMessage());
     }
 
     @Test
-    void answerWithEveryKindOfOrderIsWritten() {
+    void answerWithEveryKindOfCommandIsWritten() {
         Golden.assertMessage(
-                "{\"seal\":5000000041," + ORDERS_TEXT + "}", WorkerProtocol.heartbeatAnswer(5_000_000_041L, ORDERS));
+                "{\"seal\":5000000041," + COMMANDS_JSON + "}",
+                WorkerProtocol.heartbeatAnswer(5_000_000_041L, COMMANDS));
     }
 
     @Test
-    void answerWithoutOrdersIsWritten() {
+    void answerWithoutCommandsIsWritten() {
         Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerProtocol.heartbeatAnswer(41, List.of()));
     }
 
     @Test
     void directCommandIsWritten() {
         Golden.assertMessage(
-                "{\"seal\":41,\"pour\":3," + ORDERS_TEXT + "}", WorkerProtocol.commandRequest(3, 41, ORDERS));
+                "{\"seal\":41,\"pour\":3," + COMMANDS_JSON + "}", WorkerProtocol.commandRequest(3, 41, COMMANDS));
     }
 
     @Test
