--- a/src/main/java/dewlane/io/CloudClient.java
+++ b/src/main/java/dewlane/io/CloudClient.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** Talks to the cloud and hands its answers to the core. */
+/** Sends requests to the cloud and passes its answers to the core. */
 final class CloudClient {
     private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
     private static final long TIMEOUT_MS = 5000;
@@ -35,7 +35,7 @@
         this.core = core;
     }
 
-    /** Reads the machine types that the cloud offers. */
+    /** Lists the machine types that the cloud offers. */
     void listMachineTypes() {
         calls.send(Methods.GET, CloudProtocol.MACHINE_TYPES_PATH, null, TIMEOUT_MS, (status, body) -> {
             try {
@@ -43,12 +43,12 @@
                     core.accept(new Input.MachineTypesListed(CloudProtocol.machineTypes(body)));
                 }
             } catch (IOException e) {
-                LOG.error("unreadable catalog: {}", e.getMessage());
+                LOG.error("malformed list of machine types from the cloud: {}", e.getMessage());
             }
         });
     }
 
-    /** Reads the list of instances, page by page, unless that is in progress. */
+    /** Lists the instances, page by page, unless a listing is in progress. */
     void listInstances() {
         if (!listing) {
             listing = true;
@@ -60,18 +60,18 @@
         calls.send(Methods.GET, CloudProtocol.pagePath(after), null, TIMEOUT_MS, (status, body) -> {
             listing = false;
             if (status != StatusCodes.OK) {
-                LOG.debug("the cloud lists no instances: {}", status);
+                LOG.debug("the cloud answered a listing of instances with status {}", status);
                 return;
             }
             try {
-                takePage(CloudProtocol.page(body), instances);
+                onPage(CloudProtocol.page(body), instances);
             } catch (IOException e) {
-                LOG.error("unreadable list of instances: {}", e.getMessage());
+                LOG.error("malformed list of instances from the cloud: {}", e.getMessage());
             }
         });
     }
 
-    private void takePage(CloudProtocol.Page page, List<CloudInstance> instances) {
+    private void onPage(CloudProtocol.Page page, List<CloudInstance> instances) {
         instances.addAll(page.instances());
         if (page.more() && !page.instances().isEmpty()) {
             listing = true;
@@ -86,7 +86,9 @@
         createInstances(request, 1);
     }
 
-    /** The request is idempotent under its id, so it is repeated until it is answered. */
+    /**
+     * Repeats a request with an unknown outcome, a limited number of times; requests with the same id are idempotent.
+     */
     private void createInstances(Effect.CreateInstances request, int attempt) {
         byte[] body = CloudProtocol.createRequest(
                 request.requestId(), request.type(), request.zone(), request.spot(), request.count());
@@ -98,7 +100,7 @@
                 return;
             }
             if (result == Input.CreateStatus.INVALID) {
-                LOG.error("the cloud calls a request for instances malformed: {}", request);
+                LOG.error("the cloud rejected a request for instances as malformed: {}", request);
             }
             List<String> names = result == Input.CreateStatus.CREATED ? createdNames(answer) : List.of();
             core.accept(new Input.InstancesCreated(request.requestId(), result, names));
@@ -120,7 +122,7 @@
         try {
             return CloudProtocol.createdInstances(body);
         } catch (IOException e) {
-            LOG.error("unreadable list of created instances: {}", e.getMessage());
+            LOG.error("malformed list of created instances from the cloud: {}", e.getMessage());
             return List.of();
         }
     }
--- a/src/main/java/dewlane/io/ControllerLoop.java
+++ b/src/main/java/dewlane/io/ControllerLoop.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Gives inputs with their time to the core and has its effects carried out. Used on the I/O thread only. */
+/** Passes inputs and the time to the core and has its effects carried out. Used on the I/O thread only. */
 final class ControllerLoop {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerLoop.class);
     private static final long NANOS_PER_MS = 1_000_000;
@@ -21,13 +21,13 @@
         this.effects = new EffectQueue(handler);
     }
 
-    /** Handles one input. A fault is logged: the next input finds the core as this one left it. */
+    /** Handles one input. An exception is logged; the core keeps the state it has at that point. */
     void accept(Input input) {
         try {
             long steadyMs = (System.nanoTime() - startedAtNanos) / NANOS_PER_MS;
-            effects.take(controller.handle(steadyMs, System.currentTimeMillis(), input));
+            effects.handleAll(controller.handle(steadyMs, System.currentTimeMillis(), input));
         } catch (RuntimeException e) {
-            LOG.error("a fault while handling {}", input.getClass().getSimpleName(), e);
+            LOG.error("exception while handling input {}", input.getClass().getSimpleName(), e);
         }
     }
 }
--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -20,11 +20,11 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** One controller's sockets and timers round its core. Everything runs on one I/O thread, so nothing is locked. */
+/** Runs a controller's core with its sockets and timers. Everything runs on one I/O thread, so no locks are needed. */
 public final class ControllerServer {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
-    private static final long TICK_MS = 100;
-    private static final long SUMMARY_MS = 60_000;
+    private static final long TICK_INTERVAL_MS = 100;
+    private static final long SUMMARY_INTERVAL_MS = 60_000;
     private static final int BUFFER_BYTES = 8192;
     private static final int MAX_POOLED_BUFFERS = 200;
     private static final int IDLE_CONNECTION_TIMEOUT_MS = 120_000;
@@ -64,7 +64,7 @@
                         .set(Options.THREAD_DAEMON, false)
                         .getMap());
         this.thread = worker.getIoThread();
-        this.workers = new WorkerConnectionPools(thread, buffers, endpoints.commands());
+        this.workers = new WorkerConnectionPools(thread, buffers, endpoints.maxCommandConnections());
         this.effects = new EffectDispatcher(
                 requests,
                 new StoreClient(thread, buffers, endpoints.store(), settings, loop::accept),
@@ -77,14 +77,14 @@
         effects.dispatch(effect);
     }
 
-    /** Starts to listen and to take part. */
+    /** Starts to listen and to send ticks to the core. */
     public void start() {
         server = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, endpoints.inbound())
-                .setSocketOption(Options.CONNECTION_LOW_WATER, endpoints.inbound() - 1)
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) HttpExchanges.MAX_BODY)
+                .setSocketOption(Options.CONNECTION_HIGH_WATER, endpoints.maxInboundConnections())
+                .setSocketOption(Options.CONNECTION_LOW_WATER, endpoints.maxInboundConnections() - 1)
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) HttpExchanges.MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_CONNECTION_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_HEADER_TIMEOUT_MS)
@@ -95,22 +95,25 @@
         server.start();
         LOG.info("{} listens on {} and {}", settings.controllerName(), endpoints.listen(), endpoints.peerListen());
         thread.execute(this::tick);
-        thread.executeAfter(this::summarise, SUMMARY_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::logSummary, SUMMARY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private HttpHandler serviceEndpoint() {
         return new ServiceEndpoint(
                 new UserEndpoint(requests, loop::accept),
-                new HeartbeatEndpoint(requests, loop::accept, this::keepsConnections),
+                new HeartbeatEndpoint(requests, loop::accept, this::mayKeepConnections),
                 controller::isHealthy);
     }
 
-    /** False while there are more machines than connections that heartbeats may keep: they take turns then. */
-    private boolean keepsConnections() {
-        return controller.ownedMachineCount() <= endpoints.keptHeartbeatConnections();
+    /**
+     * Returns false while this controller owns more machines than heartbeat connections may stay open. Each connection
+     * is then closed after its answer, so that the workers share the available sockets.
+     */
+    private boolean mayKeepConnections() {
+        return controller.ownedMachineCount() <= endpoints.maxPersistentHeartbeatConnections();
     }
 
-    /** Stops; only tests and the warm-up do. */
+    /** Stops the controller. Used by tests and the warm-up only. */
     public void stop() {
         server.stop();
         worker.shutdownNow();
@@ -129,17 +132,17 @@
         if (worker.isShutdown()) {
             return;
         }
-        thread.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         requests.expire();
         loop.accept(new Input.Tick());
     }
 
-    /** Logs once a minute what the controller did and how long users waited for their answers. */
-    private void summarise() {
+    /** Logs the controller's counters and the latencies of users' requests, and schedules the next summary. */
+    private void logSummary() {
         if (worker.isShutdown()) {
             return;
         }
-        thread.executeAfter(this::summarise, SUMMARY_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::logSummary, SUMMARY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         workers.closeIdle();
         LOG.info("since the start: {}; connections to {} workers", controller.countersSummary(), workers.size());
         requests.logLatencies(LOG);
--- a/src/main/java/dewlane/io/EffectDispatcher.java
+++ b/src/main/java/dewlane/io/EffectDispatcher.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out the effects of the core, each by the client or the pending request that it is for. */
+/** Carries out the effects of the core: passes each to the client or the pending request that it is for. */
 final class EffectDispatcher {
     private static final Logger CORE_LOG = LoggerFactory.getLogger(Controller.class);
 
--- a/src/main/java/dewlane/io/EffectQueue.java
+++ b/src/main/java/dewlane/io/EffectQueue.java
@@ -7,31 +7,31 @@
 import java.util.function.Consumer;
 
 /**
- * Has effects handled one after the other. Effects that handling another one gives rise to wait for their turn, so that
- * the depth of the stack has a bound.
+ * Handles effects one after the other. An effect that is added while another one is handled is queued instead of being
+ * handled recursively, so that the depth of the stack is bounded.
  */
 final class EffectQueue {
-    private final Deque<Effect> waiting = new ArrayDeque<>();
+    private final Deque<Effect> queue = new ArrayDeque<>();
     private final Consumer<Effect> handler;
-    private boolean draining;
+    private boolean handling;
 
     EffectQueue(Consumer<Effect> handler) {
         this.handler = handler;
     }
 
-    /** Adds effects, and handles all that are queued unless that is going on already. */
-    void take(Collection<Effect> effects) {
-        waiting.addAll(effects);
-        if (draining) {
+    /** Queues effects, then handles all queued ones, unless a caller up the stack already does so. */
+    void handleAll(Collection<Effect> effects) {
+        queue.addAll(effects);
+        if (handling) {
             return;
         }
-        draining = true;
+        handling = true;
         try {
-            while (!waiting.isEmpty()) {
-                handler.accept(waiting.poll());
+            while (!queue.isEmpty()) {
+                handler.accept(queue.poll());
             }
         } finally {
-            draining = false;
+            handling = false;
         }
     }
 }
--- a/src/main/java/dewlane/io/Endpoints.java
+++ b/src/main/java/dewlane/io/Endpoints.java
@@ -4,43 +4,44 @@
 import java.util.Map;
 
 /**
- * Where a controller listens and whom it talks to, all as host:port.
+ * The addresses on which a controller listens and to which it connects, as host:port, and its socket limit.
  *
- * @param maxSockets how many sockets the process may have open
+ * @param maxSockets the number of sockets that the process may have open
  */
 public record Endpoints(
         String listen, String peerListen, Map<String, String> peers, String cloud, String store, int maxSockets) {
-    /** The share of the sockets that others may open to this controller: workers, users and health checks. */
+    /** The share of the sockets for connections from workers, users and health checks. */
     private static final double INBOUND_SHARE = 0.8;
-    /** The share for commands to workers. What is left is for the store, the cloud and the peers. */
+    /** The share of the sockets for commands to workers. The rest is for the store, the cloud and the peers. */
     private static final double COMMAND_SHARE = 0.15;
-    /** The share of inbound connections that workers may keep open; users and health checks need the rest. */
+    /** The share of inbound connections that workers may keep open. The rest is for users and health checks. */
     private static final double HEARTBEAT_SHARE = 0.75;
-    /** Connections to the store and the cloud, with room for those that are just closing. */
+    /** Connections to the store and the cloud, including those that are being closed. */
     private static final int FIXED_CONNECTIONS = 32;
 
-    /** The fewest sockets with which a controller can work. */
+    /** Returns the smallest number of sockets with which a controller can work. */
     public static int fewestSockets(int peers) {
         return 4 * (FIXED_CONNECTIONS + 2 * peers);
     }
 
-    /** Connections that others may open to this controller; above it they wait to be accepted. */
-    int inbound() {
+    /** Returns the limit of inbound connections; further ones wait to be accepted. */
+    int maxInboundConnections() {
         return Math.min(
-                (int) (maxSockets * INBOUND_SHARE), maxSockets - commands() - FIXED_CONNECTIONS - 2 * peers.size());
+                (int) (maxSockets * INBOUND_SHARE),
+                maxSockets - maxCommandConnections() - FIXED_CONNECTIONS - 2 * peers.size());
     }
 
-    /** Workers that may keep their connections open between heartbeats; with more, none does. */
-    int keptHeartbeatConnections() {
-        return (int) (inbound() * HEARTBEAT_SHARE);
+    /** Returns the number of workers up to which all may keep their connections open; with more workers, none may. */
+    int maxPersistentHeartbeatConnections() {
+        return (int) (maxInboundConnections() * HEARTBEAT_SHARE);
     }
 
-    /** Connections to workers that may be open at once. */
-    int commands() {
+    /** Returns the limit of connections to workers. */
+    int maxCommandConnections() {
         return (int) (maxSockets * COMMAND_SHARE);
     }
 
-    /** The peers' names. */
+    /** Returns the names of the peers. */
     public List<String> peerNames() {
         return List.copyOf(peers.keySet());
     }
--- a/src/main/java/dewlane/io/HeartbeatEndpoint.java
+++ b/src/main/java/dewlane/io/HeartbeatEndpoint.java
@@ -10,27 +10,28 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** The workers' protocol over HTTP: heartbeats, each answered at once. */
+/** Serves the heartbeats of workers over HTTP. Each is answered before {@link #receive} returns. */
 final class HeartbeatEndpoint {
-    /** What a worker is told that is to try the next controller. */
+    /** The error text of the answer that makes a worker try the next controller. */
     static final String NOT_ENTITLED = "not entitled now";
 
     private final PendingRequests requests;
     private final Consumer<Input> core;
-    private final BooleanSupplier keepsConnections;
+    private final BooleanSupplier mayKeepConnections;
 
     /**
-     * Forwards heartbeats to the core.
+     * Creates an endpoint that passes heartbeats to the core.
      *
-     * @param keepsConnections false while there are more machines than connections, so that they take turns
+     * @param mayKeepConnections false while there are more machines than connections that may stay open, so that each
+     *     is closed after its answer
      */
-    HeartbeatEndpoint(PendingRequests requests, Consumer<Input> core, BooleanSupplier keepsConnections) {
+    HeartbeatEndpoint(PendingRequests requests, Consumer<Input> core, BooleanSupplier mayKeepConnections) {
         this.requests = requests;
         this.core = core;
-        this.keepsConnections = keepsConnections;
+        this.mayKeepConnections = mayKeepConnections;
     }
 
-    /** Takes a heartbeat, once its whole body is there. */
+    /** Passes a heartbeat to the core; if the core does not answer it, it is rejected. */
     void receive(HttpServerExchange exchange, byte[] body) {
         Heartbeat heartbeat;
         try {
@@ -39,7 +40,7 @@
             HttpExchanges.sendError(exchange, StatusCodes.BAD_REQUEST, "not a report");
             return;
         }
-        if (!keepsConnections.getAsBoolean()) {
+        if (!mayKeepConnections.getAsBoolean()) {
             exchange.setPersistent(false);
         }
         long id = requests.add(exchange);
--- a/src/main/java/dewlane/io/HttpBodies.java
+++ b/src/main/java/dewlane/io/HttpBodies.java
@@ -7,13 +7,13 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Writes and reads whole bodies on channels that do not block. */
+/** Writes and reads whole bodies on non-blocking channels. */
 final class HttpBodies {
     private static final int BUFFER_BYTES = 8192;
 
     private HttpBodies() {}
 
-    /** Writes a body and ends the channel; {@code failed} is run if the connection breaks. */
+    /** Writes a body and shuts down the channel's writes; {@code failed} is run if the connection breaks. */
     static void write(StreamSinkChannel channel, byte[] body, Runnable failed) {
         write(channel, ByteBuffer.wrap(body), failed);
     }
--- a/src/main/java/dewlane/io/HttpConnectionPool.java
+++ b/src/main/java/dewlane/io/HttpConnectionPool.java
@@ -20,16 +20,16 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Persistent connections to one address, one request at a time on each. Used on the I/O thread only. A call that times
- * out closes its connection and is told that no answer came; the request may still be carried out.
+ * Persistent connections to one address, with one request at a time on each. Used on the I/O thread only. A call that
+ * times out closes its connection and completes with {@link #NO_ANSWER}; the request may still be carried out.
  */
 final class HttpConnectionPool {
-    /** Stands for a status where no answer came. */
+    /** The status of a call that received no answer. */
     static final int NO_ANSWER = -1;
 
-    /** Told the status and body, or {@link #NO_ANSWER}. */
+    /** Called with the status and body of the answer, or with {@link #NO_ANSWER}. */
     interface Callback {
-        void answered(int status, byte[] body);
+        void onCompleted(int status, byte[] body);
     }
 
     private final class Call {
@@ -57,16 +57,16 @@
             timer.remove();
             if (connection != null) {
                 if (reusable && connection.isOpen() && !closed) {
-                    idle.push(connection);
+                    idleConnections.push(connection);
                 } else {
-                    open--;
+                    openConnections--;
                     IoUtils.safeClose(connection);
                 }
             }
             try {
-                callback.answered(status, answer);
+                callback.onCompleted(status, answer);
             } finally {
-                startWaiting();
+                startQueuedCalls();
             }
         }
 
@@ -83,14 +83,14 @@
     private final String address;
     private final URI uri;
     private final int maxConnections;
-    private final Deque<ClientConnection> idle = new ArrayDeque<>();
-    private final Deque<Call> waiting = new ArrayDeque<>();
+    private final Deque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final Deque<Call> queuedCalls = new ArrayDeque<>();
     /** Connections that are open or being opened. */
-    private int open;
+    private int openConnections;
 
     private int pendingCalls;
-    private int connecting;
-    private long usedAtNanos = System.nanoTime();
+    private int connectionsBeingOpened;
+    private long lastCallAtNanos = System.nanoTime();
     private boolean closed;
 
     HttpConnectionPool(XnioIoThread thread, ByteBufferPool buffers, String address, int maxConnections) {
@@ -101,80 +101,80 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Sends a request as soon as a connection is free; the callback is told its answer, once. */
+    /** Sends a request as soon as a connection is free; the callback is called once. */
     void send(HttpString method, String path, byte[] body, long timeoutMs, Callback callback) {
         Call call = new Call(method, path, body, callback);
         call.timer = thread.executeAfter(() -> call.fail(), timeoutMs, TimeUnit.MILLISECONDS);
-        waiting.add(call);
+        queuedCalls.add(call);
         pendingCalls++;
-        usedAtNanos = System.nanoTime();
-        startWaiting();
+        lastCallAtNanos = System.nanoTime();
+        startQueuedCalls();
     }
 
     /**
-     * True while a call is in flight or waits, or a connection is being opened: to a host without power that lasts long
-     * after the call is completed, and holds a socket.
+     * Returns true while a call is queued or in flight, or a connection is being opened. Connecting to a host that is
+     * powered off goes on long after the call has timed out, and holds a socket.
      */
     boolean isBusy() {
-        return pendingCalls > 0 || connecting > 0;
+        return pendingCalls > 0 || connectionsBeingOpened > 0;
     }
 
-    /** Milliseconds since the latest call began. */
+    /** Returns the milliseconds since the latest call to {@link #send}. */
     long idleMs() {
-        return (System.nanoTime() - usedAtNanos) / NANOS_PER_MS;
+        return (System.nanoTime() - lastCallAtNanos) / NANOS_PER_MS;
     }
 
-    /** Closes idle connections; calls in flight end as they would. */
+    /** Closes idle connections. Calls in flight are not interrupted; their connections are closed when they end. */
     void close() {
         closed = true;
-        idle.forEach(IoUtils::safeClose);
-        open -= idle.size();
-        idle.clear();
+        idleConnections.forEach(IoUtils::safeClose);
+        openConnections -= idleConnections.size();
+        idleConnections.clear();
     }
 
-    private void startWaiting() {
-        while (!waiting.isEmpty() && waiting.peek().completed) {
-            waiting.poll();
+    private void startQueuedCalls() {
+        while (!queuedCalls.isEmpty() && queuedCalls.peek().completed) {
+            queuedCalls.poll();
         }
-        while (!waiting.isEmpty()) {
-            ClientConnection kept = idle.poll();
-            if (kept != null && !kept.isOpen()) {
-                open--;
+        while (!queuedCalls.isEmpty()) {
+            ClientConnection reused = idleConnections.poll();
+            if (reused != null && !reused.isOpen()) {
+                openConnections--;
                 continue;
             }
-            if (kept == null && open >= maxConnections) {
+            if (reused == null && openConnections >= maxConnections) {
                 return;
             }
-            Call call = waiting.poll();
+            Call call = queuedCalls.poll();
             if (call.completed) {
-                if (kept != null) {
-                    idle.push(kept);
+                if (reused != null) {
+                    idleConnections.push(reused);
                 }
                 continue;
             }
-            if (kept != null) {
-                start(call, kept);
+            if (reused != null) {
+                start(call, reused);
             } else {
-                open++;
+                openConnections++;
                 connect(call);
             }
         }
     }
 
     private void connect(Call call) {
-        connecting++;
+        connectionsBeingOpened++;
         UndertowClient.getInstance()
                 .connect(
                         new ClientCallback<ClientConnection>() {
                             @Override
                             public void completed(ClientConnection connection) {
-                                connecting--;
+                                connectionsBeingOpened--;
                                 if (call.completed && closed) {
-                                    open--;
+                                    openConnections--;
                                     IoUtils.safeClose(connection);
                                 } else if (call.completed) {
-                                    idle.push(connection);
-                                    startWaiting();
+                                    idleConnections.push(connection);
+                                    startQueuedCalls();
                                 } else {
                                     start(call, connection);
                                 }
@@ -182,10 +182,10 @@
 
                             @Override
                             public void failed(IOException e) {
-                                connecting--;
-                                open--;
+                                connectionsBeingOpened--;
+                                openConnections--;
                                 call.fail();
-                                startWaiting();
+                                startQueuedCalls();
                             }
                         },
                         uri,
@@ -235,7 +235,7 @@
         int status = response.getResponseCode();
         HttpBodies.read(
                 exchange.getResponseChannel(),
-                // The connection is free only after the exchange's own end is processed.
+                // The connection can be reused only after Undertow has processed the end of this exchange.
                 body -> thread.execute(() -> call.complete(status, body, reusable)),
                 call::fail);
     }
--- a/src/main/java/dewlane/io/HttpExchanges.java
+++ b/src/main/java/dewlane/io/HttpExchanges.java
@@ -8,26 +8,26 @@
 import io.undertow.util.StatusCodes;
 import java.nio.ByteBuffer;
 
-/** What every request that comes in has in common: its method, its body, its answer. */
+/** Checks the methods of inbound requests, reads their bodies, and sends answers. */
 final class HttpExchanges {
-    /** The most bytes that a request's body may have. */
-    static final int MAX_BODY = 64 * 1024;
-    /** The status that sends a worker to another controller. */
+    /** The maximum size of a request's body. */
+    static final int MAX_BODY_BYTES = 64 * 1024;
+    /** The status that redirects a worker to another controller. */
     static final int MISDIRECTED_REQUEST = 421;
-    /** The error that a body names where there is none. */
+    /** The error text of an answer without an error. */
     static final String NO_ERROR = "none";
 
     private static final String RETRY_AFTER_S = "1";
 
     private HttpExchanges() {}
 
-    /** Something done with a request's whole body. */
-    interface Receiver {
-        void received(HttpServerExchange exchange, byte[] body);
+    /** Called with the whole body of a request. */
+    interface BodyHandler {
+        void onBody(HttpServerExchange exchange, byte[] body);
     }
 
-    /** Goes on only with requests of the given method. */
-    static void only(HttpServerExchange exchange, HttpString method, Runnable then) {
+    /** Runs {@code then} if the request has the given method, and answers with 405 otherwise. */
+    static void requireMethod(HttpServerExchange exchange, HttpString method, Runnable then) {
         if (exchange.getRequestMethod().equals(method)) {
             then.run();
         } else {
@@ -35,29 +35,31 @@
         }
     }
 
-    /** Reads the whole body, which may not be larger than what is allowed, then goes on. */
-    static void receive(HttpServerExchange exchange, Receiver receiver) {
-        if (exchange.getRequestContentLength() > MAX_BODY) {
+    /**
+     * Reads the whole body and passes it to the handler; a body that is too large or incomplete is answered with 400.
+     */
+    static void readBody(HttpServerExchange exchange, BodyHandler handler) {
+        if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
             exchange.setPersistent(false);
             sendError(exchange, StatusCodes.BAD_REQUEST, "the body is over 64 KiB");
             return;
         }
-        exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY);
+        exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY_BYTES);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (read, body) -> read.dispatch(SameThreadExecutor.INSTANCE, () -> receiver.received(read, body)),
+                        (read, body) -> read.dispatch(SameThreadExecutor.INSTANCE, () -> handler.onBody(read, body)),
                         (failed, cause) -> {
                             failed.setPersistent(false);
                             sendError(failed, StatusCodes.BAD_REQUEST, "the body is over 64 KiB or broke off");
                         });
     }
 
-    /** Answers with an error, once. */
+    /** Answers with an error, unless an answer has been started. */
     static void sendError(HttpServerExchange exchange, int status, String reason) {
         send(exchange, status, UserProtocol.error(reason));
     }
 
-    /** Answers, once. */
+    /** Sends an answer, unless one has been started. */
     static void send(HttpServerExchange exchange, int status, byte[] body) {
         if (exchange.isResponseStarted()) {
             return;
--- a/src/main/java/dewlane/io/PeerClient.java
+++ b/src/main/java/dewlane/io/PeerClient.java
@@ -24,7 +24,7 @@
         addresses.forEach(address -> pools.add(new HttpConnectionPool(thread, buffers, address, 1)));
     }
 
-    /** Sends the status to each peer that has answered the one before. */
+    /** Sends the status to each peer with no status in flight. */
     void broadcast(Effect.BroadcastStatus broadcast) {
         List<byte[]> pages = new ArrayList<>();
         try {
@@ -32,11 +32,11 @@
                 pages.add(PeerProtocol.status(page));
             }
         } catch (IOException e) {
-            LOG.error("cannot write a status: {}", e.getMessage());
+            LOG.error("cannot encode the status for the peers: {}", e.getMessage());
             return;
         }
         for (HttpConnectionPool pool : pools) {
-            // A peer that does not answer gets the status of the time at which its call has timed out.
+            // An unresponsive peer is skipped until its call has timed out; then it gets the status of that time.
             if (!pool.isBusy()) {
                 pages.forEach(page ->
                         pool.send(Methods.POST, PeerProtocol.STATUS_PATH, page, TIMEOUT_MS, (status, answer) -> {}));
--- a/src/main/java/dewlane/io/PeerEndpoint.java
+++ b/src/main/java/dewlane/io/PeerEndpoint.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 
-/** The peers' protocol over HTTP, on a port of its own. */
+/** Serves the protocol between controllers over HTTP, on a separate port. */
 final class PeerEndpoint implements HttpHandler {
     private final Consumer<Input> core;
 
@@ -20,7 +20,7 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         if (exchange.getRelativePath().equals(PeerProtocol.STATUS_PATH)) {
-            HttpExchanges.receive(exchange, this::receive);
+            HttpExchanges.readBody(exchange, this::receive);
         } else {
             HttpExchanges.sendError(exchange, StatusCodes.NOT_FOUND, "no such path");
         }
--- a/src/main/java/dewlane/io/PendingRequests.java
+++ b/src/main/java/dewlane/io/PendingRequests.java
@@ -13,18 +13,18 @@
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 
-/** Requests of users and workers that wait for the core's answer. Used on the I/O thread only. */
+/** Requests of users and workers that the core has not answered yet. Used on the I/O thread only. */
 final class PendingRequests {
     private static final int MAX_PENDING = 500;
     private static final long MAX_LATENCY_MS = 60_000;
-    private static final int LATENCY_DIGITS = 2;
+    private static final int LATENCY_SIGNIFICANT_DIGITS = 2;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** What a user asks for, and after which time it is answered that there was no answer. */
+    /** The kind of a user's request, with the time after which it is answered with 503 if the core has not answered. */
     enum Kind {
         /** A submission or a cancellation: users wait 5 s for the answer. */
         CHANGE(4500),
-        /** A question about a job: users wait 2 s for the answer. */
+        /** A query for a job's status: users wait 2 s for the answer. */
         QUERY(1800);
 
         private final long timeoutMs;
@@ -34,13 +34,13 @@
         }
     }
 
-    private record Started(long id, long atNanos) {}
+    private record StartedRequest(long id, long atNanos) {}
 
     private final Long2ObjectOpenHashMap<HttpServerExchange> exchanges = new Long2ObjectOpenHashMap<>();
-    /** Users' requests in the order in which they came; most are answered by the time they are looked at. */
-    private final Map<Kind, Deque<Started>> started = new EnumMap<>(Kind.class);
+    /** Users' requests in order of arrival. An answered request stays until its timeout, when it is dropped. */
+    private final Map<Kind, Deque<StartedRequest>> started = new EnumMap<>(Kind.class);
 
-    private final Histogram latencyMs = new Histogram(MAX_LATENCY_MS, LATENCY_DIGITS);
+    private final Histogram latencyMs = new Histogram(MAX_LATENCY_MS, LATENCY_SIGNIFICANT_DIGITS);
     private long nextId = 1;
 
     PendingRequests() {
@@ -49,12 +49,12 @@
         }
     }
 
-    /** True if no further request of a user is taken now. */
+    /** Returns true if no further request of a user may be added now. */
     boolean isFull() {
         return exchanges.size() >= MAX_PENDING;
     }
 
-    /** Adds a request that has no time limit of its own; returns its id. */
+    /** Adds a request without a timeout; returns its id. */
     long add(HttpServerExchange exchange) {
         long id = nextId++;
         exchanges.put(id, exchange);
@@ -71,11 +71,11 @@
             latencyMs.recordValue(Math.min(MAX_LATENCY_MS, elapsedMs));
             next.proceed();
         });
-        started.get(kind).add(new Started(id, startedAtNanos));
+        started.get(kind).add(new StartedRequest(id, startedAtNanos));
         return id;
     }
 
-    /** Answers a request, unless that has happened already. */
+    /** Answers a request, unless it has been answered already. */
     void answer(long id, int status, byte[] body) {
         HttpServerExchange exchange = exchanges.remove(id);
         if (exchange != null) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Answers a request of a user as the core says. */
+    /** Answers a request of a user with the core's answer, unless it has been answered already. */
     void answer(Effect.AnswerUser answer) {
         HttpServerExchange exchange = exchanges.remove(answer.id());
         if (exchange == null) {
@@ -96,10 +96,10 @@
         HttpExchanges.send(exchange, answer.status(), body);
     }
 
-    /** Tells users to come back who have been without an answer for about as long as they wait for one. */
+    /** Answers the requests whose timeout has passed with 503, shortly before users stop waiting for an answer. */
     void expire() {
         for (Kind kind : Kind.values()) {
-            Deque<Started> requests = started.get(kind);
+            Deque<StartedRequest> requests = started.get(kind);
             while (!requests.isEmpty() && isExpired(requests.peek(), kind)) {
                 byte[] body = UserProtocol.error("no answer in time, try again");
                 answer(requests.poll().id(), StatusCodes.SERVICE_UNAVAILABLE, body);
@@ -107,11 +107,11 @@
         }
     }
 
-    private static boolean isExpired(Started request, Kind kind) {
+    private static boolean isExpired(StartedRequest request, Kind kind) {
         return System.nanoTime() - request.atNanos() > kind.timeoutMs * NANOS_PER_MS;
     }
 
-    /** Logs how long users waited since the last call, if there were any. */
+    /** Logs the latencies of the users' requests that were answered since the last call, if there were any. */
     void logLatencies(Logger log) {
         if (latencyMs.getTotalCount() == 0) {
             return;
--- a/src/main/java/dewlane/io/ServiceEndpoint.java
+++ b/src/main/java/dewlane/io/ServiceEndpoint.java
@@ -8,9 +8,9 @@
 import io.undertow.util.StatusCodes;
 import java.util.function.BooleanSupplier;
 
-/** The port that users, workers and health checks share: routes each request by its path. */
+/** Serves users, workers and health checks on one port: routes each request by its path. */
 final class ServiceEndpoint implements HttpHandler {
-    private static final String HEALTH = "/healthz";
+    private static final String HEALTH_PATH = "/healthz";
 
     private final UserEndpoint users;
     private final HeartbeatEndpoint heartbeats;
@@ -25,12 +25,13 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         String path = exchange.getRelativePath();
-        if (path.equals(HEALTH)) {
-            answerHealth(exchange);
+        if (path.equals(HEALTH_PATH)) {
+            answerHealthCheck(exchange);
         } else if (path.equals(WorkerProtocol.HEARTBEAT_PATH)) {
-            HttpExchanges.only(exchange, Methods.POST, () -> HttpExchanges.receive(exchange, heartbeats::receive));
+            HttpExchanges.requireMethod(
+                    exchange, Methods.POST, () -> HttpExchanges.readBody(exchange, heartbeats::receive));
         } else if (path.equals(UserProtocol.JOBS_PATH)) {
-            HttpExchanges.only(exchange, Methods.POST, () -> HttpExchanges.receive(exchange, users::submit));
+            HttpExchanges.requireMethod(exchange, Methods.POST, () -> HttpExchanges.readBody(exchange, users::submit));
         } else if (path.startsWith(UserProtocol.JOBS_PATH + "/")) {
             users.handleJob(exchange, path.substring(UserProtocol.JOBS_PATH.length() + 1));
         } else {
@@ -38,7 +39,7 @@
         }
     }
 
-    private void answerHealth(HttpServerExchange exchange) {
+    private void answerHealthCheck(HttpServerExchange exchange) {
         if (!exchange.getRequestMethod().equals(Methods.GET)) {
             HttpExchanges.sendError(exchange, StatusCodes.METHOD_NOT_ALLOWED, "use GET");
         } else if (healthy.getAsBoolean()) {
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -19,23 +19,23 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** Talks to the store and hands its answers to the core. */
+/** Sends requests to the store and passes its answers to the core. */
 final class StoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
     private static final int PAGE_KEYS = 200;
     private static final long TIMEOUT_MS = 1500;
     private static final long LIST_TIMEOUT_MS = 3000;
     private static final long RENEWAL_TIMEOUT_MS = 1000;
-    /** How long the store holds a watch open, and how much longer its answer may take. */
+    /** How long the store may hold a watch open if there are no changes. */
     private static final long WATCH_MS = 800;
-
+    /** How much longer the answer to a watch may take. */
     private static final long WATCH_GRACE_MS = 1500;
-    /** Changes that come close together are gathered into one answer of the watch; at least so long. */
+    /** The minimum pause before a watch is opened, so that changes in quick succession arrive in one answer. */
     private static final long MIN_WATCH_PAUSE_MS = 60;
-    /** The share of the requests that all controllers' watches together may take. */
+    /** The share of the request rate that the watches of all controllers together may use. */
     private static final double WATCH_SHARE = 0.25;
 
-    private static final long RETRY_MS = 300;
+    private static final long RETRY_DELAY_MS = 300;
     private static final int MAX_CALL_CONNECTIONS = 12;
     private static final int MAX_LEASE_CONNECTIONS = 2;
     private static final int MAX_WATCH_CONNECTIONS = 2;
@@ -48,7 +48,7 @@
     private final Consumer<Input> core;
     private final long watchPauseMs;
 
-    /** Connects to the store when it is first used; watches keep to their share of the settings' request rate. */
+    /** Creates a client that connects on first use and keeps watches within their share of the store's request rate. */
     StoreClient(XnioIoThread thread, ByteBufferPool buffers, String address, Settings settings, Consumer<Input> core) {
         this.thread = thread;
         this.calls = new HttpConnectionPool(thread, buffers, address, MAX_CALL_CONNECTIONS);
@@ -58,7 +58,7 @@
         this.watchPauseMs = Math.max(MIN_WATCH_PAUSE_MS, settings.storeRequestIntervalMs(WATCH_SHARE));
     }
 
-    /** Reads all keys but those of job results, page by page. */
+    /** Lists all keys except those of job results, page by page. */
     void list() {
         listPage(StoreKeys.AFTER_JOB_RESULTS, new ArrayList<>(), 0);
     }
@@ -67,19 +67,19 @@
         String path = StoreProtocol.listPath(StoreKeys.ROOT, after, PAGE_KEYS);
         calls.send(Methods.GET, path, null, LIST_TIMEOUT_MS, (status, body) -> {
             if (status != StatusCodes.OK) {
-                later(RETRY_MS, new Input.StoreListFailed());
+                acceptAfter(RETRY_DELAY_MS, new Input.StoreListFailed());
                 return;
             }
             try {
-                takePage(StoreProtocol.page(body), rows, firstRevision);
+                onPage(StoreProtocol.page(body), rows, firstRevision);
             } catch (IOException e) {
-                LOG.error("unreadable listing of the store: {}", e.getMessage());
+                LOG.error("malformed listing from the store: {}", e.getMessage());
                 core.accept(new Input.StoreListFailed());
             }
         });
     }
 
-    private void takePage(StoreProtocol.Page page, List<Input.StoreRow> rows, long firstRevision) {
+    private void onPage(StoreProtocol.Page page, List<Input.StoreRow> rows, long firstRevision) {
         rows.addAll(page.rows());
         long listedFrom = firstRevision == 0 ? page.revision() : firstRevision;
         if (page.more() && page.lastKey() != null) {
@@ -89,11 +89,11 @@
         }
     }
 
-    private void later(long pauseMs, Input input) {
+    private void acceptAfter(long pauseMs, Input input) {
         thread.executeAfter(() -> core.accept(input), pauseMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Waits for changes after the revision. */
+    /** Opens a watch for changes after the revision, after a pause that keeps to the request rate. */
     void watch(long afterRevision) {
         thread.executeAfter(() -> openWatch(afterRevision), watchPauseMs, TimeUnit.MILLISECONDS);
     }
@@ -108,10 +108,10 @@
                     return;
                 }
             } catch (IOException e) {
-                LOG.error("unreadable changes of the store: {}", e.getMessage());
+                LOG.error("malformed changes from the store: {}", e.getMessage());
             }
-            long pauseMs = status == HttpConnectionPool.NO_ANSWER ? 0 : RETRY_MS;
-            later(pauseMs, new Input.WatchFailed(status == StatusCodes.GONE));
+            long pauseMs = status == HttpConnectionPool.NO_ANSWER ? 0 : RETRY_DELAY_MS;
+            acceptAfter(pauseMs, new Input.WatchFailed(status == StatusCodes.GONE));
         });
     }
 
@@ -129,8 +129,8 @@
     private static Input.TransactionCompleted completed(long id, int status, byte[] body) {
         Transaction.Status outcome = transactionStatus(status);
         try {
-            boolean namesRevision = outcome == Transaction.Status.COMMITTED || outcome == Transaction.Status.CONFLICT;
-            return new Input.TransactionCompleted(id, outcome, namesRevision ? StoreProtocol.revision(body) : 0);
+            boolean hasRevision = outcome == Transaction.Status.COMMITTED || outcome == Transaction.Status.CONFLICT;
+            return new Input.TransactionCompleted(id, outcome, hasRevision ? StoreProtocol.revision(body) : 0);
         } catch (IOException e) {
             return new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0);
         }
@@ -157,25 +157,25 @@
                     return;
                 }
             } catch (IOException e) {
-                LOG.error("unreadable value of the store: {}", e.getMessage());
+                LOG.error("malformed value from the store: {}", e.getMessage());
             }
             boolean isAbsent = status == StatusCodes.NOT_FOUND;
             core.accept(isAbsent ? new Input.ValueRead(id, Optional.empty()) : new Input.ValueReadFailed(id));
         });
     }
 
-    /** Reads a key that never exists: the answer names the latest revision. */
+    /** Reads the latest revision, which the store includes in its answer to a read of a key that never exists. */
     void readRevision() {
         calls.send(Methods.GET, StoreProtocol.valuePath(StoreKeys.REVISION_PROBE), null, TIMEOUT_MS, (status, body) -> {
-            Input read = new Input.RevisionReadFailed();
+            Input result = new Input.RevisionReadFailed();
             try {
                 if (status == StatusCodes.NOT_FOUND) {
-                    read = new Input.RevisionRead(StoreProtocol.revision(body));
+                    result = new Input.RevisionRead(StoreProtocol.revision(body));
                 }
             } catch (IOException e) {
-                LOG.error("unreadable revision of the store: {}", e.getMessage());
+                LOG.error("malformed revision from the store: {}", e.getMessage());
             }
-            core.accept(read);
+            core.accept(result);
         });
     }
 
@@ -187,15 +187,15 @@
                 StoreProtocol.grantRequest(ttlMs),
                 TIMEOUT_MS,
                 (status, body) -> {
-                    Input granted = new Input.LeaseGrantFailed();
+                    Input result = new Input.LeaseGrantFailed();
                     try {
                         if (status == StatusCodes.OK) {
-                            granted = new Input.LeaseGranted(StoreProtocol.grantedLease(body));
+                            result = new Input.LeaseGranted(StoreProtocol.grantedLease(body));
                         }
                     } catch (IOException e) {
-                        LOG.error("unreadable lease of the store: {}", e.getMessage());
+                        LOG.error("malformed lease from the store: {}", e.getMessage());
                     }
-                    core.accept(granted);
+                    core.accept(result);
                 });
     }
 
--- a/src/main/java/dewlane/io/UserEndpoint.java
+++ b/src/main/java/dewlane/io/UserEndpoint.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
 
-/** The users' protocol over HTTP: submissions, status queries and cancellations. */
+/** Serves the users' protocol over HTTP: submissions, status queries and cancellations. */
 final class UserEndpoint {
     private final PendingRequests requests;
     private final Consumer<Input> core;
@@ -20,7 +20,7 @@
         this.core = core;
     }
 
-    /** Takes a submission, once its whole body is there. */
+    /** Passes a submission to the core. */
     void submit(HttpServerExchange exchange, byte[] body) {
         UserProtocol.Submission submission = UserProtocol.submission(body);
         forward(
@@ -29,7 +29,7 @@
                 id -> new Input.SubmitJob(id, submission.jobId(), submission.job(), submission.bodyError()));
     }
 
-    /** Takes a query or a cancellation; {@code path} is what follows the path of submissions and a slash. */
+    /** Handles a query or a cancellation; {@code path} is the part after the path of submissions and a slash. */
     void handleJob(HttpServerExchange exchange, String path) {
         int slash = path.indexOf('/');
         String job = slash < 0 ? path : path.substring(0, slash);
@@ -42,7 +42,7 @@
         } else if (!UserProtocol.isJobId(job)) {
             HttpExchanges.sendError(exchange, StatusCodes.NOT_FOUND, "no such job");
         } else if (cancel) {
-            HttpExchanges.receive(
+            HttpExchanges.readBody(
                     exchange,
                     (received, body) ->
                             forward(received, PendingRequests.Kind.CHANGE, id -> new Input.CancelJob(id, job)));
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Asks the core for an answer. Too many requests at once are told to come back. */
+    /** Passes a request to the core, or answers with 503 if too many requests are pending. */
     private void forward(HttpServerExchange exchange, PendingRequests.Kind kind, LongFunction<Input> input) {
         if (requests.isFull()) {
             HttpExchanges.sendError(exchange, StatusCodes.SERVICE_UNAVAILABLE, "too busy, try again");
--- a/src/main/java/dewlane/io/WorkerCommandClient.java
+++ b/src/main/java/dewlane/io/WorkerCommandClient.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends direct commands to workers, and tells the core how each ended. */
+/** Sends direct commands to workers and reports their results to the core. */
 final class WorkerCommandClient {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerCommandClient.class);
 
@@ -22,10 +22,10 @@
         this.core = core;
     }
 
-    /** Sends commands; the core is told when they are answered, abandoned, or never sent. */
+    /** Sends commands; the core receives an input when they are answered, time out, or cannot be sent. */
     void send(Effect.SendCommands command) {
         byte[] body = WorkerProtocol.commandRequest(command.incarnation(), command.fencingToken(), command.commands());
-        boolean opened = workers.send(
+        boolean sent = workers.send(
                 command.address(),
                 WorkerProtocol.COMMAND_PATH,
                 body,
@@ -34,18 +34,18 @@
                         command.fencingToken(),
                         true,
                         heartbeat(command.machine(), status, answer))));
-        if (!opened) {
-            // Nothing went out, so nothing can arrive late: the answers to heartbeats repeat the commands.
+        if (!sent) {
+            // Nothing was sent, so nothing can be delivered late. The answers to heartbeats repeat the commands.
             core.accept(new Input.CommandCompleted(command.machine(), command.fencingToken(), false, null));
         }
     }
 
-    /** The heartbeat in an answer, or null if there is none. */
+    /** Returns the heartbeat in an answer, or null if there is none. */
     private static Heartbeat heartbeat(String machine, int status, byte[] answer) {
         try {
             return status == StatusCodes.OK || status == StatusCodes.CONFLICT ? WorkerProtocol.heartbeat(answer) : null;
         } catch (IOException | NumberFormatException e) {
-            LOG.error("unreadable heartbeat of {}: {}", machine, e.getMessage());
+            LOG.error("malformed heartbeat in the answer of machine {} to a command: {}", machine, e.getMessage());
             return null;
         }
     }
--- a/src/main/java/dewlane/io/WorkerConnectionPools.java
+++ b/src/main/java/dewlane/io/WorkerConnectionPools.java
@@ -8,9 +8,9 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Connections for commands, one a worker, and never more than a bound: a controller that is left alone with all
- * machines must not use up the sockets that heartbeats, users and the store need. The connection that was idle for
- * longest makes room.
+ * Connections for commands, one for each worker, up to a limit: a controller that owns all machines because the others
+ * failed must not use up the sockets that heartbeats, users and the store need. At the limit, the least recently used
+ * idle connection is closed.
  */
 final class WorkerConnectionPools {
     private static final long COMMAND_TIMEOUT_MS = 2500;
@@ -19,7 +19,7 @@
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final int maxPools;
-    /** The least recently used first. */
+    /** By address, in order of access: the least recently used first. */
     private final Map<String, HttpConnectionPool> pools = new LinkedHashMap<>(64, 0.75f, true);
 
     WorkerConnectionPools(XnioIoThread thread, ByteBufferPool buffers, int maxPools) {
@@ -28,7 +28,7 @@
         this.maxPools = maxPools;
     }
 
-    /** Sends a command; false if no connection may be opened for it now, so that nothing is sent. */
+    /** Sends a command; returns false and sends nothing if it needs a connection beyond the limit and none is idle. */
     boolean send(String address, String path, byte[] body, HttpConnectionPool.Callback callback) {
         HttpConnectionPool pool = pools.get(address);
         if (pool == null) {
@@ -38,13 +38,13 @@
             pool = new HttpConnectionPool(thread, buffers, address, 1);
             pools.put(address, pool);
         }
-        // A pool stays after a call without an answer: a new one would open one more connection to a machine that
-        // hangs.
+        // The pool is kept after a call without an answer: a new one would open another connection to an unresponsive
+        // machine.
         pool.send(Methods.POST, path, body, COMMAND_TIMEOUT_MS, callback);
         return true;
     }
 
-    /** Closes the idle connection that was used least recently; false if none is idle. */
+    /** Closes the least recently used idle connection; returns false if none is idle. */
     private boolean closeLeastRecentlyUsed() {
         for (Iterator<HttpConnectionPool> i = pools.values().iterator(); i.hasNext(); ) {
             HttpConnectionPool pool = i.next();
@@ -57,7 +57,7 @@
         return false;
     }
 
-    /** Closes what was not used for long: its machine may be gone or another controller's. */
+    /** Closes connections that have long been idle: the machine may be terminated or owned by another controller. */
     void closeIdle() {
         pools.values().removeIf(pool -> {
             boolean idle = !pool.isBusy() && pool.idleMs() > IDLE_TIMEOUT_MS;
@@ -68,7 +68,7 @@
         });
     }
 
-    /** Workers with a connection. */
+    /** Returns the number of workers with a connection. */
     int size() {
         return pools.size();
     }
--- a/src/main/java/dewlane/io/package-info.java
+++ b/src/main/java/dewlane/io/package-info.java
@@ -1,2 +1,4 @@
-/** Sockets and timers round one controller's core. Everything runs on one I/O thread, so nothing is locked. */
+/**
+ * Connects a controller's core to the network and to timers. Everything runs on one I/O thread, so no locks are needed.
+ */
 package dewlane.io;
--- a/src/test/java/dewlane/io/EffectQueueTest.java
+++ b/src/test/java/dewlane/io/EffectQueueTest.java
@@ -7,28 +7,28 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen on an own day: commands that found no free connection were answered one within the other, until the stack was
- * full.
+ * Guards against a stack overflow: commands for which no connection was free completed at once, and the effects of each
+ * completion were handled recursively.
  */
 class EffectQueueTest {
-    private final EffectQueue queue = new EffectQueue(this::act);
+    private final EffectQueue queue = new EffectQueue(this::handle);
     private int depth;
-    private int deepest;
-    private int acted;
+    private int maxDepth;
+    private int handled;
 
-    private void act(Effect effect) {
+    private void handle(Effect effect) {
         depth++;
-        deepest = Math.max(deepest, depth);
-        if (++acted < 100_000) {
-            queue.take(List.of(effect));
+        maxDepth = Math.max(maxDepth, depth);
+        if (++handled < 100_000) {
+            queue.handleAll(List.of(effect));
         }
         depth--;
     }
 
     @Test
     void effectsQueuedByAnEffectWaitForTheirTurn() {
-        queue.take(List.of(new Effect.ListMachineTypes(), new Effect.ListStore()));
-        assertEquals(1, deepest);
-        assertEquals(100_001, acted);
+        queue.handleAll(List.of(new Effect.ListMachineTypes(), new Effect.ListStore()));
+        assertEquals(1, maxDepth);
+        assertEquals(100_001, handled);
     }
 }
--- a/src/test/java/dewlane/io/WorkerConnectionPoolsTest.java
+++ b/src/test/java/dewlane/io/WorkerConnectionPoolsTest.java
@@ -21,8 +21,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * Found by counting: a controller that had commanded all machines kept two connections to each, and with every report
- * connection beside them passed the sockets it is given.
+ * Guards against exceeding the socket limit: a controller that had sent commands to all machines kept two connections
+ * to each, and these and the heartbeat connections together were more than its sockets.
  */
 class WorkerConnectionPoolsTest {
     private static final int MAX_POOLS = 10;
@@ -33,7 +33,7 @@
     private XnioWorker worker;
     private WorkerConnectionPools pools;
 
-    /** One listener stands for all machines, each with a loopback address of its own. */
+    /** One listener serves all machines, each at a different loopback address. */
     @BeforeEach
     void start() throws Exception {
         machines = Undertow.builder()
@@ -69,13 +69,13 @@
         return "127.0.0." + (machine + 1) + ":" + port;
     }
 
-    /** Sends on the I/O thread, as all that uses the pools does; the answer's status, or null if nothing was sent. */
+    /** Sends on the I/O thread, as the pools require; returns the answer's status, or null if nothing was sent. */
     private CompletableFuture<Integer> send(int machine, String path) throws Exception {
         CompletableFuture<CompletableFuture<Integer>> sent = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             CompletableFuture<Integer> status = new CompletableFuture<>();
-            boolean taken = pools.send(address(machine), path, new byte[0], (s, body) -> status.complete(s));
-            sent.complete(taken ? status : null);
+            boolean accepted = pools.send(address(machine), path, new byte[0], (s, body) -> status.complete(s));
+            sent.complete(accepted ? status : null);
         });
         return sent.get();
     }
