--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/DeployFile.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings file that a deployment gives each controller, and the operators' own beside it. */
+/** The settings of a controller, read from the file of its deployment and an optional file of the operators. */
 public record DeployFile(Settings settings, Endpoints endpoints) {
     private static final double BYTES_PER_KB = 1024;
     private static final String VALUE_KB = "value_kb";
@@ -21,8 +21,8 @@
     /**
      * Reads and checks both files.
      *
-     * @param operators the operators' own settings, or null for the defaults
-     * @throws SettingsException if a file cannot be read, or names the first field that cannot be used
+     * @param operators the operators' file, or null for the defaults
+     * @throws SettingsException if a file cannot be read or a field is invalid; the message names the first such field
      */
     public static DeployFile read(String file, String operators) throws SettingsException {
         Tuning tuning = operators == null ? Tuning.defaults() : tuning(TomlTable.read(operators));
@@ -49,7 +49,7 @@
                 resources.count("max_sockets", Endpoints.fewestSockets(peers.size())));
     }
 
-    /** Checks the fields that every deployment gives and the controller has no use for. */
+    /** Checks the fields that every deployment sets but the controller does not use. */
     private static void checkUnused(TomlTable top) throws SettingsException {
         top.text("area");
         TomlTable settings = top.table("settings");
@@ -107,24 +107,27 @@
         return List.copyOf(objectives);
     }
 
-    /** The limits in force now and, where a key of {@code next} says so, those that replace them without notice. */
+    /**
+     * Reads the store's current limits and those that may replace them without notice. A limit without a key in
+     * {@code next} stays as it is.
+     */
     private static StoreLimits storeLimits(TomlTable store) throws SettingsException {
-        StoreLimits.Limits present = new StoreLimits.Limits(
+        StoreLimits.Limits current = new StoreLimits.Limits(
                 store.positive("rps"),
                 store.positive("write_rps"),
                 valueBytes(store),
                 store.count(TXN_OPS, MIN_TXN_OPS));
         if (!store.has("next")) {
-            return new StoreLimits(present, present);
+            return new StoreLimits(current, current);
         }
         TomlTable next = store.table("next");
         return new StoreLimits(
-                present,
+                current,
                 new StoreLimits.Limits(
-                        next.has("rps") ? next.positive("rps") : present.requestsPerS(),
-                        next.has("write_rps") ? next.positive("write_rps") : present.writesPerS(),
-                        next.has(VALUE_KB) ? valueBytes(next) : present.maxValueBytes(),
-                        next.has(TXN_OPS) ? next.count(TXN_OPS, MIN_TXN_OPS) : present.maxTransactionWrites()));
+                        next.has("rps") ? next.positive("rps") : current.requestsPerS(),
+                        next.has("write_rps") ? next.positive("write_rps") : current.writesPerS(),
+                        next.has(VALUE_KB) ? valueBytes(next) : current.maxValueBytes(),
+                        next.has(TXN_OPS) ? next.count(TXN_OPS, MIN_TXN_OPS) : current.maxTransactionWrites()));
     }
 
     private static int valueBytes(TomlTable limits) throws SettingsException {
--- a/src/main/java/dewlane/cli/Main.java
+++ b/src/main/java/dewlane/cli/Main.java
@@ -15,9 +15,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The command line. */
+/** The entry point: parses the command line and starts the controller. */
 public final class Main {
-    private static final int WRONG_SETTINGS = 2;
+    private static final int EXIT_INVALID_INPUT = 2;
     private static final String WARM_UP = "warm-up";
 
     private Main() {}
@@ -35,19 +35,19 @@
                         "Unknown argument: " + line.getArgList().get(0));
             }
         } catch (ParseException e) {
-            wrongUsage(e.getMessage());
+            exitWithUsage(e.getMessage());
             return;
         }
         if (line.hasOption("help")) {
-            usage(new PrintWriter(System.out, true, StandardCharsets.UTF_8));
+            printUsage(new PrintWriter(System.out, true, StandardCharsets.UTF_8));
         } else if (line.hasOption("version")) {
             System.out.println("dewlane " + version());
         } else if (line.hasOption(WARM_UP)) {
             WarmUp.run();
         } else if (line.hasOption("config")) {
-            run(line.getOptionValue("config"), line.getOptionValue("operators"));
+            runController(line.getOptionValue("config"), line.getOptionValue("operators"));
         } else {
-            wrongUsage("Missing required option: --config FILE");
+            exitWithUsage("Missing required option: --config FILE");
         }
     }
 
@@ -67,7 +67,7 @@
                         .build())
                 .addOption(Option.builder()
                         .longOpt(WARM_UP)
-                        .desc("only for the build: loads what a start needs, and exits")
+                        .desc("only for the build: loads the classes that a controller needs, and exits")
                         .build())
                 .addOption(Option.builder("h")
                         .longOpt("help")
@@ -79,7 +79,7 @@
                         .build());
     }
 
-    private static void usage(PrintWriter to) {
+    private static void printUsage(PrintWriter to) {
         HelpFormatter help = new HelpFormatter();
         help.printHelp(
                 to,
@@ -93,10 +93,10 @@
         to.flush();
     }
 
-    private static void wrongUsage(String reason) {
+    private static void exitWithUsage(String reason) {
         System.err.println(reason);
-        usage(new PrintWriter(System.err, true, StandardCharsets.UTF_8));
-        System.exit(WRONG_SETTINGS);
+        printUsage(new PrintWriter(System.err, true, StandardCharsets.UTF_8));
+        System.exit(EXIT_INVALID_INPUT);
     }
 
     private static String version() {
@@ -104,10 +104,10 @@
         return version == null ? "(not packaged)" : version;
     }
 
-    private static void run(String config, String operators) {
-        boolean badLevel = configureLog();
+    private static void runController(String config, String operators) {
+        boolean invalidLevel = configureLog();
         Logger log = LoggerFactory.getLogger(Main.class);
-        if (badLevel) {
+        if (invalidLevel) {
             log.warn("LOG_LEVEL must be error, info or debug; using info");
         }
         try {
@@ -115,22 +115,22 @@
             new ControllerServer(file.settings(), file.endpoints(), new SecureRandom().nextLong()).start();
         } catch (SettingsException e) {
             System.err.println(e.getMessage());
-            System.exit(WRONG_SETTINGS);
+            System.exit(EXIT_INVALID_INPUT);
         } catch (IOException | RuntimeException e) {
             log.error("cannot start: {}", e.toString());
             System.exit(1);
         }
     }
 
-    /** Sets the log up from LOG_LEVEL; true if that names no level. */
+    /** Configures the log from LOG_LEVEL; returns true if its value is invalid, so that info is used. */
     static boolean configureLog() {
         String level = System.getenv("LOG_LEVEL");
-        boolean bad = false;
+        boolean invalid = false;
         String chosen = "info";
         if (level != null && !level.isEmpty()) {
             switch (level.toLowerCase(Locale.ROOT)) {
                 case "error", "info", "debug" -> chosen = level.toLowerCase(Locale.ROOT);
-                default -> bad = true;
+                default -> invalid = true;
             }
         }
         System.setProperty("org.jboss.logging.provider", "slf4j");
@@ -142,6 +142,6 @@
         System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
-        return bad;
+        return invalid;
     }
 }
--- a/src/main/java/dewlane/cli/SettingsException.java
+++ b/src/main/java/dewlane/cli/SettingsException.java
@@ -1,10 +1,12 @@
 package dewlane.cli;
 
-/** A settings file that cannot be used; the message is for the operator. */
+/** Thrown if a settings file cannot be used; the message is shown to the operator. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** The message names the file, the key and what was expected. */
+    /**
+     * Creates an exception whose message names the file and, as far as there is one, the key and the expected value.
+     */
     public SettingsException(String message) {
         super(message);
     }
--- a/src/main/java/dewlane/cli/TomlTable.java
+++ b/src/main/java/dewlane/cli/TomlTable.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table of a TOML file whose values are checked as they are read. Unknown keys are ignored. */
+/** A table of a TOML file, whose values are validated as they are read. Unknown keys are ignored. */
 final class TomlTable {
     private static final int MAX_PORT = 65_535;
 
@@ -25,7 +25,7 @@
         this.table = table;
     }
 
-    /** Reads a file. */
+    /** Reads a file as its top-level table. */
     static TomlTable read(String file) throws SettingsException {
         try (Reader reader = Files.newBufferedReader(Path.of(file))) {
             return new TomlTable(file, "", new TomlParser().parse(reader));
@@ -37,7 +37,7 @@
         }
     }
 
-    private SettingsException wrong(String key, String expected) {
+    private SettingsException invalid(String key, String expected) {
         return new SettingsException(file + ": " + path + key + ": expected " + expected);
     }
 
@@ -45,61 +45,61 @@
         return table.get(List.of(key));
     }
 
-    /** True if the key is there. */
+    /** Returns true if the table has the key. */
     boolean has(String key) {
         return value(key) != null;
     }
 
-    /** The table of that key. */
+    /** Returns the table under a key. */
     TomlTable table(String key) throws SettingsException {
         if (value(key) instanceof UnmodifiableConfig nested) {
             return new TomlTable(file, path + key + ".", nested);
         }
-        throw wrong(key, "a table");
+        throw invalid(key, "a table");
     }
 
-    /** The tables of an array; none if the key is missing. */
+    /** Returns the tables of the array under a key, or an empty list if the key is missing. */
     List<TomlTable> tables(String key) throws SettingsException {
         List<TomlTable> tables = new ArrayList<>();
         if (value(key) == null) {
             return tables;
         }
         if (!(value(key) instanceof List<?> list)) {
-            throw wrong(key, "an array of tables");
+            throw invalid(key, "an array of tables");
         }
         for (Object element : list) {
             if (!(element instanceof UnmodifiableConfig nested)) {
-                throw wrong(key, "an array of tables");
+                throw invalid(key, "an array of tables");
             }
             tables.add(new TomlTable(file, path + key + ".", nested));
         }
         return tables;
     }
 
-    /** The string of that key, which is not empty. */
+    /** Returns the string under a key, which must not be blank. */
     String text(String key) throws SettingsException {
         if (value(key) instanceof String text && !text.isBlank()) {
             return text;
         }
-        throw wrong(key, "a string that is not empty");
+        throw invalid(key, "a string that is not empty");
     }
 
-    /** The strings of an array. */
+    /** Returns the strings of the array under a key. */
     List<String> texts(String key) throws SettingsException {
         List<String> texts = new ArrayList<>();
         if (!(value(key) instanceof List<?> list)) {
-            throw wrong(key, "an array of strings");
+            throw invalid(key, "an array of strings");
         }
         for (Object element : list) {
             if (!(element instanceof String text)) {
-                throw wrong(key, "an array of strings");
+                throw invalid(key, "an array of strings");
             }
             texts.add(text);
         }
         return texts;
     }
 
-    /** An address of the form 10.0.0.1:8080. */
+    /** Returns the address under a key, which must have the form 10.0.0.1:8080. */
     String address(String key) throws SettingsException {
         String address = value(key) instanceof String text ? text : "";
         int colon = address.lastIndexOf(':');
@@ -109,49 +109,52 @@
                 return address;
             }
         } catch (NumberFormatException e) {
-            // falls through to the message below
+            // Handled below, as any other malformed address.
         }
-        throw wrong(key, "an address such as 10.0.0.1:8080");
+        throw invalid(key, "an address such as 10.0.0.1:8080");
     }
 
-    /** The number of that key, which is at least as given. */
-    double number(String key, double least) throws SettingsException {
-        if (value(key) instanceof Number number && isAtLeast(number.doubleValue(), least)) {
+    /** Returns the number under a key, which must be at least {@code min}. */
+    double number(String key, double min) throws SettingsException {
+        if (value(key) instanceof Number number && isAtLeast(number.doubleValue(), min)) {
             return number.doubleValue();
         }
-        throw wrong(key, "a number of at least " + plain(least));
+        throw invalid(key, "a number of at least " + format(min));
     }
 
-    /** As {@link #number(String, double)}, with a value for a missing key. */
-    double number(String key, double least, double missing) throws SettingsException {
-        return has(key) ? number(key, least) : missing;
+    /**
+     * Returns the number under a key, which must be at least {@code min}, or {@code defaultValue} if the key is
+     * missing.
+     */
+    double number(String key, double min, double defaultValue) throws SettingsException {
+        return has(key) ? number(key, min) : defaultValue;
     }
 
-    /** The number of that key, which is above 0. */
+    /** Returns the number under a key, which must be above 0. */
     double positive(String key) throws SettingsException {
         if (value(key) instanceof Number number && isPositive(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw wrong(key, "a number above 0");
+        throw invalid(key, "a number above 0");
     }
 
-    /** The integer of that key, which is at least as given. */
-    int count(String key, int least) throws SettingsException {
-        if (value(key) instanceof Integer count && count >= least) {
+    /** Returns the integer under a key, which must be at least {@code min}. */
+    int count(String key, int min) throws SettingsException {
+        if (value(key) instanceof Integer count && count >= min) {
             return count;
         }
-        throw wrong(key, "an integer of at least " + least);
+        throw invalid(key, "an integer of at least " + min);
     }
 
-    private static boolean isAtLeast(double number, double least) {
-        return Double.isFinite(number) && number >= least;
+    private static boolean isAtLeast(double number, double min) {
+        return Double.isFinite(number) && number >= min;
     }
 
     private static boolean isPositive(double number) {
         return Double.isFinite(number) && number > 0;
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 }
--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -30,12 +30,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Loads what a controller needs at start and on its ordinary path, so that the build can archive the classes. */
+/** Loads the classes that a controller needs at start and in normal operation, so that the build can archive them. */
 final class WarmUp {
     private static final String TYPE = "any";
     private static final int MAX_SOCKETS = 500;
     private static final long INPUT_INTERVAL_MS = 200;
-    /** How long the controller serves itself: long enough for each of its clients to be used. */
+    /** How long the controller sends requests to itself: long enough for each of its clients to be used. */
     private static final long SERVING_MS = 700;
 
     private WarmUp() {}
@@ -44,10 +44,10 @@
         Main.configureLog();
         try {
             new SecureRandom().nextLong();
-            core();
-            sockets();
+            runCore();
+            runServer();
         } catch (IOException | InterruptedException | SettingsException e) {
-            System.err.println("the warm-up broke off: " + e);
+            System.err.println("the warm-up failed: " + e);
         }
         System.exit(0);
     }
@@ -78,8 +78,8 @@
                 .build();
     }
 
-    /** A controller that joins, takes a job and launches it, with every answer of the store made up. */
-    private static void core() throws IOException {
+    /** Runs a core that joins the partition map, accepts a job and launches it, with simulated answers of the store. */
+    private static void runCore() throws IOException {
         Controller controller = new Controller(settings(), 1, value -> StoredValueCodec.encode(value).length);
         long nowMs = 0;
         for (Input input : inputs(job())) {
@@ -123,8 +123,8 @@
                 new Input.Tick());
     }
 
-    /** A controller on free loopback ports that takes itself for all the other services. */
-    private static void sockets() throws IOException, InterruptedException, SettingsException {
+    /** Runs a controller on free loopback ports, with itself as store, cloud and peer. */
+    private static void runServer() throws IOException, InterruptedException, SettingsException {
         String own = "127.0.0.1:" + freePort();
         String peer = "127.0.0.1:" + freePort();
         Endpoints endpoints = new Endpoints(own, peer, Map.of("other", peer), own, own, MAX_SOCKETS);
--- a/src/main/java/dewlane/cli/package-info.java
+++ b/src/main/java/dewlane/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line, the settings files, and the warm-up that the build's class archive is made from. */
+/** The command line, the settings files, and the warm-up run whose classes the build archives for a faster start. */
 package dewlane.cli;
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/DeployFileTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Good and bad settings files. */
+/** Reads valid and invalid settings files. */
 class DeployFileTest {
     private static final Path GOOD = Path.of("docs/example-settings.toml");
 
     @TempDir
     private Path dir;
 
-    private String with(String good, String bad) throws IOException {
+    private String fileWith(String good, String bad) throws IOException {
         String text = Files.readString(GOOD);
         assertTrue(text.contains(good), good);
         return Files.writeString(dir.resolve("deploy.toml"), text.replace(good, bad))
@@ -57,7 +57,7 @@
                         + "settings.resources.max_sockets: expected an integer of at least 136"
             })
     void badFieldIsNamedWithWhatWasExpected(String good, String bad, String message) throws IOException {
-        String file = with(good, bad);
+        String file = fileWith(good, bad);
         SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
@@ -74,14 +74,15 @@
                 "next = { rps = false } | settings.state.next.rps: expected a number above 0"
             })
     void badNextLimitIsNamedWithItsMinimum(String next, String message) throws IOException {
-        String file = with("txn_ops = 16", "txn_ops = 16\n" + next);
+        String file = fileWith("txn_ops = 16", "txn_ops = 16\n" + next);
         SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
 
     @Test
     void sizesStayWithinSmallerOfBothLimits() throws IOException, SettingsException {
-        String file = with("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
+        String file =
+                fileWith("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
         Settings settings = DeployFile.read(file, null).settings();
         assertEquals(2048, settings.maxValueBytes());
         assertEquals(16, settings.maxTransactionWrites());
@@ -94,7 +95,7 @@
     }
 
     @Test
-    void unreadableFileIsToldInOneLine() throws IOException {
+    void unreadableFileIsReportedInOneLine() throws IOException {
         String file = Files.writeString(dir.resolve("bad.toml"), "= = =\n").toString();
         assertTrue(assertThrows(SettingsException.class, () -> DeployFile.read(file, null))
                 .getMessage()
@@ -107,10 +108,10 @@
 
     @Test
     void operatorsSettingsReplaceDefaults() throws IOException, SettingsException {
-        String own =
+        String operators =
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 20\n").toString();
         Settings.Tuning tuning =
-                DeployFile.read(GOOD.toString(), own).settings().tuning();
+                DeployFile.read(GOOD.toString(), operators).settings().tuning();
         assertEquals(20, tuning.machineTimeoutS());
         assertEquals(Settings.Tuning.defaults().scaleInIdleS(), tuning.scaleInIdleS());
         String bad =
