--- a/src/main/java/dewlane/cli/Main.java
+++ b/src/main/java/dewlane/cli/Main.java
@@ -111,8 +111,8 @@
             log.warn("LOG_LEVEL must be error, info or debug; using info");
         }
         try {
-            DeployFile file = DeployFile.read(config, operators);
-            new ControllerServer(file.settings(), file.endpoints(), new SecureRandom().nextLong()).start();
+            SettingsFiles file = SettingsFiles.read(config, operators);
+            new ControllerServer(file.settings(), file.network(), new SecureRandom().nextLong()).start();
         } catch (SettingsException e) {
             System.err.println(e.getMessage());
             System.exit(EXIT_INVALID_INPUT);
--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/SettingsFiles.java
@@ -5,14 +5,14 @@
 import dewlane.core.config.Settings.TeamQuota;
 import dewlane.core.config.Settings.Tuning;
 import dewlane.core.config.StoreLimits;
-import dewlane.io.Endpoints;
+import dewlane.io.NetworkSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The settings of a controller, read from the file of its deployment and an optional file of the operators. */
-public record DeployFile(Settings settings, Endpoints endpoints) {
+public record SettingsFiles(Settings settings, NetworkSettings network) {
     private static final double BYTES_PER_KB = 1024;
     private static final String VALUE_KB = "value_kb";
     private static final String TXN_OPS = "txn_ops";
@@ -24,15 +24,15 @@
      * @param operators the operators' file, or null for the defaults
      * @throws SettingsException if a file cannot be read or a field is invalid; the message names the first such field
      */
-    public static DeployFile read(String file, String operators) throws SettingsException {
+    public static SettingsFiles read(String file, String operators) throws SettingsException {
         Tuning tuning = operators == null ? Tuning.defaults() : tuning(TomlTable.read(operators));
         TomlTable top = TomlTable.read(file);
-        Endpoints endpoints = endpoints(top);
+        NetworkSettings network = network(top);
         checkUnused(top);
-        return new DeployFile(settings(top, endpoints, tuning), endpoints);
+        return new SettingsFiles(settings(top, network, tuning), network);
     }
 
-    private static Endpoints endpoints(TomlTable top) throws SettingsException {
+    private static NetworkSettings network(TomlTable top) throws SettingsException {
         Map<String, String> peers = new LinkedHashMap<>();
         for (TomlTable peer : top.tables("known")) {
             peer.text("area");
@@ -40,13 +40,13 @@
         }
         TomlTable services = top.table("services");
         TomlTable resources = top.table("settings").table("resources");
-        return new Endpoints(
+        return new NetworkSettings(
                 top.address("serve_on"),
                 top.address("peer_bind"),
                 Map.copyOf(peers),
                 services.address("cloud"),
                 services.address("state"),
-                resources.count("max_sockets", Endpoints.fewestSockets(peers.size())));
+                resources.count("max_sockets", NetworkSettings.minSockets(peers.size())));
     }
 
     /** Checks the fields that every deployment sets but the controller does not use. */
@@ -57,7 +57,7 @@
         settings.number("time_bound_ms", 0);
     }
 
-    private static Settings settings(TomlTable top, Endpoints endpoints, Tuning tuning) throws SettingsException {
+    private static Settings settings(TomlTable top, NetworkSettings network, Tuning tuning) throws SettingsException {
         TomlTable settings = top.table("settings");
         Map<String, TeamQuota> teams = teams(settings);
         List<ServiceLevelObjective> objectives = objectives(settings);
@@ -69,7 +69,7 @@
         resources.positive("ram_mb");
         return new Settings(
                 top.text("node_name"),
-                endpoints.peerNames(),
+                network.peerNames(),
                 teams,
                 objectives,
                 settings.texts("zones"),
--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -18,7 +18,7 @@
 import dewlane.core.schema.StoredValue;
 import dewlane.core.schema.Transaction;
 import dewlane.io.ControllerServer;
-import dewlane.io.Endpoints;
+import dewlane.io.NetworkSettings;
 import dewlane.wire.StoreProtocol;
 import dewlane.wire.StoredValueCodec;
 import java.io.IOException;
@@ -90,7 +90,7 @@
                 }
             }
         }
-        StoreProtocol.events("{\"ledger\":1,\"log\":[]}".getBytes(StandardCharsets.US_ASCII));
+        StoreProtocol.parseEvents("{\"ledger\":1,\"log\":[]}".getBytes(StandardCharsets.US_ASCII));
     }
 
     private static List<Input> inputs(Job job) {
@@ -127,8 +127,8 @@
     private static void runServer() throws IOException, InterruptedException, SettingsException {
         String own = "127.0.0.1:" + freePort();
         String peer = "127.0.0.1:" + freePort();
-        Endpoints endpoints = new Endpoints(own, peer, Map.of("other", peer), own, own, MAX_SOCKETS);
-        ControllerServer server = new ControllerServer(settings(), endpoints, 1);
+        NetworkSettings network = new NetworkSettings(own, peer, Map.of("other", peer), own, own, MAX_SOCKETS);
+        ControllerServer server = new ControllerServer(settings(), network, 1);
         server.start();
         Thread.sleep(SERVING_MS);
         TomlTable.read("deploy/service.toml");
--- a/src/main/java/dewlane/io/CloudClient.java
+++ b/src/main/java/dewlane/io/CloudClient.java
@@ -40,7 +40,7 @@
         calls.send(Methods.GET, CloudProtocol.MACHINE_TYPES_PATH, null, TIMEOUT_MS, (status, body) -> {
             try {
                 if (status == StatusCodes.OK) {
-                    core.accept(new Input.MachineTypesListed(CloudProtocol.machineTypes(body)));
+                    core.accept(new Input.MachineTypesListed(CloudProtocol.parseMachineTypes(body)));
                 }
             } catch (IOException e) {
                 LOG.error("malformed list of machine types from the cloud: {}", e.getMessage());
@@ -64,7 +64,7 @@
                 return;
             }
             try {
-                onPage(CloudProtocol.page(body), instances);
+                onPage(CloudProtocol.parsePage(body), instances);
             } catch (IOException e) {
                 LOG.error("malformed list of instances from the cloud: {}", e.getMessage());
             }
@@ -120,7 +120,7 @@
 
     private static List<String> createdNames(byte[] body) {
         try {
-            return CloudProtocol.createdInstances(body);
+            return CloudProtocol.parseCreatedInstances(body);
         } catch (IOException e) {
             LOG.error("malformed list of created instances from the cloud: {}", e.getMessage());
             return List.of();
--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -31,7 +31,7 @@
     private static final int REQUEST_HEADER_TIMEOUT_MS = 10_000;
 
     private final Settings settings;
-    private final Endpoints endpoints;
+    private final NetworkSettings network;
     private final Controller controller;
     private final ControllerLoop loop;
     private final XnioWorker worker;
@@ -48,9 +48,9 @@
      * @param seed the seed of the core's random choices
      * @throws IOException if the I/O thread cannot be started
      */
-    public ControllerServer(Settings settings, Endpoints endpoints, long seed) throws IOException {
+    public ControllerServer(Settings settings, NetworkSettings network, long seed) throws IOException {
         this.settings = settings;
-        this.endpoints = endpoints;
+        this.network = network;
         this.controller = new Controller(settings, seed, value -> StoredValueCodec.encode(value).length);
         this.controller.setCommandLogging(
                 LoggerFactory.getLogger(Controller.class).isDebugEnabled());
@@ -64,13 +64,13 @@
                         .set(Options.THREAD_DAEMON, false)
                         .getMap());
         this.thread = worker.getIoThread();
-        this.workers = new WorkerConnectionPools(thread, buffers, endpoints.maxCommandConnections());
+        this.workers = new WorkerConnectionPools(thread, buffers, network.maxCommandConnections());
         this.effects = new EffectDispatcher(
                 requests,
-                new StoreClient(thread, buffers, endpoints.store(), settings, loop::accept),
-                new CloudClient(thread, buffers, endpoints.cloud(), loop::accept),
+                new StoreClient(thread, buffers, network.store(), settings, loop::accept),
+                new CloudClient(thread, buffers, network.cloud(), loop::accept),
                 new WorkerCommandClient(workers, loop::accept),
-                new PeerClient(thread, buffers, endpoints.peers().values()));
+                new PeerClient(thread, buffers, network.peers().values()));
     }
 
     private void dispatch(Effect effect) {
@@ -82,18 +82,18 @@
         server = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, endpoints.maxInboundConnections())
-                .setSocketOption(Options.CONNECTION_LOW_WATER, endpoints.maxInboundConnections() - 1)
+                .setSocketOption(Options.CONNECTION_HIGH_WATER, network.maxInboundConnections())
+                .setSocketOption(Options.CONNECTION_LOW_WATER, network.maxInboundConnections() - 1)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) HttpExchanges.MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_CONNECTION_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_HEADER_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-                .addListener(listener(endpoints.listen(), serviceEndpoint()))
-                .addListener(listener(endpoints.peerListen(), new PeerEndpoint(loop::accept)))
+                .addListener(listener(network.listen(), serviceEndpoint()))
+                .addListener(listener(network.peerListen(), new PeerEndpoint(loop::accept)))
                 .build();
         server.start();
-        LOG.info("{} listens on {} and {}", settings.controllerName(), endpoints.listen(), endpoints.peerListen());
+        LOG.info("{} listens on {} and {}", settings.controllerName(), network.listen(), network.peerListen());
         thread.execute(this::tick);
         thread.executeAfter(this::logSummary, SUMMARY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
@@ -110,7 +110,7 @@
      * is then closed after its answer, so that the workers share the available sockets.
      */
     private boolean mayKeepConnections() {
-        return controller.ownedMachineCount() <= endpoints.maxPersistentHeartbeatConnections();
+        return controller.ownedMachineCount() <= network.maxPersistentHeartbeatConnections();
     }
 
     /** Stops the controller. Used by tests and the warm-up only. */
--- a/src/main/java/dewlane/io/HeartbeatEndpoint.java
+++ b/src/main/java/dewlane/io/HeartbeatEndpoint.java
@@ -35,7 +35,7 @@
     void receive(HttpServerExchange exchange, byte[] body) {
         Heartbeat heartbeat;
         try {
-            heartbeat = WorkerProtocol.heartbeat(body);
+            heartbeat = WorkerProtocol.parseHeartbeat(body);
         } catch (IOException | NumberFormatException e) {
             HttpExchanges.sendError(exchange, StatusCodes.BAD_REQUEST, "not a report");
             return;
--- a/src/main/java/dewlane/io/Endpoints.java
+++ b/src/main/java/dewlane/io/NetworkSettings.java
@@ -8,7 +8,7 @@
  *
  * @param maxSockets the number of sockets that the process may have open
  */
-public record Endpoints(
+public record NetworkSettings(
         String listen, String peerListen, Map<String, String> peers, String cloud, String store, int maxSockets) {
     /** The share of the sockets for connections from workers, users and health checks. */
     private static final double INBOUND_SHARE = 0.8;
@@ -20,7 +20,7 @@
     private static final int FIXED_CONNECTIONS = 32;
 
     /** Returns the smallest number of sockets with which a controller can work. */
-    public static int fewestSockets(int peers) {
+    public static int minSockets(int peers) {
         return 4 * (FIXED_CONNECTIONS + 2 * peers);
     }
 
--- a/src/main/java/dewlane/io/PeerClient.java
+++ b/src/main/java/dewlane/io/PeerClient.java
@@ -29,7 +29,7 @@
         List<byte[]> pages = new ArrayList<>();
         try {
             for (PeerStatus page : broadcast.pages()) {
-                pages.add(PeerProtocol.status(page));
+                pages.add(PeerProtocol.encodeStatus(page));
             }
         } catch (IOException e) {
             LOG.error("cannot encode the status for the peers: {}", e.getMessage());
--- a/src/main/java/dewlane/io/PeerEndpoint.java
+++ b/src/main/java/dewlane/io/PeerEndpoint.java
@@ -28,7 +28,7 @@
 
     private void receive(HttpServerExchange exchange, byte[] body) {
         try {
-            core.accept(new Input.PeerStatusReceived(PeerProtocol.status(body)));
+            core.accept(new Input.PeerStatusReceived(PeerProtocol.parseStatus(body)));
             HttpExchanges.send(exchange, StatusCodes.OK, UserProtocol.error(HttpExchanges.NO_ERROR));
         } catch (IOException | RuntimeException e) {
             HttpExchanges.sendError(exchange, StatusCodes.BAD_REQUEST, "not a status");
--- a/src/main/java/dewlane/io/PendingRequests.java
+++ b/src/main/java/dewlane/io/PendingRequests.java
@@ -92,7 +92,7 @@
         if (answer.status() == StatusCodes.SERVICE_UNAVAILABLE) {
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, answer.retryAfterS());
         }
-        byte[] body = answer.job() != null ? UserProtocol.state(answer.job()) : UserProtocol.error(answer.reason());
+        byte[] body = answer.job() != null ? UserProtocol.jobStatus(answer.job()) : UserProtocol.error(answer.reason());
         HttpExchanges.send(exchange, answer.status(), body);
     }
 
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -71,7 +71,7 @@
                 return;
             }
             try {
-                onPage(StoreProtocol.page(body), rows, firstRevision);
+                onPage(StoreProtocol.parsePage(body), rows, firstRevision);
             } catch (IOException e) {
                 LOG.error("malformed listing from the store: {}", e.getMessage());
                 core.accept(new Input.StoreListFailed());
@@ -103,7 +103,7 @@
         watches.send(Methods.GET, path, null, WATCH_MS + WATCH_GRACE_MS, (status, body) -> {
             try {
                 if (status == StatusCodes.OK) {
-                    StoreProtocol.Events events = StoreProtocol.events(body);
+                    StoreProtocol.Events events = StoreProtocol.parseEvents(body);
                     core.accept(new Input.WatchEvents(events.changes(), events.revision()));
                     return;
                 }
@@ -130,7 +130,7 @@
         Transaction.Status outcome = transactionStatus(status);
         try {
             boolean hasRevision = outcome == Transaction.Status.COMMITTED || outcome == Transaction.Status.CONFLICT;
-            return new Input.TransactionCompleted(id, outcome, hasRevision ? StoreProtocol.revision(body) : 0);
+            return new Input.TransactionCompleted(id, outcome, hasRevision ? StoreProtocol.parseRevision(body) : 0);
         } catch (IOException e) {
             return new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0);
         }
@@ -152,7 +152,7 @@
         calls.send(Methods.GET, StoreProtocol.valuePath(key), null, TIMEOUT_MS, (status, body) -> {
             try {
                 if (status == StatusCodes.OK) {
-                    Input.StoreRow row = StoreProtocol.row(key, body);
+                    Input.StoreRow row = StoreProtocol.parseRow(key, body);
                     core.accept(new Input.ValueRead(id, Optional.ofNullable(row.value())));
                     return;
                 }
@@ -170,7 +170,7 @@
             Input result = new Input.RevisionReadFailed();
             try {
                 if (status == StatusCodes.NOT_FOUND) {
-                    result = new Input.RevisionRead(StoreProtocol.revision(body));
+                    result = new Input.RevisionRead(StoreProtocol.parseRevision(body));
                 }
             } catch (IOException e) {
                 LOG.error("malformed revision from the store: {}", e.getMessage());
@@ -190,7 +190,7 @@
                     Input result = new Input.LeaseGrantFailed();
                     try {
                         if (status == StatusCodes.OK) {
-                            result = new Input.LeaseGranted(StoreProtocol.grantedLease(body));
+                            result = new Input.LeaseGranted(StoreProtocol.parseGrantedLease(body));
                         }
                     } catch (IOException e) {
                         LOG.error("malformed lease from the store: {}", e.getMessage());
--- a/src/main/java/dewlane/io/UserEndpoint.java
+++ b/src/main/java/dewlane/io/UserEndpoint.java
@@ -22,7 +22,7 @@
 
     /** Passes a submission to the core. */
     void submit(HttpServerExchange exchange, byte[] body) {
-        UserProtocol.Submission submission = UserProtocol.submission(body);
+        UserProtocol.Submission submission = UserProtocol.parseSubmission(body);
         forward(
                 exchange,
                 PendingRequests.Kind.CHANGE,
--- a/src/main/java/dewlane/io/WorkerCommandClient.java
+++ b/src/main/java/dewlane/io/WorkerCommandClient.java
@@ -43,7 +43,9 @@
     /** Returns the heartbeat in an answer, or null if there is none. */
     private static Heartbeat heartbeat(String machine, int status, byte[] answer) {
         try {
-            return status == StatusCodes.OK || status == StatusCodes.CONFLICT ? WorkerProtocol.heartbeat(answer) : null;
+            return status == StatusCodes.OK || status == StatusCodes.CONFLICT
+                    ? WorkerProtocol.parseHeartbeat(answer)
+                    : null;
         } catch (IOException | NumberFormatException e) {
             LOG.error("malformed heartbeat in the answer of machine {} to a command: {}", machine, e.getMessage());
             return null;
--- a/src/main/java/dewlane/wire/CloudProtocol.java
+++ b/src/main/java/dewlane/wire/CloudProtocol.java
@@ -56,7 +56,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static List<MachineType> machineTypes(byte[] body) throws IOException {
+    public static List<MachineType> parseMachineTypes(byte[] body) throws IOException {
         List<MachineType> types = new ArrayList<>();
         for (Object element : Json.list(Json.parse(body), MACHINE_TYPES)) {
             types.add(machineType(Json.asObject(element)));
@@ -93,7 +93,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static Page page(byte[] body) throws IOException {
+    public static Page parsePage(byte[] body) throws IOException {
         Map<String, Object> fields = Json.parse(body);
         List<CloudInstance> instances = new ArrayList<>();
         for (Object element : Json.list(fields, INSTANCES)) {
@@ -139,7 +139,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static List<String> createdInstances(byte[] body) throws IOException {
+    public static List<String> parseCreatedInstances(byte[] body) throws IOException {
         return Json.strings(Json.parse(body), INSTANCES);
     }
 
--- a/src/main/java/dewlane/wire/JobCodec.java
+++ b/src/main/java/dewlane/wire/JobCodec.java
@@ -65,7 +65,7 @@
         out.writeStringField(ID, job.id());
         out.writeStringField(JOB_CLASS, job.jobClass());
         out.writeStringField(TEAM, job.team());
-        out.writeStringField(PRIORITY, StoredWords.word(job.priority()));
+        out.writeStringField(PRIORITY, StoredEnumCodec.encode(job.priority()));
         out.writeNumberField(TASKS, job.tasks());
         out.writeNumberField(CPUS, job.cpus());
         out.writeNumberField(GPUS, job.gpus());
@@ -113,7 +113,7 @@
     private static JobOwnership readOwnership(Map<String, Object> fields) {
         String jobClass = Json.string(fields, JOB_CLASS);
         String team = Json.string(fields, TEAM);
-        return new JobOwnership(team, jobClass, StoredWords.priority(Json.string(fields, PRIORITY)));
+        return new JobOwnership(team, jobClass, StoredEnumCodec.decodePriority(Json.string(fields, PRIORITY)));
     }
 
     private static PlacementConstraints readPlacement(Map<String, Object> fields) {
--- a/src/main/java/dewlane/wire/PeerProtocol.java
+++ b/src/main/java/dewlane/wire/PeerProtocol.java
@@ -17,7 +17,7 @@
     private PeerProtocol() {}
 
     /** Encodes a status. */
-    public static byte[] status(PeerStatus status) throws IOException {
+    public static byte[] encodeStatus(PeerStatus status) throws IOException {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packString(status.controller()).packLong(status.epoch()).packBoolean(status.storeReachable());
             out.packArrayHeader(status.cancelledJobs().size());
@@ -44,7 +44,7 @@
      * @throws IOException if the body is truncated; other malformed bodies cause a runtime exception of the MessagePack
      *     library
      */
-    public static PeerStatus status(byte[] body) throws IOException {
+    public static PeerStatus parseStatus(byte[] body) throws IOException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
             String controller = in.unpackString();
             long epoch = in.unpackLong();
--- a/src/main/java/dewlane/wire/StoreProtocol.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -80,7 +80,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static long grantedLease(byte[] body) throws IOException {
+    public static long parseGrantedLease(byte[] body) throws IOException {
         return Json.integer(Json.parse(body), LEASE);
     }
 
@@ -89,7 +89,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static long revision(byte[] body) throws IOException {
+    public static long parseRevision(byte[] body) throws IOException {
         return Json.integer(Json.parse(body), REVISION);
     }
 
@@ -98,7 +98,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static StoreRow row(String key, byte[] body) throws IOException {
+    public static StoreRow parseRow(String key, byte[] body) throws IOException {
         return row(key, Json.parse(body));
     }
 
@@ -115,7 +115,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static Page page(byte[] body) throws IOException {
+    public static Page parsePage(byte[] body) throws IOException {
         Map<String, Object> fields = Json.parse(body);
         List<StoreRow> rows = new ArrayList<>();
         String lastKey = null;
@@ -135,7 +135,7 @@
      *
      * @throws IOException if the body is not a JSON object
      */
-    public static Events events(byte[] body) throws IOException {
+    public static Events parseEvents(byte[] body) throws IOException {
         Map<String, Object> fields = Json.parse(body);
         List<KeyChange> changes = new ArrayList<>();
         for (Object element : Json.list(fields, EVENTS)) {
--- a/src/main/java/dewlane/wire/StoredWords.java
+++ b/src/main/java/dewlane/wire/StoredEnumCodec.java
@@ -8,7 +8,7 @@
  * the Java constants, because values outlive the version that wrote them: a Java constant may be renamed, its stored
  * name may not change.
  */
-final class StoredWords {
+final class StoredEnumCodec {
     private static final String IDLE = "IDLE";
     private static final String STANDARD = "STANDARD";
     private static final String HIGH = "HIGH";
@@ -18,10 +18,10 @@
     private static final String DELETE = "DELETE";
     private static final String GONE = "GONE";
 
-    private StoredWords() {}
+    private StoredEnumCodec() {}
 
     /** Returns the stored name of a priority. */
-    static String word(Priority priority) {
+    static String encode(Priority priority) {
         return switch (priority) {
             case IDLE -> IDLE;
             case STANDARD -> STANDARD;
@@ -31,7 +31,7 @@
     }
 
     /** Returns the priority with a stored name; throws {@link IllegalArgumentException} if there is none. */
-    static Priority priority(String word) {
+    static Priority decodePriority(String word) {
         return switch (String.valueOf(word)) {
             case IDLE -> Priority.IDLE;
             case STANDARD -> Priority.STANDARD;
@@ -44,7 +44,7 @@
     }
 
     /** Returns the stored name of a decommission state. */
-    static String word(DecommissionState state) {
+    static String encode(DecommissionState state) {
         return switch (state) {
             case SCALE_IN -> RETURN;
             case DELETE -> DELETE;
@@ -53,7 +53,7 @@
     }
 
     /** Returns the decommission state with a stored name; throws {@link IllegalArgumentException} if there is none. */
-    static DecommissionState decommissionState(String word) {
+    static DecommissionState decodeDecommissionState(String word) {
         return switch (String.valueOf(word)) {
             case RETURN -> DecommissionState.SCALE_IN;
             case DELETE -> DecommissionState.DELETE;
--- a/src/main/java/dewlane/wire/StoredValueCodec.java
+++ b/src/main/java/dewlane/wire/StoredValueCodec.java
@@ -64,7 +64,7 @@
     }
 
     private static void write(JsonGenerator out, DecommissionRecord record) throws IOException {
-        out.writeStringField(DECOMMISSION_STATE, StoredWords.word(record.state()));
+        out.writeStringField(DECOMMISSION_STATE, StoredEnumCodec.encode(record.state()));
         out.writeStringField(REASON, record.reason());
         if (!record.machines().isEmpty()) {
             Json.writeStrings(out, MACHINES, record.machines());
@@ -107,7 +107,7 @@
 
     private static DecommissionRecord decommission(Map<String, Object> fields) {
         return new DecommissionRecord(
-                StoredWords.decommissionState(Json.string(fields, DECOMMISSION_STATE)),
+                StoredEnumCodec.decodeDecommissionState(Json.string(fields, DECOMMISSION_STATE)),
                 Json.string(fields, REASON),
                 List.copyOf(Json.strings(fields, MACHINES)),
                 UnknownFieldsCodec.read(fields, DECOMMISSION_FIELDS));
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -37,12 +37,12 @@
     }
 
     /** Parses a submission; the result of a malformed one holds the reason instead of a job. */
-    public static Submission submission(byte[] body) {
+    public static Submission parseSubmission(byte[] body) {
         return SubmissionParser.parse(body);
     }
 
     /** Returns the body of an answer with the status of a job. */
-    public static byte[] state(JobStatus status) {
+    public static byte[] jobStatus(JobStatus status) {
         return Json.write(out -> {
             out.writeStartObject();
             out.writeStringField(JOB_ID, status.job());
--- a/src/main/java/dewlane/wire/WorkerProtocol.java
+++ b/src/main/java/dewlane/wire/WorkerProtocol.java
@@ -46,7 +46,7 @@
      * @throws IOException if the body is not JSON, lacks a required field, or has a malformed task
      * @throws NumberFormatException if the index in a task's name is not an integer
      */
-    public static Heartbeat heartbeat(byte[] body) throws IOException {
+    public static Heartbeat parseHeartbeat(byte[] body) throws IOException {
         Map<String, Object> fields = Json.parse(body);
         String machine = Json.string(fields, MACHINE);
         String address = Json.string(fields, ADDRESS);
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/SettingsFilesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Reads valid and invalid settings files. */
-class DeployFileTest {
+class SettingsFilesTest {
     private static final Path GOOD = Path.of("docs/example-settings.toml");
 
     @TempDir
@@ -30,9 +30,9 @@
 
     @Test
     void goodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
-        DeployFile file = DeployFile.read(GOOD.toString(), null);
+        SettingsFiles file = SettingsFiles.read(GOOD.toString(), null);
         assertEquals("node-0", file.settings().controllerName());
-        assertEquals("127.0.0.1:18085", file.endpoints().store());
+        assertEquals("127.0.0.1:18085", file.network().store());
         assertEquals(16_384, file.settings().maxValueBytes());
         assertEquals(10, file.settings().shortestObjectiveS("guarantee", "any"));
         assertTrue(file.settings().teams().get("blue").hasLimit());
@@ -58,7 +58,7 @@
             })
     void badFieldIsNamedWithWhatWasExpected(String good, String bad, String message) throws IOException {
         String file = fileWith(good, bad);
-        SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
+        SettingsException e = assertThrows(SettingsException.class, () -> SettingsFiles.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
 
@@ -75,7 +75,7 @@
             })
     void badNextLimitIsNamedWithItsMinimum(String next, String message) throws IOException {
         String file = fileWith("txn_ops = 16", "txn_ops = 16\n" + next);
-        SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
+        SettingsException e = assertThrows(SettingsException.class, () -> SettingsFiles.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
 
@@ -83,26 +83,26 @@
     void sizesStayWithinSmallerOfBothLimits() throws IOException, SettingsException {
         String file =
                 fileWith("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
-        Settings settings = DeployFile.read(file, null).settings();
+        Settings settings = SettingsFiles.read(file, null).settings();
         assertEquals(2048, settings.maxValueBytes());
         assertEquals(16, settings.maxTransactionWrites());
         assertEquals(64, settings.maxTransactionPreconditions());
         assertEquals(100, settings.storeRequestsPerS());
         assertEquals(30, settings.store().current().writesPerS());
         assertEquals(21, settings.store().reducedWritesPerS());
-        Settings without = DeployFile.read(GOOD.toString(), null).settings();
+        Settings without = SettingsFiles.read(GOOD.toString(), null).settings();
         assertEquals(without.store().current(), without.store().next());
     }
 
     @Test
     void unreadableFileIsReportedInOneLine() throws IOException {
         String file = Files.writeString(dir.resolve("bad.toml"), "= = =\n").toString();
-        assertTrue(assertThrows(SettingsException.class, () -> DeployFile.read(file, null))
+        assertTrue(assertThrows(SettingsException.class, () -> SettingsFiles.read(file, null))
                 .getMessage()
                 .startsWith(file + ": is not TOML"));
         assertEquals(
                 "nowhere.toml: cannot be read",
-                assertThrows(SettingsException.class, () -> DeployFile.read("nowhere.toml", null))
+                assertThrows(SettingsException.class, () -> SettingsFiles.read("nowhere.toml", null))
                         .getMessage());
     }
 
@@ -111,14 +111,14 @@
         String operators =
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 20\n").toString();
         Settings.Tuning tuning =
-                DeployFile.read(GOOD.toString(), operators).settings().tuning();
+                SettingsFiles.read(GOOD.toString(), operators).settings().tuning();
         assertEquals(20, tuning.machineTimeoutS());
         assertEquals(Settings.Tuning.defaults().scaleInIdleS(), tuning.scaleInIdleS());
         String bad =
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 1\n").toString();
         assertEquals(
                 bad + ": silent_s: expected a number of at least 5",
-                assertThrows(SettingsException.class, () -> DeployFile.read(GOOD.toString(), bad))
+                assertThrows(SettingsException.class, () -> SettingsFiles.read(GOOD.toString(), bad))
                         .getMessage());
     }
 }
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -230,7 +230,7 @@
 
     private void checkPageSize(PeerStatus page) {
         try {
-            int bytes = PeerProtocol.status(page).length;
+            int bytes = PeerProtocol.encodeStatus(page).length;
             if (bytes > MAX_PEER_PAGE_BYTES) {
                 throw new AssertionError(name + " sends its peers " + bytes + " bytes at once");
             }
--- a/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/CloudProtocolGoldenTest.java
@@ -48,7 +48,7 @@
         List<MachineType> expected = List.of(
                 new MachineType("g8", 96, 8, 768.5, 200, 0.5, 12.25, 4.5, 45, List.of("a", "b")),
                 new MachineType("c2", 2, 0, 8, 20, 0.25, 0.1, 0.03, 30, List.of()));
-        assertEquals(expected, CloudProtocol.machineTypes(Golden.bytes(MACHINE_TYPES)));
+        assertEquals(expected, CloudProtocol.parseMachineTypes(GoldenMessages.bytes(MACHINE_TYPES)));
     }
 
     @Test
@@ -58,13 +58,13 @@
                 new CloudInstance("vm-2", null, "c2", "b", false, State.STARTING, 0),
                 new CloudInstance("vm-3", "10.1.0.3:9000", "c2", "b", false, State.FAILED, 7),
                 new CloudInstance("vm-4", "10.1.0.4:9000", "c2", "b", false, State.STARTING, 8));
-        assertEquals(new CloudProtocol.Page(machines, true), CloudProtocol.page(Golden.bytes(PAGE)));
+        assertEquals(new CloudProtocol.Page(machines, true), CloudProtocol.parsePage(GoldenMessages.bytes(PAGE)));
     }
 
     @Test
     void lastPageIsRead() throws IOException {
-        byte[] body = Golden.bytes("{\"casks\":[],\"more\":false}");
-        assertEquals(new CloudProtocol.Page(List.of(), false), CloudProtocol.page(body));
+        byte[] body = GoldenMessages.bytes("{\"casks\":[],\"more\":false}");
+        assertEquals(new CloudProtocol.Page(List.of(), false), CloudProtocol.parsePage(body));
     }
 
     @ParameterizedTest
@@ -72,13 +72,13 @@
     void createRequestIsWritten(boolean spot, int count) {
         String expected = "{\"indent\":\"cask-0-4-17\",\"rack\":\"g8\",\"cellar\":\"a\",\"consignment\":" + spot
                 + ",\"count\":" + count + "}";
-        Golden.assertMessage(expected, CloudProtocol.createRequest("cask-0-4-17", "g8", "a", spot, count));
+        GoldenMessages.assertMessage(expected, CloudProtocol.createRequest("cask-0-4-17", "g8", "a", spot, count));
     }
 
     @Test
     void createdInstancesAreRead() throws IOException {
-        byte[] body = Golden.bytes("{\"casks\":[\"vm-000231\",\"vm-000232\"]}");
-        assertEquals(List.of("vm-000231", "vm-000232"), CloudProtocol.createdInstances(body));
+        byte[] body = GoldenMessages.bytes("{\"casks\":[\"vm-000231\",\"vm-000232\"]}");
+        assertEquals(List.of("vm-000231", "vm-000232"), CloudProtocol.parseCreatedInstances(body));
     }
 
     @ParameterizedTest
@@ -91,12 +91,12 @@
                 "no JSON                     | false"
             })
     void lackOfCapacityIsRecognized(String body, boolean expected) {
-        assertEquals(expected, CloudProtocol.isNoCapacity(Golden.bytes(body)));
+        assertEquals(expected, CloudProtocol.isNoCapacity(GoldenMessages.bytes(body)));
     }
 
     @Test
     void deleteRequestIsWritten() {
         byte[] message = CloudProtocol.deleteRequest(List.of("vm-000231", "vm-000232"));
-        Golden.assertMessage("{\"casks\":[\"vm-000231\",\"vm-000232\"]}", message);
+        GoldenMessages.assertMessage("{\"casks\":[\"vm-000231\",\"vm-000232\"]}", message);
     }
 }
--- a/src/test/java/dewlane/wire/Golden.java
+++ b/src/test/java/dewlane/wire/GoldenMessages.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Compares encoded messages with their expected text, byte for byte. */
-final class Golden {
-    private Golden() {}
+final class GoldenMessages {
+    private GoldenMessages() {}
 
     /** Returns a message as it is received from the network. */
     static byte[] bytes(String text) {
--- a/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/PeerProtocolGoldenTest.java
@@ -46,12 +46,12 @@
     @ParameterizedTest
     @MethodSource("messages")
     void statusIsWritten(String hex, PeerStatus status) throws IOException {
-        assertEquals(hex, HexFormat.of().formatHex(PeerProtocol.status(status)));
+        assertEquals(hex, HexFormat.of().formatHex(PeerProtocol.encodeStatus(status)));
     }
 
     @ParameterizedTest
     @MethodSource("messages")
     void statusIsRead(String hex, PeerStatus status) throws IOException {
-        assertEquals(status, PeerProtocol.status(HexFormat.of().parseHex(hex)));
+        assertEquals(status, PeerProtocol.parseStatus(HexFormat.of().parseHex(hex)));
     }
 }
--- a/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoreProtocolGoldenTest.java
@@ -125,20 +125,20 @@
 
     @Test
     void leaseIsRequestedAndGranted() throws IOException {
-        Golden.assertMessage("{\"ttlMs\":10000}", StoreProtocol.grantRequest(10_000));
-        assertEquals(17, StoreProtocol.grantedLease(Golden.bytes("{\"tenancy\":17}")));
+        GoldenMessages.assertMessage("{\"ttlMs\":10000}", StoreProtocol.grantRequest(10_000));
+        assertEquals(17, StoreProtocol.parseGrantedLease(GoldenMessages.bytes("{\"tenancy\":17}")));
     }
 
     @Test
     void revisionIsRead() throws IOException {
-        assertEquals(5_000_000_001L, StoreProtocol.revision(Golden.bytes("{\"ledger\":5000000001}")));
+        assertEquals(5_000_000_001L, StoreProtocol.parseRevision(GoldenMessages.bytes("{\"ledger\":5000000001}")));
     }
 
     @ParameterizedTest
     @MethodSource("values")
     void everyValueIsReadFromItsKey(String key, String json, StoredValue value) throws IOException {
-        byte[] body = Golden.bytes("{\"value\":" + json + ",\"entry\":41,\"ledger\":50}");
-        assertEquals(new StoreRow(key, value, 41), StoreProtocol.row(key, body));
+        byte[] body = GoldenMessages.bytes("{\"value\":" + json + ",\"entry\":41,\"ledger\":50}");
+        assertEquals(new StoreRow(key, value, 41), StoreProtocol.parseRow(key, body));
     }
 
     @ParameterizedTest
@@ -146,7 +146,7 @@
     void everyValueIsWritten(String key, String json, StoredValue value) {
         Transaction transaction = new Transaction.Builder().put(key, value).build();
         String expected = "{\"when\":[],\"apply\":[{\"set\":\"" + key + "\",\"value\":" + json + "}]}";
-        Golden.assertMessage(expected, StoreProtocol.transactionRequest(transaction));
+        GoldenMessages.assertMessage(expected, StoreProtocol.transactionRequest(transaction));
     }
 
     @Test
@@ -172,7 +172,7 @@
                 {"set":"dewlane/team/vision","value":{"cpus":12.5,"gpus":2.0}},\
                 {"set":"dewlane/node/cask-0","value":{"incarnation":4,"format":2},"tenancy":17},\
                 {"delete":"dewlane/job/wk-1"}]}""";
-        Golden.assertMessage(expected, StoreProtocol.transactionRequest(transaction));
+        GoldenMessages.assertMessage(expected, StoreProtocol.transactionRequest(transaction));
     }
 
     @Test
@@ -184,13 +184,13 @@
                 new StoreRow("dewlane/map", partitionMap(), 8),
                 new StoreRow("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2), 9));
         StoreProtocol.Page expected = new StoreProtocol.Page(rows, "dewlane/team/vision", true, 50);
-        assertEquals(expected, StoreProtocol.page(Golden.bytes(body)));
+        assertEquals(expected, StoreProtocol.parsePage(GoldenMessages.bytes(body)));
     }
 
     @Test
     void emptyPageIsRead() throws IOException {
-        byte[] body = Golden.bytes("{\"rows\":[],\"more\":false,\"ledger\":50}");
-        assertEquals(new StoreProtocol.Page(List.of(), null, false, 50), StoreProtocol.page(body));
+        byte[] body = GoldenMessages.bytes("{\"rows\":[],\"more\":false,\"ledger\":50}");
+        assertEquals(new StoreProtocol.Page(List.of(), null, false, 50), StoreProtocol.parsePage(body));
     }
 
     @Test
@@ -200,6 +200,6 @@
         List<KeyChange> changes = List.of(
                 new KeyChange("dewlane/team/vision", new StoredValue.TeamUsageRecord(12.5, 2), 48),
                 new KeyChange("dewlane/job/wk-1", null, 49));
-        assertEquals(new StoreProtocol.Events(changes, 50), StoreProtocol.events(Golden.bytes(body)));
+        assertEquals(new StoreProtocol.Events(changes, 50), StoreProtocol.parseEvents(GoldenMessages.bytes(body)));
     }
 }
--- a/src/test/java/dewlane/wire/StoredWordsGoldenTest.java
+++ b/src/test/java/dewlane/wire/StoredEnumGoldenTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** The names of enum constants in stored values. They must not change when a Java constant is renamed. */
-class StoredWordsGoldenTest {
+class StoredEnumGoldenTest {
     private static StoredValue.JobRecord jobRecord(Priority priority) {
         Job job = JobBuilder.job("wk-1").priority(priority).build();
         return new StoredValue.JobRecord(job, List.of(), 0);
@@ -34,13 +34,13 @@
     }
 
     private static StoredValue decode(String key, String json) throws IOException {
-        return StoredValueCodec.decode(key, Json.parse(Golden.bytes(json)));
+        return StoredValueCodec.decode(key, Json.parse(GoldenMessages.bytes(json)));
     }
 
     @ParameterizedTest
     @CsvSource({"IDLE, IDLE", "STANDARD, STANDARD", "HIGH, HIGH", "CRITICAL, CRITICAL"})
     void priorityHasItsStoredName(String name, Priority priority) throws IOException {
-        Golden.assertMessage(jobJson(name), StoredValueCodec.encode(jobRecord(priority)));
+        GoldenMessages.assertMessage(jobJson(name), StoredValueCodec.encode(jobRecord(priority)));
         assertEquals(jobRecord(priority), decode(StoreKeys.job("wk-1"), jobJson(name)));
     }
 
@@ -48,20 +48,20 @@
     @CsvSource({"RETURN, SCALE_IN", "DELETE, DELETE", "GONE, TERMINATED"})
     void decommissionStateHasItsStoredName(String name, DecommissionState state) throws IOException {
         StoredValue.DecommissionRecord record = new StoredValue.DecommissionRecord(state, "silent", List.of());
-        Golden.assertMessage(decommissionJson(name), StoredValueCodec.encode(record));
+        GoldenMessages.assertMessage(decommissionJson(name), StoredValueCodec.encode(record));
         assertEquals(record, decode(StoreKeys.decommission("vm-1"), decommissionJson(name)));
     }
 
     @ParameterizedTest
     @EnumSource
     void everyPriorityIsDecodedToItself(Priority priority) {
-        assertEquals(priority, StoredWords.priority(StoredWords.word(priority)));
+        assertEquals(priority, StoredEnumCodec.decodePriority(StoredEnumCodec.encode(priority)));
     }
 
     @ParameterizedTest
     @EnumSource
     void everyDecommissionStateIsDecodedToItself(DecommissionState state) {
-        assertEquals(state, StoredWords.decommissionState(StoredWords.word(state)));
+        assertEquals(state, StoredEnumCodec.decodeDecommissionState(StoredEnumCodec.encode(state)));
     }
 
     @ParameterizedTest
--- a/src/test/java/dewlane/wire/StoredFormatTest.java
+++ b/src/test/java/dewlane/wire/StoredFormatTest.java
@@ -150,8 +150,8 @@
                 true,
                 List.of("wk-000007"),
                 List.of(new PeerStatus.MachineStatus("vm-000001", "10.1.0.1:9000", "g8", "east", true, 3, 9)));
-        assertEquals(status, PeerProtocol.status(recorded("peer-status.msgpack")));
-        assertArrayEquals(recorded("peer-status.msgpack"), PeerProtocol.status(status));
+        assertEquals(status, PeerProtocol.parseStatus(recorded("peer-status.msgpack")));
+        assertArrayEquals(recorded("peer-status.msgpack"), PeerProtocol.encodeStatus(status));
     }
 
     @ParameterizedTest
@@ -214,14 +214,14 @@
     void keysOfANewerVersionAreIgnored() throws IOException {
         String final1 = new String(recorded("final-done.json"), StandardCharsets.UTF_8);
         StoreProtocol.Events events =
-                StoreProtocol.events(("{\"ledger\":9,\"log\":[{\"set\":\"dewlane/newer/1\",\"value\":{},"
+                StoreProtocol.parseEvents(("{\"ledger\":9,\"log\":[{\"set\":\"dewlane/newer/1\",\"value\":{},"
                                 + "\"entry\":8},{\"delete\":\"dewlane/newer/2\",\"entry\":8},"
                                 + "{\"set\":\"dewlane/final/wk-1\",\"value\":" + final1 + ",\"entry\":9}]}")
                         .getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 List.of(StoreKeys.jobResult("wk-1")),
                 events.changes().stream().map(Input.KeyChange::key).toList());
-        StoreProtocol.Page page = StoreProtocol.page(
+        StoreProtocol.Page page = StoreProtocol.parsePage(
                 ("{\"rows\":[{\"key\":\"dewlane/newer/1\",\"value\":{},\"entry\":8}]," + "\"more\":true,\"ledger\":9}")
                         .getBytes(StandardCharsets.UTF_8));
         assertEquals(List.of(), page.rows());
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -32,7 +32,7 @@
             "rackingS":0,"corkingS":0}""";
 
     private static UserProtocol.Submission read(String body) {
-        return UserProtocol.submission(Golden.bytes(body));
+        return UserProtocol.parseSubmission(GoldenMessages.bytes(body));
     }
 
     private static Job jobWithEveryField() {
@@ -146,12 +146,12 @@
     void statusOfAJobIsWritten(JobCondition condition, String word) {
         JobStatus status = new JobStatus("wk-000412", condition, 3, 13);
         String expected = "{\"uid\":\"wk-000412\",\"condition\":\"" + word + "\",\"done\":3,\"running\":13}";
-        Golden.assertMessage(expected, UserProtocol.state(status));
+        GoldenMessages.assertMessage(expected, UserProtocol.jobStatus(status));
     }
 
     @Test
     void errorIsWritten() {
-        Golden.assertMessage(
+        GoldenMessages.assertMessage(
                 "{\"error\":\"no \\\"such\\\" house: Põhja\"}", UserProtocol.error("no \"such\" house: Põhja"));
     }
 }
--- a/src/test/java/dewlane/wire/WireTest.java
+++ b/src/test/java/dewlane/wire/WireCodecTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Parses valid and malformed messages, and reads values back from what was written. */
-class WireTest {
+class WireCodecTest {
     private static final String GOOD =
             """
             {"uid":"wk-000412","lot":"train","house":"vision","style":"batch","rank":"high","bottles":16,
@@ -33,7 +33,7 @@
             "shipByS":900.0}""";
 
     private static UserProtocol.Submission submission(String text) {
-        return UserProtocol.submission(text.getBytes(StandardCharsets.UTF_8));
+        return UserProtocol.parseSubmission(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
@@ -109,7 +109,7 @@
 
     @Test
     void heartbeatIsRead() throws IOException {
-        Heartbeat heartbeat = WorkerProtocol.heartbeat(
+        Heartbeat heartbeat = WorkerProtocol.parseHeartbeat(
                 """
                 {"cask":"vm-000231","address":"10.1.0.232:9000","rack":"g8","cellar":"a","consignment":true,"pour":1,
                 "tally":88,"seal":41,"recallS":null,"bottles":[{"bottle":"wk-000412/3","try":2,"condition":"running"},
@@ -124,7 +124,7 @@
                 heartbeat.tasks());
         assertThrows(
                 IOException.class,
-                () -> WorkerProtocol.heartbeat("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
+                () -> WorkerProtocol.parseHeartbeat("{\"cask\":\"vm-1\"}".getBytes(StandardCharsets.UTF_8)));
     }
 
     private static StoredValue slice() {
@@ -201,6 +201,6 @@
                 true,
                 List.of("wk-000007"),
                 List.of(new PeerStatus.MachineStatus("vm-1", "h:1", "box", "east", true, 3, 9)));
-        assertEquals(status, PeerProtocol.status(PeerProtocol.status(status)));
+        assertEquals(status, PeerProtocol.parseStatus(PeerProtocol.encodeStatus(status)));
     }
 }
--- a/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/WorkerProtocolGoldenTest.java
@@ -77,13 +77,13 @@
                 task(9, Phase.EXITED, ExitReason.ERROR, false));
         Heartbeat expected =
                 new Heartbeat("vm-000231", "10.1.0.232:9000", "g8", "a", true, 2, 88, 5_000_000_041L, 29.5, tasks);
-        assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(HEARTBEAT)));
+        assertEquals(expected, WorkerProtocol.parseHeartbeat(GoldenMessages.bytes(HEARTBEAT)));
     }
 
     @Test
     void heartbeatWithoutTasksAndTerminationNoticeIsRead() throws IOException {
         Heartbeat expected = new Heartbeat("vm-1", "h:1", "g4", "b", false, 1, 1, 0, Double.NaN, List.of());
-        assertEquals(expected, WorkerProtocol.heartbeat(Golden.bytes(WITHOUT_TASKS)));
+        assertEquals(expected, WorkerProtocol.parseHeartbeat(GoldenMessages.bytes(WITHOUT_TASKS)));
     }
 
     @ParameterizedTest
@@ -100,32 +100,32 @@
                         + "| field condition: expected pulling, running, saving or ended, got asleep"
             })
     void malformedHeartbeatIsRejected(String good, String bad, String reason) {
-        byte[] body = Golden.bytes(HEARTBEAT.replace(good, bad));
-        IOException error = assertThrows(IOException.class, () -> WorkerProtocol.heartbeat(body));
+        byte[] body = GoldenMessages.bytes(HEARTBEAT.replace(good, bad));
+        IOException error = assertThrows(IOException.class, () -> WorkerProtocol.parseHeartbeat(body));
         assertEquals(reason, error.getMessage());
     }
 
     @Test
     void answerWithEveryKindOfCommandIsWritten() {
-        Golden.assertMessage(
+        GoldenMessages.assertMessage(
                 "{\"seal\":5000000041," + COMMANDS_JSON + "}",
                 WorkerProtocol.heartbeatAnswer(5_000_000_041L, COMMANDS));
     }
 
     @Test
     void answerWithoutCommandsIsWritten() {
-        Golden.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerProtocol.heartbeatAnswer(41, List.of()));
+        GoldenMessages.assertMessage("{\"seal\":41,\"orders\":[]}", WorkerProtocol.heartbeatAnswer(41, List.of()));
     }
 
     @Test
     void directCommandIsWritten() {
-        Golden.assertMessage(
+        GoldenMessages.assertMessage(
                 "{\"seal\":41,\"pour\":3," + COMMANDS_JSON + "}", WorkerProtocol.commandRequest(3, 41, COMMANDS));
     }
 
     @Test
     void redirectNamesTheControllerIfThereIsOne() {
-        Golden.assertMessage("{\"steward\":\"cask-2\"}", WorkerProtocol.redirectAnswer("cask-2"));
-        Golden.assertMessage("{}", WorkerProtocol.redirectAnswer(null));
+        GoldenMessages.assertMessage("{\"steward\":\"cask-2\"}", WorkerProtocol.redirectAnswer("cask-2"));
+        GoldenMessages.assertMessage("{}", WorkerProtocol.redirectAnswer(null));
     }
 }
