--- a/src/main/java/dewlane/cli/WarmUp.java
+++ b/src/main/java/dewlane/cli/WarmUp.java
@@ -125,9 +125,9 @@
 
     /** Runs a controller on free loopback ports, with itself as store, cloud and peer. */
     private static void runServer() throws IOException, InterruptedException, SettingsException {
-        String own = "127.0.0.1:" + freePort();
+        String self = "127.0.0.1:" + freePort();
         String peer = "127.0.0.1:" + freePort();
-        NetworkSettings network = new NetworkSettings(own, peer, Map.of("other", peer), own, own, MAX_SOCKETS);
+        NetworkSettings network = new NetworkSettings(self, peer, Map.of("other", peer), self, self, MAX_SOCKETS);
         ControllerServer server = new ControllerServer(settings(), network, 1);
         server.start();
         Thread.sleep(SERVING_MS);
--- a/src/main/java/dewlane/io/ControllerLoop.java
+++ b/src/main/java/dewlane/io/ControllerLoop.java
@@ -21,7 +21,7 @@
         this.effects = new EffectQueue(handler);
     }
 
-    /** Handles one input. An exception is logged; the core keeps the state it has at that point. */
+    /** Handles one input. An exception is logged; what the core changed before it is not undone. */
     void accept(Input input) {
         try {
             long steadyMs = (System.nanoTime() - startedAtNanos) / NANOS_PER_MS;
--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -137,7 +137,7 @@
         loop.accept(new Input.Tick());
     }
 
-    /** Logs the controller's counters and the latencies of users' requests, and schedules the next summary. */
+    /** Logs the controller's counters and the latencies of users' requests, once a minute. */
     private void logSummary() {
         if (worker.isShutdown()) {
             return;
--- a/src/main/java/dewlane/io/NetworkSettings.java
+++ b/src/main/java/dewlane/io/NetworkSettings.java
@@ -16,7 +16,7 @@
     private static final double COMMAND_SHARE = 0.15;
     /** The share of inbound connections that workers may keep open. The rest is for users and health checks. */
     private static final double HEARTBEAT_SHARE = 0.75;
-    /** Connections to the store and the cloud, including those that are being closed. */
+    /** Connections to the store and the cloud, with room for those that are being closed. */
     private static final int FIXED_CONNECTIONS = 32;
 
     /** Returns the smallest number of sockets with which a controller can work. */
--- a/src/main/java/dewlane/wire/CloudProtocol.java
+++ b/src/main/java/dewlane/wire/CloudProtocol.java
@@ -113,8 +113,8 @@
                 zeroIfAbsent(fields, AGE_S));
     }
 
-    private static CloudInstance.State instanceState(String word) {
-        return switch (String.valueOf(word)) {
+    private static CloudInstance.State instanceState(String name) {
+        return switch (String.valueOf(name)) {
             case "running" -> CloudInstance.State.RUNNING;
             case "failed" -> CloudInstance.State.FAILED;
             default -> CloudInstance.State.STARTING;
--- a/src/main/java/dewlane/wire/StoredEnumCodec.java
+++ b/src/main/java/dewlane/wire/StoredEnumCodec.java
@@ -31,15 +31,15 @@
     }
 
     /** Returns the priority with a stored name; throws {@link IllegalArgumentException} if there is none. */
-    static Priority decodePriority(String word) {
-        return switch (String.valueOf(word)) {
+    static Priority decodePriority(String name) {
+        return switch (String.valueOf(name)) {
             case IDLE -> Priority.IDLE;
             case STANDARD -> Priority.STANDARD;
             case HIGH -> Priority.HIGH;
             case CRITICAL -> Priority.CRITICAL;
             default ->
                 throw new IllegalArgumentException(
-                        "field priority: expected IDLE, STANDARD, HIGH or CRITICAL, got " + word);
+                        "field priority: expected IDLE, STANDARD, HIGH or CRITICAL, got " + name);
         };
     }
 
@@ -53,12 +53,12 @@
     }
 
     /** Returns the decommission state with a stored name; throws {@link IllegalArgumentException} if there is none. */
-    static DecommissionState decodeDecommissionState(String word) {
-        return switch (String.valueOf(word)) {
+    static DecommissionState decodeDecommissionState(String name) {
+        return switch (String.valueOf(name)) {
             case RETURN -> DecommissionState.SCALE_IN;
             case DELETE -> DecommissionState.DELETE;
             case GONE -> DecommissionState.TERMINATED;
-            default -> throw new IllegalArgumentException("field fate: expected RETURN, DELETE or GONE, got " + word);
+            default -> throw new IllegalArgumentException("field fate: expected RETURN, DELETE or GONE, got " + name);
         };
     }
 }
--- a/src/main/java/dewlane/wire/UserProtocol.java
+++ b/src/main/java/dewlane/wire/UserProtocol.java
@@ -46,14 +46,14 @@
         return Json.write(out -> {
             out.writeStartObject();
             out.writeStringField(JOB_ID, status.job());
-            out.writeStringField(CONDITION, word(status.condition()));
+            out.writeStringField(CONDITION, conditionName(status.condition()));
             out.writeNumberField(TASKS_DONE, status.done());
             out.writeNumberField(TASKS_RUNNING, status.running());
             out.writeEndObject();
         });
     }
 
-    private static String word(JobCondition condition) {
+    private static String conditionName(JobCondition condition) {
         return switch (condition) {
             case PENDING -> "pending";
             case RUNNING -> "running";
--- a/src/main/java/dewlane/wire/WorkerProtocol.java
+++ b/src/main/java/dewlane/wire/WorkerProtocol.java
@@ -89,19 +89,19 @@
                 Json.bool(fields, CHECKPOINT_SAVED));
     }
 
-    private static Phase phase(String word) throws IOException {
-        return switch (String.valueOf(word)) {
+    private static Phase phase(String name) throws IOException {
+        return switch (String.valueOf(name)) {
             case "pulling" -> Phase.FETCHING;
             case "running" -> Phase.RUNNING;
             case "saving" -> Phase.SAVING;
             case "ended" -> Phase.EXITED;
             default ->
-                throw new IOException("field condition: expected pulling, running, saving or ended, got " + word);
+                throw new IOException("field condition: expected pulling, running, saving or ended, got " + name);
         };
     }
 
-    private static ExitReason exitReason(String word) {
-        return switch (String.valueOf(word)) {
+    private static ExitReason exitReason(String name) {
+        return switch (String.valueOf(name)) {
             case "done" -> ExitReason.DONE;
             case "stopped" -> ExitReason.STOPPED;
             case "full" -> ExitReason.NO_ROOM;
@@ -147,7 +147,7 @@
         out.writeArrayFieldStart(COMMANDS);
         for (WorkerCommand command : commands) {
             out.writeStartObject();
-            out.writeStringField(ACTION, word(command.action()));
+            out.writeStringField(ACTION, actionName(command.action()));
             out.writeStringField(TASK, command.job() + "/" + command.task());
             out.writeNumberField(ATTEMPT, command.attempt());
             if (command.action() == WorkerCommand.Action.STOP) {
@@ -158,7 +158,7 @@
         out.writeEndArray();
     }
 
-    private static String word(WorkerCommand.Action action) {
+    private static String actionName(WorkerCommand.Action action) {
         return switch (action) {
             case LAUNCH -> "launch";
             case STOP -> "stop";
--- a/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
+++ b/src/test/java/dewlane/wire/UserProtocolGoldenTest.java
@@ -87,8 +87,8 @@
 
     @ParameterizedTest
     @CsvSource({"critical, CRITICAL", "high, HIGH", "standard, STANDARD", "idle, IDLE"})
-    void everyPriorityIsRead(String word, Priority priority) {
-        String body = EVERY_FIELD.replace("\"rank\":\"critical\"", "\"rank\":\"" + word + "\"");
+    void everyPriorityIsRead(String rank, Priority priority) {
+        String body = EVERY_FIELD.replace("\"rank\":\"critical\"", "\"rank\":\"" + rank + "\"");
         assertEquals(priority, read(body).job().priority());
     }
 
@@ -143,9 +143,9 @@
 
     @ParameterizedTest
     @CsvSource({"PENDING, pending", "RUNNING, running", "DONE, done", "CANCELLED, aborted"})
-    void statusOfAJobIsWritten(JobCondition condition, String word) {
+    void statusOfAJobIsWritten(JobCondition condition, String name) {
         JobStatus status = new JobStatus("wk-000412", condition, 3, 13);
-        String expected = "{\"uid\":\"wk-000412\",\"condition\":\"" + word + "\",\"done\":3,\"running\":13}";
+        String expected = "{\"uid\":\"wk-000412\",\"condition\":\"" + name + "\",\"done\":3,\"running\":13}";
         GoldenMessages.assertMessage(expected, UserProtocol.jobStatus(status));
     }
 
