--- a/src/main/java/dewlane/cli/DeployFile.java
+++ b/src/main/java/dewlane/cli/SettingsFiles.java
@@ -5,14 +5,14 @@
 import dewlane.core.config.Settings.TeamQuota;
 import dewlane.core.config.Settings.Tuning;
 import dewlane.core.config.StoreLimits;
-import dewlane.io.Endpoints;
+import dewlane.io.NetworkSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The settings file that a deployment gives each controller, and the operators' own beside it. */
-public record DeployFile(Settings settings, Endpoints endpoints) {
+/** The settings of a controller, read from the file of its deployment and an optional file of the operators. */
+public record SettingsFiles(Settings settings, NetworkSettings network) {
     private static final double BYTES_PER_KB = 1024;
     private static final String VALUE_KB = "value_kb";
     private static final String TXN_OPS = "txn_ops";
@@ -21,18 +21,18 @@
     /**
      * Reads and checks both files.
      *
-     * @param operators the operators' own settings, or null for the defaults
-     * @throws SettingsException if a file cannot be read, or names the first field that cannot be used
+     * @param operators the operators' file, or null for the defaults
+     * @throws SettingsException if a file cannot be read or a field is invalid; the message names the first such field
      */
-    public static DeployFile read(String file, String operators) throws SettingsException {
+    public static SettingsFiles read(String file, String operators) throws SettingsException {
         Tuning tuning = operators == null ? Tuning.defaults() : tuning(TomlTable.read(operators));
         TomlTable top = TomlTable.read(file);
-        Endpoints endpoints = endpoints(top);
+        NetworkSettings network = network(top);
         checkUnused(top);
-        return new DeployFile(settings(top, endpoints, tuning), endpoints);
+        return new SettingsFiles(settings(top, network, tuning), network);
     }
 
-    private static Endpoints endpoints(TomlTable top) throws SettingsException {
+    private static NetworkSettings network(TomlTable top) throws SettingsException {
         Map<String, String> peers = new LinkedHashMap<>();
         for (TomlTable peer : top.tables("known")) {
             peer.text("area");
@@ -40,16 +40,16 @@
         }
         TomlTable services = top.table("services");
         TomlTable resources = top.table("settings").table("resources");
-        return new Endpoints(
+        return new NetworkSettings(
                 top.address("serve_on"),
                 top.address("peer_bind"),
                 Map.copyOf(peers),
                 services.address("cloud"),
                 services.address("state"),
-                resources.count("max_sockets", Endpoints.fewestSockets(peers.size())));
+                resources.count("max_sockets", NetworkSettings.minSockets(peers.size())));
     }
 
-    /** Checks the fields that every deployment gives and the controller has no use for. */
+    /** Checks the fields that every deployment sets but the controller does not use. */
     private static void checkUnused(TomlTable top) throws SettingsException {
         top.text("area");
         TomlTable settings = top.table("settings");
@@ -57,7 +57,7 @@
         settings.number("time_bound_ms", 0);
     }
 
-    private static Settings settings(TomlTable top, Endpoints endpoints, Tuning tuning) throws SettingsException {
+    private static Settings settings(TomlTable top, NetworkSettings network, Tuning tuning) throws SettingsException {
         TomlTable settings = top.table("settings");
         Map<String, TeamQuota> teams = teams(settings);
         List<ServiceLevelObjective> objectives = objectives(settings);
@@ -69,7 +69,7 @@
         resources.positive("ram_mb");
         return new Settings(
                 top.text("node_name"),
-                endpoints.peerNames(),
+                network.peerNames(),
                 teams,
                 objectives,
                 settings.texts("zones"),
@@ -107,24 +107,27 @@
         return List.copyOf(objectives);
     }
 
-    /** The limits in force now and, where a key of {@code next} says so, those that replace them without notice. */
+    /**
+     * Reads the store's current limits and those that may replace them without notice. A limit without a key in
+     * {@code next} stays as it is.
+     */
     private static StoreLimits storeLimits(TomlTable store) throws SettingsException {
-        StoreLimits.Limits present = new StoreLimits.Limits(
+        StoreLimits.Limits current = new StoreLimits.Limits(
                 store.positive("rps"),
                 store.positive("write_rps"),
                 valueBytes(store),
                 store.count(TXN_OPS, MIN_TXN_OPS));
         if (!store.has("next")) {
-            return new StoreLimits(present, present);
+            return new StoreLimits(current, current);
         }
         TomlTable next = store.table("next");
         return new StoreLimits(
-                present,
+                current,
                 new StoreLimits.Limits(
-                        next.has("rps") ? next.positive("rps") : present.requestsPerS(),
-                        next.has("write_rps") ? next.positive("write_rps") : present.writesPerS(),
-                        next.has(VALUE_KB) ? valueBytes(next) : present.maxValueBytes(),
-                        next.has(TXN_OPS) ? next.count(TXN_OPS, MIN_TXN_OPS) : present.maxTransactionWrites()));
+                        next.has("rps") ? next.positive("rps") : current.requestsPerS(),
+                        next.has("write_rps") ? next.positive("write_rps") : current.writesPerS(),
+                        next.has(VALUE_KB) ? valueBytes(next) : current.maxValueBytes(),
+                        next.has(TXN_OPS) ? next.count(TXN_OPS, MIN_TXN_OPS) : current.maxTransactionWrites()));
     }
 
     private static int valueBytes(TomlTable limits) throws SettingsException {
--- a/src/test/java/dewlane/cli/DeployFileTest.java
+++ b/src/test/java/dewlane/cli/SettingsFilesTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Good and bad settings files. */
-class DeployFileTest {
+/** Reads valid and invalid settings files. */
+class SettingsFilesTest {
     private static final Path GOOD = Path.of("docs/example-settings.toml");
 
     @TempDir
     private Path dir;
 
-    private String with(String good, String bad) throws IOException {
+    private String fileWith(String good, String bad) throws IOException {
         String text = Files.readString(GOOD);
         assertTrue(text.contains(good), good);
         return Files.writeString(dir.resolve("deploy.toml"), text.replace(good, bad))
@@ -30,9 +30,9 @@
 
     @Test
     void goodFileIsReadAndUnknownFieldsAreIgnored() throws SettingsException {
-        DeployFile file = DeployFile.read(GOOD.toString(), null);
+        SettingsFiles file = SettingsFiles.read(GOOD.toString(), null);
         assertEquals("node-0", file.settings().controllerName());
-        assertEquals("127.0.0.1:18085", file.endpoints().store());
+        assertEquals("127.0.0.1:18085", file.network().store());
         assertEquals(16_384, file.settings().maxValueBytes());
         assertEquals(10, file.settings().shortestObjectiveS("guarantee", "any"));
         assertTrue(file.settings().teams().get("blue").hasLimit());
@@ -57,8 +57,8 @@
                         + "settings.resources.max_sockets: expected an integer of at least 136"
             })
     void badFieldIsNamedWithWhatWasExpected(String good, String bad, String message) throws IOException {
-        String file = with(good, bad);
-        SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
+        String file = fileWith(good, bad);
+        SettingsException e = assertThrows(SettingsException.class, () -> SettingsFiles.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
 
@@ -74,50 +74,51 @@
                 "next = { rps = false } | settings.state.next.rps: expected a number above 0"
             })
     void badNextLimitIsNamedWithItsMinimum(String next, String message) throws IOException {
-        String file = with("txn_ops = 16", "txn_ops = 16\n" + next);
-        SettingsException e = assertThrows(SettingsException.class, () -> DeployFile.read(file, null));
+        String file = fileWith("txn_ops = 16", "txn_ops = 16\n" + next);
+        SettingsException e = assertThrows(SettingsException.class, () -> SettingsFiles.read(file, null));
         assertEquals(file + ": " + message, e.getMessage());
     }
 
     @Test
     void sizesStayWithinSmallerOfBothLimits() throws IOException, SettingsException {
-        String file = with("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
-        Settings settings = DeployFile.read(file, null).settings();
+        String file =
+                fileWith("txn_ops = 16", "txn_ops = 16\nnext = { value_kb = 2.0, txn_ops = 20, write_rps = 21.0 }");
+        Settings settings = SettingsFiles.read(file, null).settings();
         assertEquals(2048, settings.maxValueBytes());
         assertEquals(16, settings.maxTransactionWrites());
         assertEquals(64, settings.maxTransactionPreconditions());
         assertEquals(100, settings.storeRequestsPerS());
         assertEquals(30, settings.store().current().writesPerS());
         assertEquals(21, settings.store().reducedWritesPerS());
-        Settings without = DeployFile.read(GOOD.toString(), null).settings();
+        Settings without = SettingsFiles.read(GOOD.toString(), null).settings();
         assertEquals(without.store().current(), without.store().next());
     }
 
     @Test
-    void unreadableFileIsToldInOneLine() throws IOException {
+    void unreadableFileIsReportedInOneLine() throws IOException {
         String file = Files.writeString(dir.resolve("bad.toml"), "= = =\n").toString();
-        assertTrue(assertThrows(SettingsException.class, () -> DeployFile.read(file, null))
+        assertTrue(assertThrows(SettingsException.class, () -> SettingsFiles.read(file, null))
                 .getMessage()
                 .startsWith(file + ": is not TOML"));
         assertEquals(
                 "nowhere.toml: cannot be read",
-                assertThrows(SettingsException.class, () -> DeployFile.read("nowhere.toml", null))
+                assertThrows(SettingsException.class, () -> SettingsFiles.read("nowhere.toml", null))
                         .getMessage());
     }
 
     @Test
     void operatorsSettingsReplaceDefaults() throws IOException, SettingsException {
-        String own =
+        String operators =
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 20\n").toString();
         Settings.Tuning tuning =
-                DeployFile.read(GOOD.toString(), own).settings().tuning();
+                SettingsFiles.read(GOOD.toString(), operators).settings().tuning();
         assertEquals(20, tuning.machineTimeoutS());
         assertEquals(Settings.Tuning.defaults().scaleInIdleS(), tuning.scaleInIdleS());
         String bad =
                 Files.writeString(dir.resolve("own.toml"), "silent_s = 1\n").toString();
         assertEquals(
                 bad + ": silent_s: expected a number of at least 5",
-                assertThrows(SettingsException.class, () -> DeployFile.read(GOOD.toString(), bad))
+                assertThrows(SettingsException.class, () -> SettingsFiles.read(GOOD.toString(), bad))
                         .getMessage());
     }
 }
