--- a/src/main/java/dewlane/io/ControllerServer.java
+++ b/src/main/java/dewlane/io/ControllerServer.java
@@ -20,18 +20,18 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** One controller's sockets and timers round its core. Everything runs on one I/O thread, so nothing is locked. */
+/** Runs a controller's core with its sockets and timers. Everything runs on one I/O thread, so no locks are needed. */
 public final class ControllerServer {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
-    private static final long TICK_MS = 100;
-    private static final long SUMMARY_MS = 60_000;
+    private static final long TICK_INTERVAL_MS = 100;
+    private static final long SUMMARY_INTERVAL_MS = 60_000;
     private static final int BUFFER_BYTES = 8192;
     private static final int MAX_POOLED_BUFFERS = 200;
     private static final int IDLE_CONNECTION_TIMEOUT_MS = 120_000;
     private static final int REQUEST_HEADER_TIMEOUT_MS = 10_000;
 
     private final Settings settings;
-    private final Endpoints endpoints;
+    private final NetworkSettings network;
     private final Controller controller;
     private final ControllerLoop loop;
     private final XnioWorker worker;
@@ -48,9 +48,9 @@
      * @param seed the seed of the core's random choices
      * @throws IOException if the I/O thread cannot be started
      */
-    public ControllerServer(Settings settings, Endpoints endpoints, long seed) throws IOException {
+    public ControllerServer(Settings settings, NetworkSettings network, long seed) throws IOException {
         this.settings = settings;
-        this.endpoints = endpoints;
+        this.network = network;
         this.controller = new Controller(settings, seed, value -> StoredValueCodec.encode(value).length);
         this.controller.setCommandLogging(
                 LoggerFactory.getLogger(Controller.class).isDebugEnabled());
@@ -64,53 +64,56 @@
                         .set(Options.THREAD_DAEMON, false)
                         .getMap());
         this.thread = worker.getIoThread();
-        this.workers = new WorkerConnectionPools(thread, buffers, endpoints.commands());
+        this.workers = new WorkerConnectionPools(thread, buffers, network.maxCommandConnections());
         this.effects = new EffectDispatcher(
                 requests,
-                new StoreClient(thread, buffers, endpoints.store(), settings, loop::accept),
-                new CloudClient(thread, buffers, endpoints.cloud(), loop::accept),
+                new StoreClient(thread, buffers, network.store(), settings, loop::accept),
+                new CloudClient(thread, buffers, network.cloud(), loop::accept),
                 new WorkerCommandClient(workers, loop::accept),
-                new PeerClient(thread, buffers, endpoints.peers().values()));
+                new PeerClient(thread, buffers, network.peers().values()));
     }
 
     private void dispatch(Effect effect) {
         effects.dispatch(effect);
     }
 
-    /** Starts to listen and to take part. */
+    /** Starts to listen and to send ticks to the core. */
     public void start() {
         server = Undertow.builder()
                 .setWorker(worker)
                 .setByteBufferPool(buffers)
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, endpoints.inbound())
-                .setSocketOption(Options.CONNECTION_LOW_WATER, endpoints.inbound() - 1)
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) HttpExchanges.MAX_BODY)
+                .setSocketOption(Options.CONNECTION_HIGH_WATER, network.maxInboundConnections())
+                .setSocketOption(Options.CONNECTION_LOW_WATER, network.maxInboundConnections() - 1)
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) HttpExchanges.MAX_BODY_BYTES)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_CONNECTION_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_HEADER_TIMEOUT_MS)
                 .setServerOption(UndertowOptions.RECORD_REQUEST_START_TIME, false)
-                .addListener(listener(endpoints.listen(), serviceEndpoint()))
-                .addListener(listener(endpoints.peerListen(), new PeerEndpoint(loop::accept)))
+                .addListener(listener(network.listen(), serviceEndpoint()))
+                .addListener(listener(network.peerListen(), new PeerEndpoint(loop::accept)))
                 .build();
         server.start();
-        LOG.info("{} listens on {} and {}", settings.controllerName(), endpoints.listen(), endpoints.peerListen());
+        LOG.info("{} listens on {} and {}", settings.controllerName(), network.listen(), network.peerListen());
         thread.execute(this::tick);
-        thread.executeAfter(this::summarise, SUMMARY_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::logSummary, SUMMARY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private HttpHandler serviceEndpoint() {
         return new ServiceEndpoint(
                 new UserEndpoint(requests, loop::accept),
-                new HeartbeatEndpoint(requests, loop::accept, this::keepsConnections),
+                new HeartbeatEndpoint(requests, loop::accept, this::mayKeepConnections),
                 controller::isHealthy);
     }
 
-    /** False while there are more machines than connections that heartbeats may keep: they take turns then. */
-    private boolean keepsConnections() {
-        return controller.ownedMachineCount() <= endpoints.keptHeartbeatConnections();
+    /**
+     * Returns false while this controller owns more machines than heartbeat connections may stay open. Each connection
+     * is then closed after its answer, so that the workers share the available sockets.
+     */
+    private boolean mayKeepConnections() {
+        return controller.ownedMachineCount() <= network.maxPersistentHeartbeatConnections();
     }
 
-    /** Stops; only tests and the warm-up do. */
+    /** Stops the controller. Used by tests and the warm-up only. */
     public void stop() {
         server.stop();
         worker.shutdownNow();
@@ -129,17 +132,17 @@
         if (worker.isShutdown()) {
             return;
         }
-        thread.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         requests.expire();
         loop.accept(new Input.Tick());
     }
 
-    /** Logs once a minute what the controller did and how long users waited for their answers. */
-    private void summarise() {
+    /** Logs the controller's counters and the latencies of users' requests, once a minute. */
+    private void logSummary() {
         if (worker.isShutdown()) {
             return;
         }
-        thread.executeAfter(this::summarise, SUMMARY_MS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::logSummary, SUMMARY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         workers.closeIdle();
         LOG.info("since the start: {}; connections to {} workers", controller.countersSummary(), workers.size());
         requests.logLatencies(LOG);
--- a/src/main/java/dewlane/wire/JobCodec.java
+++ b/src/main/java/dewlane/wire/JobCodec.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The fields in which a job's record keeps what its user submitted. */
+/** Encodes and decodes the fields of a job record that hold the submitted job. */
 final class JobCodec {
     private static final String ID = "id";
     private static final String JOB_CLASS = "lot";
@@ -35,7 +35,7 @@
     private static final String ACCEPTED_AT_MS = "accepted";
     private static final String DEPENDENCIES = "awaits";
 
-    /** The fields of a job. */
+    /** The names of these fields. */
     static final Set<String> FIELDS = Set.of(
             ID,
             JOB_CLASS,
@@ -65,7 +65,7 @@
         out.writeStringField(ID, job.id());
         out.writeStringField(JOB_CLASS, job.jobClass());
         out.writeStringField(TEAM, job.team());
-        out.writeStringField(PRIORITY, StoredWords.word(job.priority()));
+        out.writeStringField(PRIORITY, StoredEnumCodec.encode(job.priority()));
         out.writeNumberField(TASKS, job.tasks());
         out.writeNumberField(CPUS, job.cpus());
         out.writeNumberField(GPUS, job.gpus());
@@ -89,13 +89,13 @@
         }
     }
 
-    /** Reads a job; throws a runtime exception if the fields are not those of one. */
+    /** Reads a job; throws a runtime exception if the fields are malformed. */
     static Job read(Map<String, Object> fields) {
         if (!(fields.get(TASKS) instanceof Long tasks)) {
-            throw new IllegalArgumentException("tasks is missing");
+            throw new IllegalArgumentException("field tasks: expected an integer");
         }
         if (fields.get(DEPENDENCIES) != null && !(fields.get(DEPENDENCIES) instanceof String)) {
-            throw new IllegalArgumentException("awaits is not a list of job ids");
+            throw new IllegalArgumentException("field awaits: expected a string");
         }
         return Job.builder(Json.string(fields, ID))
                 .ownership(readOwnership(fields))
@@ -113,7 +113,7 @@
     private static JobOwnership readOwnership(Map<String, Object> fields) {
         String jobClass = Json.string(fields, JOB_CLASS);
         String team = Json.string(fields, TEAM);
-        return new JobOwnership(team, jobClass, StoredWords.priority(Json.string(fields, PRIORITY)));
+        return new JobOwnership(team, jobClass, StoredEnumCodec.decodePriority(Json.string(fields, PRIORITY)));
     }
 
     private static PlacementConstraints readPlacement(Map<String, Object> fields) {
