--- a/src/test/java/dewlane/sim/InvariantChecker.java
+++ b/src/test/java/dewlane/sim/InvariantChecker.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * Checks the protocol's invariants against what the simulated cluster knows to be true, and fails the run at the first
- * one that is broken. What users are told is with {@link AnswerChecker}, places and quotas with
- * {@link PlacementChecker}, and jobs that wait for too long with {@link StarvationChecker}.
+ * Checks the protocol's invariants against the true state of the simulated cluster, and fails the run at the first
+ * violation. {@link AnswerChecker} checks the answers to users, {@link PlacementChecker} placements and quotas, and
+ * {@link StarvationChecker} jobs that wait too long.
  */
 final class InvariantChecker {
-    /** A broken invariant. */
+    /** A violation of an invariant, which fails the run. */
     static final class Violation extends AssertionError {
         private static final long serialVersionUID = 1;
 
@@ -22,15 +22,18 @@
         }
     }
 
-    /** A launch sent longer after a confirmation than a controller's view may lag is one it should not have sent. */
-    private static final long LONGEST_VIEW_LAG_MS = 3000;
+    /**
+     * How far a controller's replica of the store may lag. A launch sent later than this after the confirmation of its
+     * job's cancellation is a violation.
+     */
+    private static final long MAX_REPLICA_LAG_MS = 3000;
 
     private final SimCluster cluster;
     private final AnswerChecker answers;
     private final PlacementChecker placement;
     private final Map<String, Set<Integer>> doneTasks = new HashMap<>();
     private final Set<String> startedJobs = new HashSet<>();
-    /** Attempts that began to run so far. */
+    /** Attempts that have started to run so far. */
     int taskStarts;
 
     InvariantChecker(SimCluster cluster) {
@@ -39,14 +42,17 @@
         this.placement = new PlacementChecker(cluster, this);
     }
 
-    /** Fails the run; {@code what} begins with the job or machine that it is about. */
-    void violated(String invariant, String what) {
+    /**
+     * Fails the run. {@code what} must begin with the id of the job or machine in question, whose trace is printed with
+     * it.
+     */
+    void fail(String invariant, String what) {
         String subject = what.split("[ /]")[0];
         throw new Violation("seed " + cluster.seed + " at " + cluster.now() + " ms: " + invariant + ": " + what + "\n"
                 + cluster.recentTrace(subject));
     }
 
-    void taskDone(String job, int task) {
+    void onTaskDone(String job, int task) {
         doneTasks.computeIfAbsent(job, id -> new HashSet<>()).add(task);
     }
 
@@ -66,7 +72,7 @@
         return startedJobs.contains(job);
     }
 
-    void taskStarted(SimWorker worker, SimAttempt attempt) {
+    void onTaskStarted(SimWorker worker, SimAttempt attempt) {
         taskStarts++;
         checkNotCancelled(worker, attempt);
         startedJobs.add(attempt.job);
@@ -74,18 +80,18 @@
         String task = attempt.job + "/" + attempt.task;
         for (String dependency : job.dependencies()) {
             if (!allTasksDone(dependency)) {
-                violated("too_early", task + " started before " + dependency + " was done");
+                fail("started_before_dependency", task + " started before " + dependency + " was done");
             }
         }
-        placement.checkPlace(worker, attempt);
+        placement.checkPlacement(worker, attempt);
         placement.checkQuota(attempt);
     }
 
-    /** A launch may still arrive after the cancellation of its job if it was on its way by then. */
+    /** A launch that was in flight when its job was cancelled may still arrive. */
     private void checkNotCancelled(SimWorker worker, SimAttempt attempt) {
         Long cancelledAt = answers.cancelledAt(attempt.job);
-        if (cancelledAt != null && attempt.launchSentAt - cancelledAt > LONGEST_VIEW_LAG_MS) {
-            violated(
+        if (cancelledAt != null && attempt.launchSentAt - cancelledAt > MAX_REPLICA_LAG_MS) {
+            fail(
                     "started_cancelled",
                     attempt.job + "/" + attempt.task + " on " + worker.name + ", launched "
                             + (attempt.launchSentAt - cancelledAt)
@@ -93,7 +99,7 @@
         }
     }
 
-    /** Checked after every event: no task runs for longer after its job's cancellation than a cancellation may take. */
+    /** Checks that no task runs past the cancellation deadline of its job. Called after every event. */
     void checkCancelledTasks() {
         if (!answers.anyCancelled()) {
             return;
@@ -101,7 +107,7 @@
         for (SimWorker worker : cluster.workers()) {
             for (SimAttempt attempt : worker.attempts()) {
                 if (attempt.occupiesMachine() && hasRunTooLong(attempt)) {
-                    violated(
+                    fail(
                             "ran_cancelled",
                             attempt.job + "/" + attempt.task + " on " + worker.name + "\n"
                                     + cluster.recentTrace(worker.name)
@@ -116,20 +122,23 @@
         return cancelledAt != null && cluster.now() - cancelledAt > cluster.settings.cancellationDeadlineS() * 1000;
     }
 
-    void cancellationRequested(String job) {
-        answers.cancellationRequested(job);
+    void onCancellationRequested(String job) {
+        answers.onCancellationRequested(job);
     }
 
-    /** A user was told the job's condition; the time at which they asked is {@link Long#MAX_VALUE} if unknown. */
-    void conditionReported(String job, JobCondition condition, long askedAt) {
-        answers.conditionReported(job, condition, askedAt);
+    /**
+     * Called when a user is told the job's condition. {@code askedAt} is when the user sent the request, or
+     * {@link Long#MAX_VALUE} if unknown.
+     */
+    void onConditionReported(String job, JobCondition condition, long askedAt) {
+        answers.onConditionReported(job, condition, askedAt);
     }
 
     JobCondition lastReportedCondition(String job) {
         return answers.lastReportedCondition(job);
     }
 
-    /** From now on, with all faults over, no job may wait for long beside a machine that has room for it. */
+    /** Starts to check that no job waits too long while a machine has room for it. Called once all faults are over. */
     void watchForStarvation() {
         new StarvationChecker(cluster, this).start();
     }
--- a/src/test/java/dewlane/sim/SimController.java
+++ b/src/test/java/dewlane/sim/SimController.java
@@ -20,45 +20,51 @@
 import java.util.function.LongFunction;
 import java.util.function.Supplier;
 
-/** A controller process: the real core, whose effects act on the simulated cluster. */
+/**
+ * A simulated controller process: the production {@link Controller}, whose effects are executed on the simulated
+ * cluster.
+ */
 final class SimController {
     private static final long TICK_MS = 100;
-    /** The wall clock is ahead of the simulation's clock by this. */
+    /** The controller's wall clock minus the simulated clock. */
     private static final long WALL_CLOCK_OFFSET_MS = 1_000_000;
-    /** Half of what a peer takes at most, as names and addresses are short here. */
+    /**
+     * Half of the largest message that a peer accepts, since names and addresses are shorter here than in real
+     * deployments.
+     */
     private static final int MAX_PEER_PAGE_BYTES = 32_768;
 
     final SimCluster cluster;
     final String name;
-    /** Grows with every start and every end; messages for an earlier incarnation are dropped. */
+    /** Incremented at every start and every crash; messages to an earlier incarnation are dropped. */
     int incarnation;
 
     boolean alive;
-    /** Runs under version 0.1's view of what is stored; its logic is the present one. */
+    /** True if it reads and writes the store by the schema of version 0.1. Its logic is that of the current version. */
     boolean runsVersion01;
 
-    boolean cutFromStore;
-    boolean cutFromWorkers;
-    boolean cutFromPeers;
+    boolean disconnectedFromStore;
+    boolean disconnectedFromWorkers;
+    boolean disconnectedFromPeers;
     private Controller core;
-    private final EffectPerformer performer;
+    private final EffectExecutor effectExecutor;
     private final Deque<Effect> effects = new ArrayDeque<>();
-    private boolean performingEffects;
+    private boolean executingEffects;
     private long nextRequestId = 1;
     private long frozenUntil;
-    /** What came while the process stood still; it finds all of it at once. */
+    /** Inputs that arrived while the process was frozen; it handles all of them when it resumes. */
     private final Deque<Input> inputsWhileFrozen = new ArrayDeque<>();
 
     SimController(SimCluster cluster, String name) {
         this.cluster = cluster;
         this.name = name;
-        this.performer = new EffectPerformer(this);
+        this.effectExecutor = new EffectExecutor(this);
     }
 
     void start() {
         incarnation++;
         alive = true;
-        performer.reset();
+        effectExecutor.reset();
         effects.clear();
         inputsWhileFrozen.clear();
         frozenUntil = 0;
@@ -85,145 +91,147 @@
                 shared.tuning());
     }
 
-    private void tick(int recipient) {
-        if (incarnation == recipient && alive) {
+    private void tick(int recipientIncarnation) {
+        if (incarnation == recipientIncarnation && alive) {
             if (cluster.now() >= frozenUntil) {
-                receive(recipient, new Input.Tick());
+                receive(recipientIncarnation, new Input.Tick());
             }
-            cluster.after(TICK_MS, () -> tick(recipient));
+            cluster.after(TICK_MS, () -> tick(recipientIncarnation));
         }
     }
 
-    /** Ends and comes back as the new version. */
-    void upgrade(long backAfterMs) {
-        crash(backAfterMs);
+    /** Crashes and restarts as the current version. */
+    void upgrade(long restartAfterMs) {
+        crash(restartAfterMs);
         runsVersion01 = false;
     }
 
-    void crash(long backAfterMs) {
+    void crash(long restartAfterMs) {
         cluster.trace("crash " + name);
         alive = false;
         incarnation++;
-        cluster.after(backAfterMs, this::start);
+        cluster.after(restartAfterMs, this::start);
     }
 
-    /** Stands still while its clocks run on. */
+    /** Freezes the process while its clocks go on. */
     void freeze(long ms) {
         cluster.trace("freeze " + name);
         frozenUntil = cluster.now() + ms;
-        int recipient = incarnation;
+        int recipientIncarnation = incarnation;
         cluster.after(ms, () -> {
-            while (!inputsWhileFrozen.isEmpty() && incarnation == recipient && cluster.now() >= frozenUntil) {
-                receive(recipient, inputsWhileFrozen.poll());
+            while (!inputsWhileFrozen.isEmpty()
+                    && incarnation == recipientIncarnation
+                    && cluster.now() >= frozenUntil) {
+                receive(recipientIncarnation, inputsWhileFrozen.poll());
             }
         });
     }
 
-    /** Loses the store and its peers, while workers and users still reach it. */
+    /** Disconnects the controller from the store and its peers, while workers and users still reach it. */
     void isolate() {
-        cutFromStore = true;
-        cutFromPeers = true;
+        disconnectedFromStore = true;
+        disconnectedFromPeers = true;
     }
 
     void endIsolation() {
-        cutFromStore = false;
-        cutFromPeers = false;
+        disconnectedFromStore = false;
+        disconnectedFromPeers = false;
     }
 
-    /** How many jobs a pass looked at on average. */
+    /** Returns how many jobs a scheduling cycle considered on average. */
     double jobsPerCycle() {
         return core.jobsPerCycle();
     }
 
     boolean storeReachable() {
-        return !cutFromStore;
+        return !disconnectedFromStore;
     }
 
-    /** Has the core handle an input, unless the incarnation it is meant for is over, and performs what comes of it. */
-    void receive(int recipient, Input input) {
-        if (!alive || incarnation != recipient) {
+    /** Lets the core handle an input and executes the resulting effects, unless the recipient incarnation has ended. */
+    void receive(int recipientIncarnation, Input input) {
+        if (!alive || incarnation != recipientIncarnation) {
             return;
         }
         if (cluster.now() < frozenUntil) {
             inputsWhileFrozen.add(input);
             return;
         }
-        Input read = runsVersion01 ? Version01View.read(input) : input;
+        Input read = runsVersion01 ? Version01Schema.read(input) : input;
         effects.addAll(core.handle(cluster.now(), WALL_CLOCK_OFFSET_MS + cluster.now(), read));
-        if (performingEffects) {
+        if (executingEffects) {
             return;
         }
-        performingEffects = true;
+        executingEffects = true;
         while (!effects.isEmpty()) {
-            performer.perform(effects.poll());
+            effectExecutor.execute(effects.poll());
         }
-        performingEffects = false;
+        executingEffects = false;
     }
 
-    /** A request and its reply; if either is lost, {@code onTimeout} is received once the time is up. */
+    /** Sends a request and its reply. If either is lost, {@code onTimeout} is received after the timeout. */
     void request(BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs) {
         request(reachable, service, onTimeout, timeoutMs, 0);
     }
 
-    /** As above, to the store, which may be slow. */
+    /** Sends a request as above to the store, which may be slow. */
     void requestStore(Supplier<Input> service, Input onTimeout, long timeoutMs) {
         request(this::storeReachable, service, onTimeout, timeoutMs, cluster.store.extraLatencyMs);
     }
 
     private void request(
             BooleanSupplier reachable, Supplier<Input> service, Input onTimeout, long timeoutMs, int extraLatencyMs) {
-        int sender = incarnation;
-        FirstOf replyOrTimeout = new FirstOf();
-        cluster.after(timeoutMs, () -> replyOrTimeout.run(() -> receive(sender, onTimeout)));
+        int senderIncarnation = incarnation;
+        RunOnce replyOrTimeout = new RunOnce();
+        cluster.after(timeoutMs, () -> replyOrTimeout.run(() -> receive(senderIncarnation, onTimeout)));
         if (!reachable.getAsBoolean()) {
             return;
         }
         cluster.deliver(() -> {
             Input reply = service.get();
-            cluster.after(cluster.latency(extraLatencyMs), () -> {
+            cluster.after(cluster.randomLatency(extraLatencyMs), () -> {
                 if (reachable.getAsBoolean()) {
-                    cluster.deliver(() -> replyOrTimeout.run(() -> receive(sender, reply)));
+                    cluster.deliver(() -> replyOrTimeout.run(() -> receive(senderIncarnation, reply)));
                 }
             });
         });
     }
 
     void submit(Job job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.SubmitJob(id, job.id(), job, null), onReply);
+        sendUserRequest(id -> new Input.SubmitJob(id, job.id(), job, null), onReply);
     }
 
     void submitMalformed(String job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.SubmitJob(id, job, null, "a field is missing"), onReply);
+        sendUserRequest(id -> new Input.SubmitJob(id, job, null, "a field is missing"), onReply);
     }
 
     void poll(String job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.GetJobStatus(id, job), onReply);
+        sendUserRequest(id -> new Input.GetJobStatus(id, job), onReply);
     }
 
-    void abort(String job, Consumer<Effect.AnswerUser> onReply) {
-        ask(id -> new Input.CancelJob(id, job), onReply);
+    void cancel(String job, Consumer<Effect.AnswerUser> onReply) {
+        sendUserRequest(id -> new Input.CancelJob(id, job), onReply);
     }
 
-    private void ask(LongFunction<Input> input, Consumer<Effect.AnswerUser> onReply) {
+    private void sendUserRequest(LongFunction<Input> input, Consumer<Effect.AnswerUser> onReply) {
         long id = nextRequestId++;
-        performer.onUserReply(id, onReply);
+        effectExecutor.expectUserReply(id, onReply);
         receive(incarnation, input.apply(id));
     }
 
-    void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatReply> onReply) {
+    void receiveHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatReply> onReply) {
         long id = nextRequestId++;
-        performer.onHeartbeatReply(id, onReply);
+        effectExecutor.expectHeartbeatReply(id, onReply);
         receive(incarnation, new Input.HeartbeatReceived(id, heartbeat));
     }
 
-    /** Sends pages of this controller's status to all peers that it reaches. */
+    /** Sends pages of this controller's status to all peers that it can reach. */
     void broadcast(List<PeerStatus> pages) {
         pages.forEach(this::checkPageSize);
         for (SimController peer : cluster.controllers.values()) {
-            int recipient = peer.incarnation;
-            if (peer != this && !cutFromPeers && !peer.cutFromPeers) {
-                pages.forEach(
-                        page -> cluster.deliver(() -> peer.receive(recipient, new Input.PeerStatusReceived(page))));
+            int recipientIncarnation = peer.incarnation;
+            if (peer != this && !disconnectedFromPeers && !peer.disconnectedFromPeers) {
+                pages.forEach(page ->
+                        cluster.deliver(() -> peer.receive(recipientIncarnation, new Input.PeerStatusReceived(page))));
             }
         }
     }
@@ -232,7 +240,7 @@
         try {
             int bytes = PeerProtocol.encodeStatus(page).length;
             if (bytes > MAX_PEER_PAGE_BYTES) {
-                throw new AssertionError(name + " sends its peers " + bytes + " bytes at once");
+                throw new AssertionError(name + " sends its peers a page of " + bytes + " bytes");
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/dewlane/sim/SimHeartbeats.java
+++ b/src/test/java/dewlane/sim/SimHeartbeats.java
@@ -5,15 +5,18 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The heartbeats of a worker: to which controller and when they go, and what becomes of them on their way. */
+/** Sends a worker's heartbeats: chooses the controller and the time, and delivers, loses, delays or duplicates them. */
 final class SimHeartbeats {
-    /** Chance that a copy of a heartbeat comes late, to any controller, while messages have faults. */
-    private static final double COPY_RATE = 0.02;
+    /**
+     * Probability that a duplicate of a heartbeat arrives late at the same or a random controller, while messages have
+     * faults.
+     */
+    private static final double DUPLICATE_RATE = 0.02;
 
     private static final long REPLY_TIMEOUT_MS = 4000;
     private static final long RETRY_MS = 1000;
-    private static final long LONGEST_MS_AFTER_CHANGE = 500;
-    private static final int LONGEST_MS_AFTER_REDIRECT = 500;
+    private static final long MAX_DELAY_AFTER_CHANGE_MS = 500;
+    private static final int MAX_DELAY_AFTER_REDIRECT_MS = 500;
 
     private final SimWorker worker;
     private final SimCluster cluster;
@@ -21,26 +24,26 @@
     private String target;
     private boolean awaitsReply;
     private long nextAt;
-    /** Heartbeats that are held back on their way, or null if none are. */
-    private List<Heartbeat> withheld;
+    /** Heartbeats held back in flight, or null if none are held back. */
+    private List<Heartbeat> heldBack;
 
     SimHeartbeats(SimWorker worker) {
         this.worker = worker;
         this.cluster = worker.cluster;
     }
 
-    /** The controller to which the worker reports, or null if it will choose one. */
+    /** Returns the controller to which the worker sends heartbeats, or null if it will choose one at random. */
     String target() {
         return target;
     }
 
-    void forgetTarget() {
+    void clearTarget() {
         target = null;
     }
 
-    /** Something changed on the worker that its controller should know soon. */
-    void hasten() {
-        nextAt = Math.min(nextAt, cluster.now() + LONGEST_MS_AFTER_CHANGE);
+    /** Sends the next heartbeat soon, since something has changed on the worker. */
+    void sendSoon() {
+        nextAt = Math.min(nextAt, cluster.now() + MAX_DELAY_AFTER_CHANGE_MS);
     }
 
     Heartbeat next(long incarnation, long fencingToken) {
@@ -69,7 +72,7 @@
     }
 
     private void send() {
-        nextAt = cluster.now() + (long) (cluster.settings.heartbeatIntervalS() * cluster.between(750, 1250));
+        nextAt = cluster.now() + (long) (cluster.settings.heartbeatIntervalS() * cluster.randomBetween(750, 1250));
         if (target == null) {
             target = cluster.randomController().name;
         }
@@ -77,7 +80,7 @@
         Heartbeat heartbeat = worker.nextHeartbeat();
         long sentAt = cluster.now();
         long incarnation = worker.incarnation();
-        FirstOf replyOrTimeout = new FirstOf();
+        RunOnce replyOrTimeout = new RunOnce();
         awaitsReply = true;
         cluster.after(
                 REPLY_TIMEOUT_MS,
@@ -88,7 +91,7 @@
         transmit(heartbeat, controller, reply -> {
             long repliedAt = cluster.now();
             cluster.deliver(() -> {
-                if (worker.hearsReplyOf(controller)) {
+                if (worker.receivesReplyFrom(controller)) {
                     replyOrTimeout.run(() -> {
                         awaitsReply = false;
                         handle(reply, incarnation, sentAt, repliedAt);
@@ -103,7 +106,7 @@
                 && reply.redirectTo() != null
                 && !reply.redirectTo().equals(target)) {
             target = reply.redirectTo();
-            nextAt = cluster.now() + cluster.between(0, LONGEST_MS_AFTER_REDIRECT);
+            nextAt = cluster.now() + cluster.randomBetween(0, MAX_DELAY_AFTER_REDIRECT_MS);
         } else if (reply.isAccepted()) {
             worker.execute(reply, incarnation, sentAt, repliedAt);
         } else {
@@ -118,22 +121,24 @@
         nextAt = cluster.now() + RETRY_MS;
     }
 
-    /** A heartbeat goes its way to a controller, if it gets there, and sometimes a copy comes late. */
+    /** Sends a heartbeat to a controller if it can be reached, and sometimes a late duplicate. */
     private void transmit(Heartbeat heartbeat, SimController to, Consumer<HeartbeatReply> onReply) {
-        if (withheld != null) {
-            withheld.add(heartbeat);
+        if (heldBack != null) {
+            heldBack.add(heartbeat);
             return;
         }
         if (!reaches(to)) {
             return;
         }
-        if (cluster.messageFaultRate > 0 && cluster.chance(COPY_RATE)) {
-            deliverCopy(
-                    heartbeat, cluster.chance(0.5) ? to : cluster.randomController(), cluster.between(1000, 90_000));
+        if (cluster.messageFaultRate > 0 && cluster.chance(DUPLICATE_RATE)) {
+            deliverDuplicate(
+                    heartbeat,
+                    cluster.chance(0.5) ? to : cluster.randomController(),
+                    cluster.randomBetween(1000, 90_000));
         }
         cluster.deliver(() -> {
             if (to.alive) {
-                to.heartbeat(heartbeat, onReply);
+                to.receiveHeartbeat(heartbeat, onReply);
             }
         });
     }
@@ -141,29 +146,29 @@
     private boolean reaches(SimController controller) {
         return !worker.disconnected
                 && !worker.outboundBlocked
-                && !controller.cutFromWorkers
+                && !controller.disconnectedFromWorkers
                 && !worker.blockedControllers.contains(controller.name)
                 && controller.alive;
     }
 
-    /** From now on heartbeats are held back on their way. */
-    void withhold() {
-        withheld = new ArrayList<>();
+    /** Starts to hold back heartbeats in flight. */
+    void holdBack() {
+        heldBack = new ArrayList<>();
     }
 
-    /** What was held back arrives, in order, at the given controller; returns how many heartbeats that were. */
+    /** Delivers the held-back heartbeats in order to the given controller, and returns how many there were. */
     int release(SimController to) {
-        List<Heartbeat> late = withheld;
-        withheld = null;
-        late.forEach(heartbeat -> deliverCopy(heartbeat, to, 1));
-        return late.size();
+        List<Heartbeat> released = heldBack;
+        heldBack = null;
+        released.forEach(heartbeat -> deliverDuplicate(heartbeat, to, 1));
+        return released.size();
     }
 
-    /** A copy of a heartbeat that comes late; its reply reaches nobody. */
-    void deliverCopy(Heartbeat copy, SimController to, long afterMs) {
+    /** Delivers a duplicate of a heartbeat after the given time; its reply is dropped. */
+    void deliverDuplicate(Heartbeat duplicate, SimController to, long afterMs) {
         cluster.after(afterMs, () -> {
             if (to.alive) {
-                to.heartbeat(copy, reply -> {});
+                to.receiveHeartbeat(duplicate, reply -> {});
             }
         });
     }
--- a/src/test/java/dewlane/sim/SimStore.java
+++ b/src/test/java/dewlane/sim/SimStore.java
@@ -14,8 +14,8 @@
 import java.util.function.Supplier;
 
 /**
- * The store: conditional writes, reads, leases and watches, with outages, refusals of single controllers, delayed
- * writes and lost replies.
+ * The simulated store: conditional transactions, reads, leases and watches. Faults are outages, refusal of single
+ * controllers, delayed writes and lost replies.
  */
 final class SimStore {
     private record VersionedValue(StoredValue value, long version, long lease) {}
@@ -23,9 +23,9 @@
     private static final long LIST_TIMEOUT_MS = 3000;
     private static final long REQUEST_TIMEOUT_MS = 1500;
     private static final long RENEWAL_TIMEOUT_MS = 1000;
-    private static final long LEASE_CHECK_MS = 50;
-    private static final int SHORTEST_WRITE_DELAY_MS = 2000;
-    private static final int LONGEST_WRITE_DELAY_MS = 12_000;
+    private static final long LEASE_CHECK_INTERVAL_MS = 50;
+    private static final int MIN_WRITE_DELAY_MS = 2000;
+    private static final int MAX_WRITE_DELAY_MS = 12_000;
 
     private final SimCluster cluster;
     private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
@@ -40,18 +40,18 @@
 
     final Set<String> refusedControllers = new HashSet<>();
     boolean unavailable;
-    /** How long the replies of watches take beyond the usual. */
+    /** Additional delay of the watches' replies. */
     int watchLagMs;
-    /** How long a reply takes at most beyond the usual. */
+    /** The highest additional delay of a reply. */
     int extraLatencyMs;
-    /** The share of transactions that get no reply and are carried out seconds later, after newer ones. */
+    /** The share of transactions that get no reply and are executed seconds later, after newer ones. */
     double delayedWriteRate;
-    /** The share of transactions that are carried out at once while only the reply is lost. */
+    /** The share of transactions that are executed at once, but whose reply is lost. */
     double lostReplyRate;
 
-    /** Lost replies to transactions that were committed. */
+    /** Committed transactions whose reply was lost. */
     int lostReplies;
-    /** Transactions carried out late, and how many of them were still committed. */
+    /** Transactions executed late, and how many of them were committed. */
     int delayedWrites;
 
     int delayedWritesCommitted;
@@ -61,7 +61,7 @@
         this.limits = new SimStoreLimits(cluster);
         this.leases = new SimLeases(cluster);
         this.watches = new SimWatches(cluster, this);
-        cluster.every(LEASE_CHECK_MS, this::expireLeases);
+        cluster.every(LEASE_CHECK_INTERVAL_MS, this::expireLeases);
     }
 
     StoredValue get(String key) {
@@ -69,7 +69,7 @@
         return stored == null ? null : stored.value;
     }
 
-    /** Sets a key as a test wants it to be. */
+    /** Sets a key unconditionally, for a test. */
     void put(String key, StoredValue value) {
         revision++;
         keys.put(key, new VersionedValue(value, revision, 0));
@@ -95,14 +95,14 @@
         return !unavailable && !refusedControllers.contains(controller.name);
     }
 
-    /** True if a request is within the rate. */
+    /** Takes a token from the request rate limit; false if the request exceeds it. */
     private boolean withinRequestRate() {
         boolean within = requestBucket.take(1, cluster.settings.storeRequestsPerS(), cluster.now());
         usage.countRequest(within);
         return within;
     }
 
-    /** A request that fails with the same input whether it is refused or lost. */
+    /** Sends a request that fails with the same input whether it is refused or lost. */
     private void request(SimController controller, Supplier<Input> service, Input failure, long timeoutMs) {
         controller.requestStore(
                 () -> accepts(controller) && withinRequestRate() ? service.get() : failure, failure, timeoutMs);
@@ -166,7 +166,7 @@
     void commit(SimController controller, long id, Transaction transaction) {
         limits.check(controller, transaction);
         if (delayedWriteRate > 0 && cluster.chance(delayedWriteRate) && controller.storeReachable()) {
-            commitLate(id, transaction);
+            commitDelayed(id, transaction);
             receiveUnknownResult(controller, id);
         } else if (lostReplyRate > 0 && cluster.chance(lostReplyRate) && controller.storeReachable()) {
             commitWithoutReply(controller, id, transaction);
@@ -181,8 +181,8 @@
         }
     }
 
-    private void commitLate(long id, Transaction transaction) {
-        cluster.after(cluster.between(SHORTEST_WRITE_DELAY_MS, LONGEST_WRITE_DELAY_MS), () -> {
+    private void commitDelayed(long id, Transaction transaction) {
+        cluster.after(cluster.randomBetween(MIN_WRITE_DELAY_MS, MAX_WRITE_DELAY_MS), () -> {
             if (!unavailable) {
                 delayedWrites++;
                 delayedWritesCommitted += isCommitted(apply(id, transaction)) ? 1 : 0;
@@ -199,10 +199,11 @@
     }
 
     private void receiveUnknownResult(SimController controller, long id) {
-        int sender = controller.incarnation;
+        int senderIncarnation = controller.incarnation;
         cluster.after(
                 REQUEST_TIMEOUT_MS,
-                () -> controller.receive(sender, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
+                () -> controller.receive(
+                        senderIncarnation, new Input.TransactionCompleted(id, Transaction.Status.UNKNOWN, 0)));
     }
 
     private static boolean isCommitted(Input.TransactionCompleted result) {
@@ -210,13 +211,13 @@
     }
 
     private Input.TransactionCompleted apply(long id, Transaction transaction) {
-        if (!writeBucket.take(transaction.writes().size(), limits.now().writesPerS(), cluster.now())) {
+        if (!writeBucket.take(transaction.writes().size(), limits.current().writesPerS(), cluster.now())) {
             return new Input.TransactionCompleted(id, Transaction.Status.RATE_LIMITED, 0);
         }
-        if (limits.exceededBy(transaction) || namesEndedLease(transaction)) {
+        if (limits.exceededBy(transaction) || usesExpiredLease(transaction)) {
             return new Input.TransactionCompleted(id, Transaction.Status.INVALID, 0);
         }
-        if (!guardsHold(transaction)) {
+        if (!preconditionsHold(transaction)) {
             return new Input.TransactionCompleted(id, Transaction.Status.CONFLICT, revision);
         }
         usage.count(transaction);
@@ -228,24 +229,24 @@
         return new Input.TransactionCompleted(id, Transaction.Status.COMMITTED, revision);
     }
 
-    private boolean namesEndedLease(Transaction transaction) {
-        return transaction.writes().stream().anyMatch(write -> write.lease() != 0 && !leases.holds(write.lease()));
+    private boolean usesExpiredLease(Transaction transaction) {
+        return transaction.writes().stream().anyMatch(write -> write.lease() != 0 && !leases.isValid(write.lease()));
     }
 
-    private boolean guardsHold(Transaction transaction) {
-        return transaction.preconditions().stream().allMatch(guard -> {
-            VersionedValue stored = keys.get(guard.key());
+    private boolean preconditionsHold(Transaction transaction) {
+        return transaction.preconditions().stream().allMatch(precondition -> {
+            VersionedValue stored = keys.get(precondition.key());
             long version = stored == null ? 0 : stored.version;
-            return version == guard.version() || isGuardDisabled(guard.key());
+            return version == precondition.version() || isPreconditionDisabled(precondition.key());
         });
     }
 
-    /** The conditions that a test has removed. */
-    private boolean isGuardDisabled(String key) {
-        return switch (cluster.disabledGuard) {
-            case TEAM_GUARD -> key.startsWith(StoreKeys.TEAM_USAGES);
-            case SLICE_GUARD -> key.startsWith(StoreKeys.SLICES);
-            case JOB_GUARD -> key.startsWith(StoreKeys.JOBS);
+    /** True if the test has disabled preconditions on keys of this kind. */
+    private boolean isPreconditionDisabled(String key) {
+        return switch (cluster.disabledCheck) {
+            case TEAM_PRECONDITION -> key.startsWith(StoreKeys.TEAM_USAGES);
+            case SLICE_PRECONDITION -> key.startsWith(StoreKeys.SLICES);
+            case JOB_PRECONDITION -> key.startsWith(StoreKeys.JOBS);
             default -> false;
         };
     }
@@ -259,7 +260,7 @@
         }
     }
 
-    /** Serves nobody for some time, in which no lease ends. */
+    /** Makes the store unavailable for the given time, during which no lease expires. */
     void outage(long ms) {
         unavailable = true;
         long began = cluster.now();
