--- a/src/main/java/dewlane/core/admission/DependencyLookup.java
+++ b/src/main/java/dewlane/core/admission/DependencyLookup.java
@@ -81,7 +81,7 @@
 
         /** Returns the result of a dependency, or null if neither the replica nor a read has shown one. */
         private JobResult resultOf(String id) {
-            JobResult cached = replica.result(id);
+            JobResult cached = replica.cachedResult(id);
             return cached == null ? resultsRead.get(id) : cached;
         }
 
--- a/src/main/java/dewlane/core/admission/JobLookup.java
+++ b/src/main/java/dewlane/core/admission/JobLookup.java
@@ -38,7 +38,7 @@
 
     /** Returns true if the replica holds anything of the job: its record, a slice or its result. */
     boolean isInReplica(String job) {
-        return replica.job(job) != null || replica.result(job) != null;
+        return replica.job(job) != null || replica.cachedResult(job) != null;
     }
 
     /** Returns true if the replica holds the job's record. */
@@ -48,7 +48,7 @@
 
     /** Returns the job's result if the replica holds it, else null. Null does not mean that the job has no result. */
     JobResult cachedResult(String job) {
-        return replica.result(job);
+        return replica.cachedResult(job);
     }
 
     /** Runs {@code proceed} once the replica holds all that is durable now, or {@code onUnavailable} if that fails. */
@@ -64,7 +64,7 @@
      * @param onActive called with the job instead of an answer if the job is neither ended nor cancelled
      */
     void answerUnlessActive(long requestId, String job, Runnable onUnknown, Consumer<JobEntry> onActive) {
-        JobResult result = replica.result(job);
+        JobResult result = replica.cachedResult(job);
         JobEntry entry = replica.activeJob(job);
         if (result != null) {
             responses.result(requestId, job, result);
--- a/src/main/java/dewlane/core/controller/PeerInputHandlers.java
+++ b/src/main/java/dewlane/core/controller/PeerInputHandlers.java
@@ -49,7 +49,7 @@
         JobEntry entry = cancellations.onPeerCancellation(job) ? replica.job(job) : null;
         if (entry != null) {
             // The next commands to the machines of the job stop its tasks.
-            machines.markChangedFor(entry);
+            machines.markForPlanningOf(entry);
             scheduling.request();
         }
     }
--- a/src/main/java/dewlane/core/fleet/AttemptTracker.java
+++ b/src/main/java/dewlane/core/fleet/AttemptTracker.java
@@ -52,14 +52,14 @@
             job.slices().forEach(slice -> update(job, spec, slice, slice.value(), null));
             progress.onJobRemoved(job.id());
         } else if (change.after() != null && change.after().isCancelled()) {
-            markMachinesChanged(job);
+            markForPlanningOf(job);
         }
     }
 
     /** Marks all machines on which the job has attempts to have their commands planned again. */
-    void markMachinesChanged(JobEntry job) {
+    void markForPlanningOf(JobEntry job) {
         for (SliceEntry slice : job.slices()) {
-            slice.value().attempts().forEach(attempt -> owned.markChanged(machines.getOrCreate(attempt.machine())));
+            slice.value().attempts().forEach(attempt -> owned.markForPlanning(machines.getOrCreate(attempt.machine())));
         }
     }
 
@@ -98,7 +98,7 @@
         machine.load().usage().add(spec);
         assigned.setQuotaOwner(ownerOf(slice));
         teamUsage.add(spec, assigned.quotaOwner(), 1);
-        owned.markChanged(machine);
+        owned.markForPlanning(machine);
     }
 
     private String ownerOf(SliceEntry slice) {
@@ -119,7 +119,7 @@
         machine.commands().onAttemptRemoved(id);
         progress.onAttemptRemoved(id);
         machine.load().markIdleIfEmpty(context.nowMs());
-        owned.markChanged(machine);
+        owned.markForPlanning(machine);
         machines.removeIfTerminated(machine);
     }
 
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -38,13 +38,13 @@
     private long handoverCheckedAtMs;
 
     /** Called when a write about the job is sent. */
-    public void beginWrite() {
-        write.begin();
+    public void onWriteSubmitted() {
+        write.onSubmitted();
     }
 
     /** Called when the write was answered at the revision, which the replica has yet to reach. */
-    public void completeWrite(long revision) {
-        write.complete(revision);
+    public void onWriteAnswered(long revision) {
+        write.onAnswered(revision);
     }
 
     /** Prevents writes about the job until the given steady time, after the store called one invalid. */
--- a/src/main/java/dewlane/core/fleet/MachineDiscovery.java
+++ b/src/main/java/dewlane/core/fleet/MachineDiscovery.java
@@ -37,7 +37,7 @@
         }
         if (machine.address() == null) {
             machine.setAddress(address);
-            owned.markChanged(machine);
+            owned.markForPlanning(machine);
         }
         return machine;
     }
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -90,20 +90,20 @@
     }
 
     /** Marks the machine to have its commands planned again, if it is in this controller's partition. */
-    public void markChanged(Machine machine) {
-        owned.markChanged(machine);
+    public void markForPlanning(Machine machine) {
+        owned.markForPlanning(machine);
     }
 
     /** Marks all machines on which the job has attempts to have their commands planned again. */
-    public void markChangedFor(JobEntry job) {
-        attempts.markMachinesChanged(job);
+    public void markForPlanningOf(JobEntry job) {
+        attempts.markForPlanningOf(job);
     }
 
     /**
      * Returns the machines of this partition whose commands are to be planned again; the caller clears the collection.
      */
-    public Collection<Machine> changed() {
-        return owned.changed();
+    public Collection<Machine> machinesToPlan() {
+        return owned.machinesToPlan();
     }
 
     /** Returns true if the machine is proven terminated. */
--- a/src/main/java/dewlane/core/fleet/OwnedMachines.java
+++ b/src/main/java/dewlane/core/fleet/OwnedMachines.java
@@ -15,7 +15,7 @@
     private final String self;
     private final Set<Machine> owned = new LinkedHashSet<>();
     /** The owned machines whose commands are to be planned again. */
-    private final Set<Machine> changed = new LinkedHashSet<>();
+    private final Set<Machine> machinesToPlan = new LinkedHashSet<>();
 
     OwnedMachines(ControllerContext context, StoreReplica replica) {
         this.context = context;
@@ -36,14 +36,14 @@
     /**
      * Returns the machines in this partition whose commands are to be planned again; the caller clears the collection.
      */
-    Collection<Machine> changed() {
-        return changed;
+    Collection<Machine> machinesToPlan() {
+        return machinesToPlan;
     }
 
     /** Marks the machine to have its commands planned again, if it is in this partition. */
-    void markChanged(Machine machine) {
+    void markForPlanning(Machine machine) {
         if (owns(machine)) {
-            changed.add(machine);
+            machinesToPlan.add(machine);
         }
     }
 
@@ -63,13 +63,13 @@
         } else if (reacquire || !wasOwned) {
             machine.acquire(map.epoch(), context.nowMs());
             owned.add(machine);
-            changed.add(machine);
+            machinesToPlan.add(machine);
         }
     }
 
     /** Removes a machine that is terminated or not in this partition any more. */
     void remove(Machine machine) {
         owned.remove(machine);
-        changed.remove(machine);
+        machinesToPlan.remove(machine);
     }
 }
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -77,7 +77,7 @@
 
     private void onDependency(String id, JobEntry dependent) {
         JobEntry dependency = replica.activeJob(id);
-        JobResult result = replica.result(id);
+        JobResult result = replica.cachedResult(id);
         if (dependency != null) {
             urgency.raise(dependency, dependent);
         } else if (result != null) {
@@ -89,7 +89,7 @@
 
     /** A removed record alone does not mean that the job has ended: the replica also removes it to load a listing. */
     private void onRecordRemoved(String id) {
-        JobResult result = replica.result(id);
+        JobResult result = replica.cachedResult(id);
         if (result != null) {
             onEnded(id, result);
         } else if (!graph.dependents(id).isEmpty() && !graph.hasFailed(id)) {
--- a/src/main/java/dewlane/core/membership/PartitionMapWriter.java
+++ b/src/main/java/dewlane/core/membership/PartitionMapWriter.java
@@ -65,9 +65,9 @@
     }
 
     private void submit(Transaction.Builder transaction, Consumer<Transaction.Status> onCompleted) {
-        lastWrite.begin();
+        lastWrite.onSubmitted();
         transactions.submit(TransactionPriority.MEMBERSHIP, transaction.build(), (status, revision) -> {
-            lastWrite.complete(revision);
+            lastWrite.onAnswered(revision);
             onCompleted.accept(status);
         });
     }
--- a/src/main/java/dewlane/core/scheduling/JobTransactions.java
+++ b/src/main/java/dewlane/core/scheduling/JobTransactions.java
@@ -90,7 +90,7 @@
         // Kept for the answer: the job's record may be deleted by then.
         Job job = update.job().job();
         JobProgress progress = update.progress();
-        progress.beginWrite();
+        progress.onWriteSubmitted();
         update.changedSlices().forEach(slice -> progress.closeBatch(slice.number()));
         TransactionPriority priority = update.hasLaunches() ? TransactionPriority.LAUNCH : TransactionPriority.OUTCOME;
         transactions.submit(
@@ -99,7 +99,7 @@
 
     private void onCompleted(JobUpdate update, Job job, Transaction.Status status, long revision) {
         JobProgress progress = update.progress();
-        progress.completeWrite(revision);
+        progress.onWriteAnswered(revision);
         if (status == Transaction.Status.COMMITTED) {
             counters.add(Counter.TASKS_LAUNCHED, update.launchCount());
         } else if (status == Transaction.Status.INVALID) {
--- a/src/main/java/dewlane/core/scheduling/MachineScan.java
+++ b/src/main/java/dewlane/core/scheduling/MachineScan.java
@@ -81,7 +81,7 @@
             if (job.checkpointIntervalS() > 0
                     && isCheckpointDue(machine, job)
                     && machine.commands().preempt(attempt.id(), job.checkpointDurationS() + 1)) {
-                machines.markChanged(machine);
+                machines.markForPlanning(machine);
             }
         }
     }
--- a/src/main/java/dewlane/core/scheduling/Preemptor.java
+++ b/src/main/java/dewlane/core/scheduling/Preemptor.java
@@ -77,7 +77,7 @@
             }
             Machine machine = cheapest.machine;
             cheapest.victims.attempts().forEach(victim -> preempt(machine, victim, job));
-            machines.markChanged(machine);
+            machines.markForPlanning(machine);
             expectedUsage.reserve(machine, spec);
             addOption(options, machine, job);
         }
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -192,7 +192,7 @@
     }
 
     /** Returns the slice that contains a task, or null if there is none. */
-    public SliceEntry sliceOf(int task) {
+    public SliceEntry sliceContaining(int task) {
         for (SliceEntry slice : slices.values()) {
             if (task >= slice.value().first()
                     && task < slice.value().first() + slice.value().count()) {
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -212,7 +212,7 @@
     }
 
     /** Returns the result of a job if it is cached, or null; a job without a cached result may have ended. */
-    public JobResult result(String id) {
+    public JobResult cachedResult(String id) {
         return results.getIfPresent(id);
     }
 
--- a/src/main/java/dewlane/core/store/UnresolvedWriteTracker.java
+++ b/src/main/java/dewlane/core/store/UnresolvedWriteTracker.java
@@ -10,12 +10,12 @@
     private long answeredAtRevision;
 
     /** Called when a write is submitted. */
-    public void begin() {
+    public void onSubmitted() {
         inFlight = true;
     }
 
     /** Called when the write has been answered at the given revision. */
-    public void complete(long revision) {
+    public void onAnswered(long revision) {
         inFlight = false;
         answeredAtRevision = revision;
     }
--- a/src/main/java/dewlane/core/worker/AttemptReconciler.java
+++ b/src/main/java/dewlane/core/worker/AttemptReconciler.java
@@ -55,9 +55,9 @@
             return false;
         }
         JobEntry job = replica.job(id.job());
-        SliceEntry slice = job == null ? null : job.sliceOf(id.task());
+        SliceEntry slice = job == null ? null : job.sliceContaining(id.task());
         boolean shownByReplica =
-                slice != null ? slice.value().launchCount() >= id.number() : replica.result(id.job()) != null;
+                slice != null ? slice.value().launchCount() >= id.number() : replica.cachedResult(id.job()) != null;
         return shownByReplica
                 || machine.commands().absentFromReplicaForMs(id, context.nowMs()) > REPLICA_LAG_GRACE_PERIOD_MS;
     }
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -74,11 +74,11 @@
      * a machine.
      */
     public void sendDirectCommands() {
-        if (!membership.isMember() || machines.changed().isEmpty()) {
+        if (!membership.isMember() || machines.machinesToPlan().isEmpty()) {
             return;
         }
         List<Machine> postponed = new ArrayList<>();
-        for (Machine machine : machines.changed()) {
+        for (Machine machine : machines.machinesToPlan()) {
             if (machine.address() == null || machine.worker().incarnation() == 0) {
                 continue;
             }
@@ -88,8 +88,8 @@
                 sendIfNeeded(machine);
             }
         }
-        machines.changed().clear();
-        machines.changed().addAll(postponed);
+        machines.machinesToPlan().clear();
+        machines.machinesToPlan().addAll(postponed);
     }
 
     private void sendIfNeeded(Machine machine) {
@@ -149,7 +149,7 @@
             if (machine.reachability().isSuspected()
                     || !machine.commands().preempted().isEmpty()
                     || hasUnreportedAttempt(machine)) {
-                machines.markChanged(machine);
+                machines.markForPlanning(machine);
             }
         }
     }
--- a/src/main/java/dewlane/core/worker/MachineStateUpdater.java
+++ b/src/main/java/dewlane/core/worker/MachineStateUpdater.java
@@ -45,7 +45,7 @@
             updateLifecycle(machine, heartbeat);
         }
         outcomes.record(machine, heartbeat);
-        machines.markChanged(machine);
+        machines.markForPlanning(machine);
     }
 
     private void updateLifecycle(Machine machine, Heartbeat heartbeat) {
--- a/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerUserResponsesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests a controller's responses to users, and the reads from the store that precede them. */
-class ControllerUserRepliesTest extends ControllerFixture {
+class ControllerUserResponsesTest extends ControllerFixture {
     private static final String MALFORMED = "bottles must be an integer";
 
     @Test
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -26,14 +26,14 @@
     }
 
     /** What the store says of an attempt, as the controller has read it. */
-    enum Recorded {
+    enum StoredState {
         LIVE,
         END_REPORTED,
         END_DURABLE
     }
 
     /** The state of an attempt on the worker. */
-    enum OnWorker {
+    enum WorkerTaskState {
         NEVER_SEEN,
         RUNNING,
         ENDED,
@@ -41,7 +41,7 @@
     }
 
     /** Commands in flight to the worker, directly or in a response. */
-    record Message(long token, Set<Task> launches, Set<Task> forgets) {
+    record CommandMessage(long token, Set<Task> launches, Set<Task> forgets) {
         Set<AttemptId> launchKeys() {
             Set<AttemptId> keys = new HashSet<>();
             launches.forEach(task -> keys.add(task.key()));
@@ -50,29 +50,29 @@
     }
 
     /** A heartbeat in flight. */
-    record WorkerReport(long sequence, long tokenSeen, Map<Task, OnWorker> tasks) {}
+    record HeartbeatMessage(long sequence, long tokenSeen, Map<Task, WorkerTaskState> tasks) {}
 
     /** The calls on the channel since the beginning. Each model creates its channel by repeating them. */
     private final List<Consumer<CommandChannel>> steps = new ArrayList<>();
 
-    final Map<Task, Recorded> stored = new EnumMap<>(Task.class);
-    final Map<Task, OnWorker> onWorker = new EnumMap<>(Task.class);
-    final Map<Task, OnWorker> reported = new EnumMap<>(Task.class);
-    final List<Message> commandsInFlight = new ArrayList<>();
+    final Map<Task, StoredState> stored = new EnumMap<>(Task.class);
+    final Map<Task, WorkerTaskState> onWorker = new EnumMap<>(Task.class);
+    final Map<Task, WorkerTaskState> reported = new EnumMap<>(Task.class);
+    final List<CommandMessage> commandsInFlight = new ArrayList<>();
     /** The direct command whose answer the controller awaits; null if it awaits none or if that answer is lost. */
-    Message awaitedCommand;
+    CommandMessage awaitedCommand;
 
     boolean controllerAwaitsAnswer;
     /**
      * The heartbeat in flight, or else the response to it. The worker awaits the response, so at most one of them is in
      * flight.
      */
-    WorkerReport heartbeat;
+    HeartbeatMessage heartbeat;
 
-    Message response;
+    CommandMessage response;
     boolean workerAwaitsResponse;
     /** A heartbeat whose response the worker no longer awaits and that still arrives. */
-    WorkerReport delayedHeartbeat;
+    HeartbeatMessage delayedHeartbeat;
 
     int raisedFences;
     boolean launchedAgain;
@@ -82,8 +82,8 @@
 
     ChannelModel() {
         for (Task task : Task.values()) {
-            stored.put(task, Recorded.LIVE);
-            onWorker.put(task, OnWorker.NEVER_SEEN);
+            stored.put(task, StoredState.LIVE);
+            onWorker.put(task, WorkerTaskState.NEVER_SEEN);
         }
         step(channel -> channel.acquire(1));
     }
@@ -146,22 +146,22 @@
         return text.toString();
     }
 
-    private String describe(WorkerReport received) {
+    private String describe(HeartbeatMessage received) {
         return received == null ? "-" : isNewer(received) + " " + received.tokenSeen + received.tasks;
     }
 
-    private boolean isNewer(WorkerReport received) {
+    private boolean isNewer(HeartbeatMessage received) {
         return received.sequence > acceptedSequence;
     }
 
     /**
      * Returns the commands that the planner would send, with the channel's rule for when an attempt may be forgotten.
      */
-    Message planCommands() {
+    CommandMessage planCommands() {
         Set<Task> launches = new HashSet<>();
         Set<Task> forgets = new HashSet<>();
         for (Task task : Task.values()) {
-            if (stored.get(task) == Recorded.END_DURABLE && reported.get(task) == OnWorker.ENDED) {
+            if (stored.get(task) == StoredState.END_DURABLE && reported.get(task) == WorkerTaskState.ENDED) {
                 forgets.add(task);
             }
         }
@@ -173,12 +173,12 @@
         forgets.removeIf(task -> channel.isLaunchInFlight(task.key()));
         for (Task task : Task.values()) {
             if (channel.fencingToken() == firstToken()
-                    && stored.get(task) == Recorded.LIVE
+                    && stored.get(task) == StoredState.LIVE
                     && !reported.containsKey(task)) {
                 launches.add(task);
             }
         }
-        return new Message(channel.fencingToken(), launches, forgets);
+        return new CommandMessage(channel.fencingToken(), launches, forgets);
     }
 
     private static long firstToken() {
@@ -188,36 +188,36 @@
     }
 
     /** The worker executes commands. A task that they launch runs, or ends at once. */
-    void execute(Message commands, OnWorker started) {
+    void execute(CommandMessage commands, WorkerTaskState started) {
         if (commands.token() < tokenSeen) {
             return;
         }
         tokenSeen = commands.token();
         for (Task task : commands.launches()) {
-            launchedAgain |= onWorker.get(task) == OnWorker.FORGOTTEN;
-            if (onWorker.get(task) == OnWorker.NEVER_SEEN) {
+            launchedAgain |= onWorker.get(task) == WorkerTaskState.FORGOTTEN;
+            if (onWorker.get(task) == WorkerTaskState.NEVER_SEEN) {
                 onWorker.put(task, started);
             }
         }
         for (Task task : commands.forgets()) {
-            if (onWorker.get(task) == OnWorker.ENDED) {
-                onWorker.put(task, OnWorker.FORGOTTEN);
+            if (onWorker.get(task) == WorkerTaskState.ENDED) {
+                onWorker.put(task, WorkerTaskState.FORGOTTEN);
             }
         }
     }
 
-    WorkerReport nextHeartbeat() {
-        Map<Task, OnWorker> tasks = new EnumMap<>(Task.class);
+    HeartbeatMessage nextHeartbeat() {
+        Map<Task, WorkerTaskState> tasks = new EnumMap<>(Task.class);
         onWorker.forEach((task, state) -> {
-            if (state == OnWorker.RUNNING || state == OnWorker.ENDED) {
+            if (state == WorkerTaskState.RUNNING || state == WorkerTaskState.ENDED) {
                 tasks.put(task, state);
             }
         });
-        return new WorkerReport(++sequence, tokenSeen, tasks);
+        return new HeartbeatMessage(++sequence, tokenSeen, tasks);
     }
 
     /** The controller accepts a heartbeat unless it is older than one that it accepted; returns whether it did. */
-    boolean accept(WorkerReport received) {
+    boolean accept(HeartbeatMessage received) {
         if (!isNewer(received)) {
             return false;
         }
@@ -225,22 +225,22 @@
         reported.clear();
         reported.putAll(received.tasks);
         for (Task task : Task.values()) {
-            boolean ended = received.tasks.get(task) == OnWorker.ENDED;
+            boolean ended = received.tasks.get(task) == WorkerTaskState.ENDED;
             boolean fencedOff = !received.tasks.containsKey(task) && received.tokenSeen > firstToken();
-            if (stored.get(task) == Recorded.LIVE && (ended || fencedOff)) {
-                stored.put(task, Recorded.END_REPORTED);
+            if (stored.get(task) == StoredState.LIVE && (ended || fencedOff)) {
+                stored.put(task, StoredState.END_REPORTED);
             }
         }
         return true;
     }
 
     /** The controller accepts a heartbeat and returns the response; null if it rejects the heartbeat. */
-    Message respondTo(WorkerReport received) {
+    CommandMessage respondTo(HeartbeatMessage received) {
         if (!accept(received)) {
             return null;
         }
         step(CommandChannel::onResponseResolved);
-        Message commands = planCommands();
+        CommandMessage commands = planCommands();
         step(channel -> channel.onResponseSent(commands.launchKeys()));
         return commands;
     }
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.fleet.ChannelModel.Message;
-import dewlane.core.fleet.ChannelModel.OnWorker;
-import dewlane.core.fleet.ChannelModel.Recorded;
+import dewlane.core.fleet.ChannelModel.CommandMessage;
+import dewlane.core.fleet.ChannelModel.StoredState;
 import dewlane.core.fleet.ChannelModel.Task;
+import dewlane.core.fleet.ChannelModel.WorkerTaskState;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
@@ -26,7 +26,7 @@
     private static final int MAX_COMMANDS_IN_FLIGHT = 2;
     private static final int MAX_RAISED_FENCES = 1;
     /** What a launch may lead to: the task runs, or it is refused or fails at once. */
-    private static final List<OnWorker> STARTED = List.of(OnWorker.RUNNING, OnWorker.ENDED);
+    private static final List<WorkerTaskState> STARTED = List.of(WorkerTaskState.RUNNING, WorkerTaskState.ENDED);
 
     private final Set<String> visited = new HashSet<>();
     private final Deque<ChannelModel> pending = new ArrayDeque<>();
@@ -65,17 +65,17 @@
     }
 
     private void count(ChannelModel model) {
-        bothForgotten += model.onWorker.values().stream().allMatch(state -> state == OnWorker.FORGOTTEN) ? 1 : 0;
+        bothForgotten += model.onWorker.values().stream().allMatch(state -> state == WorkerTaskState.FORGOTTEN) ? 1 : 0;
         boolean launchAfterForget = model.commandsInFlight.stream()
                 .flatMap(command -> command.launches().stream())
-                .anyMatch(task -> model.onWorker.get(task) == OnWorker.FORGOTTEN);
+                .anyMatch(task -> model.onWorker.get(task) == WorkerTaskState.FORGOTTEN);
         launchesAfterForget += launchAfterForget ? 1 : 0;
     }
 
     private void expand(ChannelModel at) {
         sendCommand(at);
-        for (OnWorker started : STARTED) {
-            for (Message command : at.commandsInFlight) {
+        for (WorkerTaskState started : STARTED) {
+            for (CommandMessage command : at.commandsInFlight) {
                 deliverCommand(at, command, started, true);
                 deliverCommand(at, command, started, false);
             }
@@ -98,7 +98,7 @@
             return;
         }
         ChannelModel next = new ChannelModel(at);
-        Message commands = next.planCommands();
+        CommandMessage commands = next.planCommands();
         if (commands.launches().isEmpty() && commands.forgets().isEmpty()) {
             return;
         }
@@ -110,7 +110,8 @@
     }
 
     /** A command arrives, in time or delayed. Its answer reaches a controller that still awaits it, or is lost. */
-    private void deliverCommand(ChannelModel at, Message command, OnWorker started, boolean answerArrives) {
+    private void deliverCommand(
+            ChannelModel at, CommandMessage command, WorkerTaskState started, boolean answerArrives) {
         boolean isAwaited = at.awaitedCommand == command;
         if (answerArrives && !isAwaited) {
             return;
@@ -167,7 +168,7 @@
         }
     }
 
-    private void deliverResponse(ChannelModel at, OnWorker started) {
+    private void deliverResponse(ChannelModel at, WorkerTaskState started) {
         if (at.response != null) {
             branch(at, next -> {
                 next.response = null;
@@ -200,17 +201,17 @@
     }
 
     private void endTaskOnWorker(ChannelModel at, Task task) {
-        if (at.onWorker.get(task) == OnWorker.RUNNING) {
+        if (at.onWorker.get(task) == WorkerTaskState.RUNNING) {
             branch(at, next -> {
-                next.onWorker.put(task, OnWorker.ENDED);
+                next.onWorker.put(task, WorkerTaskState.ENDED);
             });
         }
     }
 
     private void storeTaskEnd(ChannelModel at, Task task) {
-        if (at.stored.get(task) == Recorded.END_REPORTED) {
+        if (at.stored.get(task) == StoredState.END_REPORTED) {
             branch(at, next -> {
-                next.stored.put(task, Recorded.END_DURABLE);
+                next.stored.put(task, StoredState.END_DURABLE);
             });
         }
     }
