--- a/src/main/java/dewlane/core/worker/AttemptOutcomes.java
+++ b/src/main/java/dewlane/core/worker/AttemptOutcomes.java
@@ -13,7 +13,7 @@
     /**
      * Returns the outcome of an attempt that the heartbeat does not list, or null if the attempt may still run. It is
      * proven to have ended only if the heartbeat is from a later incarnation of the worker than the launch, or if the
-     * worker had seen a fencing token above the launch's by then, so that it refuses delayed copies of the launch.
+     * worker had already seen a fencing token above the launch's, so that it refuses delayed copies of the launch.
      */
     static Outcome ifMissing(Attempt attempt, Heartbeat heartbeat) {
         boolean laterIncarnation = heartbeat.incarnation() > attempt.incarnation();
--- a/src/main/java/dewlane/core/worker/AttemptReconciler.java
+++ b/src/main/java/dewlane/core/worker/AttemptReconciler.java
@@ -34,11 +34,11 @@
      */
     record UnassignedAttempts(List<AttemptId> exited, List<AttemptId> running) {}
 
-    /** Finds the reported attempts that the store is known not to assign to the machine. */
+    /** Finds the reported attempts that the store does not assign to the machine. */
     UnassignedAttempts unassigned(Machine machine) {
         UnassignedAttempts found = new UnassignedAttempts(new ArrayList<>(), new ArrayList<>());
         machine.worker().tasks().forEach((id, status) -> {
-            if (machine.attempt(id) == null && isKnownUnassigned(machine, id)) {
+            if (machine.attempt(id) == null && isUnassigned(machine, id)) {
                 (status.phase() == Phase.EXITED ? found.exited() : found.running()).add(id);
             }
         });
@@ -50,7 +50,7 @@
      * for longer than it may lag behind. Returns false if a stored value of the job cannot be read, as its attempts are
      * then unknown.
      */
-    private boolean isKnownUnassigned(Machine machine, AttemptId id) {
+    private boolean isUnassigned(Machine machine, AttemptId id) {
         if (replica.isUnreadable(id.job())) {
             return false;
         }
--- a/src/main/java/dewlane/core/worker/CancelledTaskAge.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskAge.java
@@ -5,7 +5,7 @@
 import dewlane.core.message.ControllerContext;
 
 /**
- * Determines how much of the time until {@code cancel_s} has passed for cancelled tasks that may still be on a machine.
+ * Compares the time since the cancellation of tasks that may still be on a machine with a fraction of {@code cancel_s}.
  */
 final class CancelledTaskAge {
     private final ControllerContext context;
--- a/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
+++ b/src/main/java/dewlane/core/worker/CancelledTaskEviction.java
@@ -25,8 +25,8 @@
     private static final double DEADLINE_FRACTION = 0.45;
 
     /**
-     * The same while no record can be written: this controller, which knows of the cancellation, may fail before the
-     * deadline.
+     * The same while no record can be written. It is smaller because this controller, which has observed the
+     * cancellation, may fail before the deadline.
      */
     private static final double DEADLINE_FRACTION_WITHOUT_STORE = 0.2;
 
@@ -63,9 +63,8 @@
     }
 
     private List<String> overdueMachines() {
-        // There is less time left than for other unresponsive machines, so a machine already counts as unresponsive
-        // when
-        // it has missed its heartbeats.
+        // Less time is left than for other unresponsive machines, so a machine counts as unresponsive as soon as it has
+        // missed its heartbeats.
         long timeoutMs = context.settings().heartbeatTimeoutMs();
         double fraction = membership.isStoreReachable() ? DEADLINE_FRACTION : DEADLINE_FRACTION_WITHOUT_STORE;
         List<String> overdue = new ArrayList<>();
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -49,7 +49,8 @@
     }
 
     /**
-     * Responds to the machine's latest heartbeat, which shows that the previous response was received or is dropped.
+     * Responds to the machine's latest heartbeat, which shows that the worker has received the response to the previous
+     * one or will drop it.
      */
     void respond(Machine machine, long requestId) {
         machine.commandChannel().onResponseResolved();
@@ -141,8 +142,8 @@
     }
 
     /**
-     * Marks machines to be planned again that are suspected, have attempts to be preempted, or do not report an
-     * assigned attempt yet: the command about it may be lost.
+     * Marks machines to have their commands planned again if they are suspected, have attempts to be preempted, or do
+     * not report an assigned attempt yet, as the command about that attempt may be lost.
      */
     public void tick() {
         for (Machine machine : machines.owned()) {
--- a/src/main/java/dewlane/core/worker/CommandPlanner.java
+++ b/src/main/java/dewlane/core/worker/CommandPlanner.java
@@ -122,7 +122,8 @@
     /**
      * Returns true if a launch of the attempt may be sent. A launch may be sent only with the fencing token that was
      * stored with it; otherwise a heartbeat with a higher token would not prove that the attempt cannot start any more.
-     * Nor may a launch that was stored long ago be sent from a replica that may lack the cancellation of its job.
+     * The caller checks that the replica is fresh: a launch that was stored long ago must not be sent from a replica
+     * that may lack the cancellation of its job.
      */
     private boolean mayLaunch(Machine machine, AssignedAttempt assigned) {
         return !cancellations.mustNotRun(assigned.job())
--- a/src/main/java/dewlane/core/worker/ContactTimerReset.java
+++ b/src/main/java/dewlane/core/worker/ContactTimerReset.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Ignores the time before this controller joined again: other controllers may have received the heartbeats
-     * meanwhile.
+     * Ignores the time before this controller joined again: other controllers may have received the heartbeats in that
+     * time.
      */
     void resetAfterRejoin() {
         if (membership.incarnation() != incarnation) {
--- a/src/main/java/dewlane/core/worker/FailureAttribution.java
+++ b/src/main/java/dewlane/core/worker/FailureAttribution.java
@@ -13,7 +13,7 @@
  * there.
  */
 final class FailureAttribution {
-    /** How long the job of a task that its worker refused is not launched again. */
+    /** Time for which no task of a job is launched after a worker refused one of them. */
     private static final long REFUSED_RETRY_MS = 1000;
 
     private final ControllerContext context;
--- a/src/main/java/dewlane/core/worker/HeartbeatHandler.java
+++ b/src/main/java/dewlane/core/worker/HeartbeatHandler.java
@@ -10,7 +10,7 @@
 import dewlane.core.store.StoreReplica;
 
 /**
- * Handles heartbeats: those that workers send on their own, whose responses renew the workers' leases, and those that
+ * Handles heartbeats: those that workers send periodically, whose responses renew the workers' leases, and those that
  * answer direct commands.
  */
 public final class HeartbeatHandler {
@@ -38,7 +38,7 @@
         this.updater = new MachineStateUpdater(context, replica, machines, counters);
     }
 
-    /** Called when a worker sent a heartbeat; it awaits the response to the given request. */
+    /** Called when a worker sent a heartbeat; the worker awaits the response to the given request. */
     public void onHeartbeat(long requestId, Heartbeat heartbeat) {
         switch (admission.admit(heartbeat)) {
             case ACCEPT -> acceptAndRespond(requestId, heartbeat);
--- a/src/main/java/dewlane/core/worker/LaunchFence.java
+++ b/src/main/java/dewlane/core/worker/LaunchFence.java
@@ -51,7 +51,7 @@
 
     /**
      * Removes the attempts that must not be forgotten yet, as a copy of their launch may still arrive and would start
-     * them again. Deferring the command suffices, since the outcome of the launch in flight will become known; raising
+     * them again. Deferring the command suffices, since the outcome of the launch in flight will be observed; raising
      * the fence would also invalidate other launches.
      */
     void removeDeferred(Machine machine, List<AttemptId> exited) {
--- a/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
+++ b/src/main/java/dewlane/core/worker/MisroutedHeartbeatPolicy.java
@@ -10,9 +10,9 @@
 /**
  * Decides whether to claim a machine whose worker sends heartbeats here although another controller owns it.
  *
- * <p>A worker that comes here although its owner is up cannot reach that owner: it was redirected there already and has
- * come back. Unless this controller claims the machine, a network partition between the worker and its owner lasts
- * until the worker's lease has expired.
+ * <p>A worker that sends heartbeats here although its owner is up cannot reach that owner: it was already redirected
+ * there and has come back. Unless this controller claims the machine, the worker's lease expires if the network
+ * partition between the worker and its owner lasts.
  */
 final class MisroutedHeartbeatPolicy {
     /** A worker that cannot reach its owner has tried all other controllers and is back here within this time. */
--- a/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
+++ b/src/main/java/dewlane/core/worker/ReachabilityAssessment.java
@@ -10,9 +10,9 @@
 
 /**
  * Decides whether a heartbeat proves that this controller's messages reach its machine; its arrival alone proves only
- * the other direction. The answer to a direct command proves it. A heartbeat that a worker sends on its own proves it
- * as long as heartbeats arrive in time and each shows what the response to the previous one carried: the fencing token,
- * and the launches. Otherwise the machine is suspected unreachable: it is given no further tasks and is probed.
+ * the other direction. The answer to a direct command proves it. A periodic heartbeat proves it as long as heartbeats
+ * arrive in time and each shows what the response to the previous one carried: the fencing token, and the launches.
+ * Otherwise the machine is suspected unreachable: it is given no further tasks and is probed.
  */
 final class ReachabilityAssessment {
     private final ControllerContext context;
