--- a/src/main/java/dewlane/core/fleet/CommandChannel.java
+++ b/src/main/java/dewlane/core/fleet/CommandChannel.java
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Returns true if a launch of the attempt is in flight with the current token, in a message whose outcome will
-     * still become known.
+     * Returns true if a launch of the attempt is in flight with the current token, in a message whose outcome is still
+     * to be observed.
      */
     public boolean isLaunchInFlight(AttemptId attempt) {
         return (commandToken == fencingToken() && commandLaunches.contains(attempt))
--- a/src/main/java/dewlane/core/fleet/CommandHistory.java
+++ b/src/main/java/dewlane/core/fleet/CommandHistory.java
@@ -9,7 +9,7 @@
 
 /**
  * Recent commands about single attempts on one machine. This state may be lost: commands are derived from the replica
- * and the latest heartbeat, and are then only sent again.
+ * and the latest heartbeat, and would only be sent again.
  */
 public final class CommandHistory {
     private final Object2LongOpenHashMap<AttemptId> lastCommandAtMs = new Object2LongOpenHashMap<>();
--- a/src/main/java/dewlane/core/fleet/FailureBackoff.java
+++ b/src/main/java/dewlane/core/fleet/FailureBackoff.java
@@ -26,12 +26,12 @@
         retryAtMs = nowMs + Math.min(MAX_BACKOFF_MS, backoffMs);
     }
 
-    /** Sets the steady time before which nothing is launched. */
+    /** Sets the monotonic time before which nothing is launched. */
     void setRetryAtMs(long atMs) {
         retryAtMs = atMs;
     }
 
-    /** Returns the steady time before which nothing is launched. */
+    /** Returns the monotonic time before which nothing is launched. */
     long retryAtMs() {
         return retryAtMs;
     }
@@ -41,7 +41,7 @@
         return failureCount;
     }
 
-    /** Returns true if tasks failed on so many machines that the job itself is faulty. */
+    /** Returns true if tasks failed on enough machines for the job itself to count as faulty. */
     boolean isFaulty() {
         return failedMachines.size() >= FAULTY_JOB_MIN_MACHINES;
     }
--- a/src/main/java/dewlane/core/fleet/JobProgress.java
+++ b/src/main/java/dewlane/core/fleet/JobProgress.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * What this controller is doing for one job: the write in flight, outcomes that are still to be written, launches that
- * the replica does not show yet, the backoff after failures, and handovers to other partitions.
+ * Tracks the work of this controller on one job: the write in flight, outcomes that are still to be written, launches
+ * that the replica does not show yet, the backoff after failures, and handovers to other partitions.
  */
 public final class JobProgress {
     /** How an attempt ended. */
@@ -42,12 +42,12 @@
         write.onSubmitted();
     }
 
-    /** Called when the write was answered at the revision, which the replica has yet to reach. */
+    /** Called when the write was answered at the given revision, which the replica may not have reached yet. */
     public void onWriteAnswered(long revision) {
         write.onAnswered(revision);
     }
 
-    /** Prevents writes about the job until the given steady time, after the store called one invalid. */
+    /** Prevents writes about the job until the given monotonic time, after the store called one invalid. */
     public void blockWritesUntil(long atMs) {
         writesBlockedUntilMs = atMs;
     }
@@ -70,7 +70,7 @@
         return !outcomes.isEmpty();
     }
 
-    /** Returns the outcome of an attempt, or null if none is known or the replica already shows it. */
+    /** Returns the outcome of an attempt, or null if none is recorded or the replica already shows it. */
     public Outcome outcome(AttemptId attempt) {
         return outcomes.get(attempt);
     }
@@ -89,7 +89,7 @@
         outcomes.remove(attempt);
     }
 
-    /** Returns the steady time of the first outcome in the slice's current batch; now if the batch is empty. */
+    /** Returns the monotonic time of the first outcome in the slice's current batch; now if the batch is empty. */
     public long batchOpenedAtMs(int slice, long now) {
         return outcomes.batchOpenedAtMs(slice, now);
     }
@@ -152,17 +152,17 @@
         return failures.isFaulty();
     }
 
-    /** Sets the steady time before which no task of the job is launched. */
+    /** Sets the monotonic time before which no task of the job is launched. */
     public void setRetryAtMs(long atMs) {
         failures.setRetryAtMs(atMs);
     }
 
-    /** Returns the steady time before which no task of the job is launched. */
+    /** Returns the monotonic time before which no task of the job is launched. */
     public long retryAtMs() {
         return failures.retryAtMs();
     }
 
-    /** Returns the steady time at which tasks of the job were last handed over to another partition; 0 if never. */
+    /** Returns the monotonic time at which tasks of the job were last handed over to another partition; 0 if never. */
     public long handedOverAtMs() {
         return handedOverAtMs;
     }
@@ -172,7 +172,7 @@
         handedOverAtMs = nowMs;
     }
 
-    /** Returns the steady time of the last search for another partition with free capacity; 0 if never. */
+    /** Returns the monotonic time of the last search for another partition with free capacity; 0 if never. */
     public long handoverCheckedAtMs() {
         return handoverCheckedAtMs;
     }
--- a/src/main/java/dewlane/core/fleet/JobProgressTable.java
+++ b/src/main/java/dewlane/core/fleet/JobProgressTable.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * What this controller is doing for each job. A launch counts as usage of its machine and its team from the moment it
- * is decided, until the replica shows it or it turns out that it was not written.
+ * Tracks the work of this controller on each job. A launch counts as usage of its machine and its team from the moment
+ * it is decided, until the replica shows it or it turns out that it was not written.
  */
 public final class JobProgressTable {
     private final ControllerContext context;
@@ -30,12 +30,12 @@
         this.self = context.settings().controllerName();
     }
 
-    /** Returns what is being done for the job, adding an empty entry if there is none. */
+    /** Returns the progress of the job, adding an empty one if there is none. */
     public JobProgress getOrCreate(String job) {
         return byJob.computeIfAbsent(job, id -> new JobProgress());
     }
 
-    /** Returns what is being done for the job, or null if nothing was done so far. */
+    /** Returns the progress of the job, or null if nothing was done for it so far. */
     public JobProgress get(String job) {
         return byJob.get(job);
     }
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Called when the replica shows a slice, or null if it was removed. Launches that the slice contains are counted
-     * from the replica instead.
+     * Called when the replica shows a new value of a slice, which is null if the slice was removed. Launches that the
+     * slice contains are counted from the replica from now on.
      */
     void onSliceObserved(String job, int sliceNumber, Slice slice) {
         JobProgress progress = byJob.get(job);
--- a/src/main/java/dewlane/core/fleet/Machine.java
+++ b/src/main/java/dewlane/core/fleet/Machine.java
@@ -58,7 +58,7 @@
         return owner;
     }
 
-    /** Returns the steady time at which the current owner became the owner. */
+    /** Returns the monotonic time at which the current owner became the owner. */
     public long ownerSinceMs() {
         return ownerSinceMs;
     }
@@ -89,17 +89,17 @@
         commands.clear();
     }
 
-    /** Returns the worker's host and port; null until known. */
+    /** Returns the worker's host and port; null until observed. */
     public String address() {
         return address;
     }
 
-    /** Returns the name of the machine's type; null until known. */
+    /** Returns the name of the machine's type; null until observed. */
     public String typeName() {
         return typeName;
     }
 
-    /** Returns the zone; null until known. */
+    /** Returns the zone; null until observed. */
     public String zone() {
         return zone;
     }
@@ -127,7 +127,7 @@
         spot = isSpot;
     }
 
-    /** Returns the machine's type, or null if its name is unknown or the cloud does not offer it. */
+    /** Returns the machine's type, or null if its name was not observed yet or the cloud does not offer it. */
     MachineType resolveType(MachineTypeCatalog types) {
         if (resolvedType == null && typeName != null) {
             resolvedType = types.get(typeName);
@@ -180,7 +180,7 @@
         return peerListing;
     }
 
-    /** The jobs with a task that failed on this machine since a task last completed on it. */
+    /** Returns the jobs with a task that failed on this machine since a task last completed on it. */
     public Set<String> failedJobs() {
         return Collections.unmodifiableSet(failedJobs);
     }
@@ -243,7 +243,7 @@
         load.clearReservations();
     }
 
-    /** Returns the steady time since which the machine has been idle. */
+    /** Returns the monotonic time since which the machine has been idle. */
     public long idleSinceMs() {
         return load.idleSinceMs();
     }
@@ -262,7 +262,7 @@
         if (isAnyLaunchInFlight()) {
             // A heartbeat can show a newer token only if the fence is raised, which would invalidate the launch in
             // flight.
-            reachability.onSuspected(nowMs, Reachability.NO_TOKEN_ENDS_IT);
+            reachability.onSuspected(nowMs, Reachability.NO_TOKEN_ENDS_SUSPICION);
         } else {
             commandChannel.raiseFence();
             reachability.onSuspected(nowMs, fencingToken());
--- a/src/main/java/dewlane/core/fleet/MachineLifecycle.java
+++ b/src/main/java/dewlane/core/fleet/MachineLifecycle.java
@@ -1,6 +1,6 @@
 package dewlane.core.fleet;
 
-/** Whether a machine is to be removed, and by whom: scaled in by its owner, or terminated by the cloud. */
+/** Tracks whether a machine is to be removed, and by whom: scaled in by its owner, or terminated by the cloud. */
 public final class MachineLifecycle {
     private static final long NOT_SCHEDULED = 0;
 
@@ -41,7 +41,7 @@
         return scalingIn;
     }
 
-    /** Records that the cloud announced that it will terminate the machine at the given steady time. */
+    /** Records that the cloud announced that it will terminate the machine at the given monotonic time. */
     public void scheduleTermination(long atMs) {
         terminationAtMs = atMs;
     }
--- a/src/main/java/dewlane/core/fleet/MachineLoad.java
+++ b/src/main/java/dewlane/core/fleet/MachineLoad.java
@@ -67,14 +67,14 @@
         reserved = null;
     }
 
-    /** Returns the steady time since which the machine has been idle. */
+    /** Returns the monotonic time since which the machine has been idle. */
     long idleSinceMs() {
         return idleSinceMs;
     }
 
     /**
-     * Called when an attempt ended or a launch was taken back. If no attempt can be on the machine any more, the
-     * machine is idle from now on.
+     * Called when an attempt was removed or a launch in flight is no longer counted. If no attempt can be on the
+     * machine any more, the machine is idle from now on.
      */
     void markIdleIfEmpty(long nowMs) {
         if (attempts.isEmpty() && usage.isEmpty()) {
--- a/src/main/java/dewlane/core/fleet/MachineRegistry.java
+++ b/src/main/java/dewlane/core/fleet/MachineRegistry.java
@@ -12,8 +12,9 @@
 import java.util.List;
 
 /**
- * All known machines, regardless of their owner, with the attempts that the replica and the writes in flight assign to
- * them. It is the facade of the classes that track these, and forwards changes of the replica to them.
+ * The machines that this controller has observed, regardless of their owner, with the attempts that the replica and the
+ * writes in flight assign to them. This class is the facade of the classes that track these, and forwards changes of
+ * the replica to them.
  */
 public final class MachineRegistry {
     /** A machine is faulty once tasks of this many jobs failed on it, not counting jobs that are themselves faulty. */
@@ -59,22 +60,22 @@
         return types.get(name);
     }
 
-    /** Returns the machine's type, or null while it is not known. */
+    /** Returns the machine's type, or null if its name was not observed yet or the cloud does not offer it. */
     public MachineType type(Machine machine) {
         return machine.resolveType(types);
     }
 
-    /** Returns the machine, or null if it is not known. */
+    /** Returns the machine, or null if it is not in the registry. */
     public Machine get(String name) {
         return machines.get(name);
     }
 
-    /** Returns the machine, adding it if it is not known. */
+    /** Returns the machine, adding it if it is not in the registry. */
     public Machine getOrCreate(String name) {
         return machines.getOrCreate(name);
     }
 
-    /** Returns all known machines. */
+    /** Returns all machines, regardless of their owner. */
     public Collection<Machine> all() {
         return machines.all();
     }
@@ -111,7 +112,7 @@
         return machines.isTerminated(name);
     }
 
-    /** Returns what this controller is doing for each job. */
+    /** Returns the work of this controller on each job. */
     public JobProgressTable progress() {
         return progress;
     }
--- a/src/main/java/dewlane/core/fleet/MachineTable.java
+++ b/src/main/java/dewlane/core/fleet/MachineTable.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All known machines by name, regardless of their owner, and the names of those proven terminated. */
+/**
+ * The machines that this controller has observed, by name, regardless of their owner; and the names of those proven
+ * terminated.
+ */
 final class MachineTable {
     private final ControllerContext context;
     private final OwnedMachines owned;
@@ -19,12 +22,12 @@
         this.owned = owned;
     }
 
-    /** Returns the machine, or null if it is not known. */
+    /** Returns the machine, or null if it is not in the table. */
     Machine get(String name) {
         return byName.get(name);
     }
 
-    /** Returns the machine, adding it if it is not known. */
+    /** Returns the machine, adding it if it is not in the table. */
     Machine getOrCreate(String name) {
         Machine machine = byName.get(name);
         if (machine == null) {
@@ -35,7 +38,7 @@
         return machine;
     }
 
-    /** Returns all known machines, in the order in which they became known. */
+    /** Returns all machines, in the order in which they were added. */
     Collection<Machine> all() {
         return byName.values();
     }
--- a/src/main/java/dewlane/core/fleet/MachineTypeContention.java
+++ b/src/main/java/dewlane/core/fleet/MachineTypeContention.java
@@ -20,7 +20,8 @@
     private final Map<RequirementsOnType, Integer> cachedContention = new HashMap<>();
 
     /**
-     * Creates the contention for the given types, a live view: whoever changes the types calls {@link #onTypesChanged}.
+     * Creates the contention for the given types. They are a live view: the class that changes them calls
+     * {@link #onTypesChanged}.
      */
     MachineTypeContention(Collection<MachineType> types) {
         this.types = types;
--- a/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
+++ b/src/main/java/dewlane/core/fleet/MisroutedHeartbeats.java
@@ -25,8 +25,8 @@
     /**
      * Records a heartbeat. It begins a new series if the first one of the series arrived longer ago than the window.
      *
-     * @return the milliseconds since the first heartbeat of the series; negative unless this heartbeat is newer than
-     *     that
+     * @return the milliseconds since the first heartbeat of the series; negative if the given heartbeat is not newer
+     *     than the first
      */
     public long record(Heartbeat heartbeat, long nowMs, long windowMs) {
         if (firstAtMs == NONE || nowMs - firstAtMs > windowMs) {
--- a/src/main/java/dewlane/core/fleet/PeerListing.java
+++ b/src/main/java/dewlane/core/fleet/PeerListing.java
@@ -1,15 +1,13 @@
 package dewlane.core.fleet;
 
-/** Which incarnation of a peer last listed a machine among those from which it receives heartbeats, and when. */
+/** Records which incarnation of a peer last listed a machine as one from which it receives heartbeats, and when. */
 final class PeerListing {
     /** Null before the first listing, or if the peer was not in the partition map. */
     private String peerIncarnationId;
 
     private long listedAtMs;
 
-    /**
-     * Records that the given incarnation of a peer listed the machine; null if the peer is not in the partition map.
-     */
+    /** Records that a peer listed the machine. The incarnation is null if the peer is not in the partition map. */
     void record(String incarnationId, long nowMs) {
         peerIncarnationId = incarnationId;
         listedAtMs = nowMs;
--- a/src/main/java/dewlane/core/fleet/PendingOutcomes.java
+++ b/src/main/java/dewlane/core/fleet/PendingOutcomes.java
@@ -11,7 +11,7 @@
  */
 final class PendingOutcomes {
     private final Map<AttemptId, Outcome> byAttempt = new HashMap<>();
-    /** By slice, the steady time of the first outcome in the current batch. */
+    /** By slice, the monotonic time of the first outcome in the current batch. */
     private final Map<Integer, Long> batchOpenedAtMs = new HashMap<>();
 
     boolean isEmpty() {
@@ -38,7 +38,7 @@
         byAttempt.remove(attempt);
     }
 
-    /** Returns the steady time of the first outcome in the slice's current batch; now if the batch is empty. */
+    /** Returns the monotonic time of the first outcome in the slice's current batch; now if the batch is empty. */
     long batchOpenedAtMs(int slice, long nowMs) {
         return batchOpenedAtMs.getOrDefault(slice, nowMs);
     }
--- a/src/main/java/dewlane/core/fleet/Reachability.java
+++ b/src/main/java/dewlane/core/fleet/Reachability.java
@@ -10,7 +10,7 @@
  */
 public final class Reachability {
     /** Higher than every token: only the answer to a command ends the suspicion. */
-    static final long NO_TOKEN_ENDS_IT = Long.MAX_VALUE;
+    static final long NO_TOKEN_ENDS_SUSPICION = Long.MAX_VALUE;
 
     private static final long NEVER = 0;
 
--- a/src/test/java/dewlane/core/fleet/ChannelModel.java
+++ b/src/test/java/dewlane/core/fleet/ChannelModel.java
@@ -20,12 +20,12 @@
         ONE,
         TWO;
 
-        AttemptId key() {
+        AttemptId id() {
             return new AttemptId("wk-1", ordinal(), 1);
         }
     }
 
-    /** What the store says of an attempt, as the controller has read it. */
+    /** The state of an attempt in the store, as the controller has observed it. */
     enum StoredState {
         LIVE,
         END_REPORTED,
@@ -42,10 +42,10 @@
 
     /** Commands in flight to the worker, directly or in a response. */
     record CommandMessage(long token, Set<Task> launches, Set<Task> forgets) {
-        Set<AttemptId> launchKeys() {
-            Set<AttemptId> keys = new HashSet<>();
-            launches.forEach(task -> keys.add(task.key()));
-            return keys;
+        Set<AttemptId> launchIds() {
+            Set<AttemptId> ids = new HashSet<>();
+            launches.forEach(task -> ids.add(task.id()));
+            return ids;
         }
     }
 
@@ -139,9 +139,9 @@
                 .append(channel.fencingToken())
                 .append(channel.isCommandInFlight());
         for (Task task : Task.values()) {
-            text.append(channel.isLaunchAbandoned(task.key()))
-                    .append(withoutCommand.isLaunchInFlight(task.key()))
-                    .append(withoutAnswer.isLaunchInFlight(task.key()));
+            text.append(channel.isLaunchAbandoned(task.id()))
+                    .append(withoutCommand.isLaunchInFlight(task.id()))
+                    .append(withoutAnswer.isLaunchInFlight(task.id()));
         }
         return text.toString();
     }
@@ -166,11 +166,11 @@
             }
         }
         CommandChannel beforeFence = newChannel();
-        if (forgets.stream().anyMatch(task -> beforeFence.isLaunchAbandoned(task.key()))) {
+        if (forgets.stream().anyMatch(task -> beforeFence.isLaunchAbandoned(task.id()))) {
             step(CommandChannel::raiseFence);
         }
         CommandChannel channel = newChannel();
-        forgets.removeIf(task -> channel.isLaunchInFlight(task.key()));
+        forgets.removeIf(task -> channel.isLaunchInFlight(task.id()));
         for (Task task : Task.values()) {
             if (channel.fencingToken() == firstToken()
                     && stored.get(task) == StoredState.LIVE
@@ -216,7 +216,7 @@
         return new HeartbeatMessage(++sequence, tokenSeen, tasks);
     }
 
-    /** The controller accepts a heartbeat unless it is older than one that it accepted; returns whether it did. */
+    /** The controller accepts a heartbeat if it is newer than the latest accepted one; returns true if so. */
     boolean accept(HeartbeatMessage received) {
         if (!isNewer(received)) {
             return false;
@@ -241,7 +241,7 @@
         }
         step(CommandChannel::onResponseResolved);
         CommandMessage commands = planCommands();
-        step(channel -> channel.onResponseSent(commands.launchKeys()));
+        step(channel -> channel.onResponseSent(commands.launchIds()));
         return commands;
     }
 }
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -48,8 +48,8 @@
     }
 
     /** Adds the model that results from an action on another model. */
-    private void branch(ChannelModel at, Consumer<ChannelModel> action) {
-        ChannelModel next = new ChannelModel(at);
+    private void branch(ChannelModel model, Consumer<ChannelModel> action) {
+        ChannelModel next = new ChannelModel(model);
         action.accept(next);
         add(next);
     }
@@ -72,37 +72,37 @@
         launchesAfterForget += launchAfterForget ? 1 : 0;
     }
 
-    private void expand(ChannelModel at) {
-        sendCommand(at);
+    private void expand(ChannelModel model) {
+        sendCommand(model);
         for (WorkerTaskState started : STARTED) {
-            for (CommandMessage command : at.commandsInFlight) {
-                deliverCommand(at, command, started, true);
-                deliverCommand(at, command, started, false);
+            for (CommandMessage command : model.commandsInFlight) {
+                deliverCommand(model, command, started, true);
+                deliverCommand(model, command, started, false);
             }
-            deliverResponse(at, started);
-        }
-        timeOutCommand(at);
-        sendHeartbeat(at);
-        receiveHeartbeat(at);
-        receiveDelayedHeartbeat(at);
-        timeOutResponse(at);
-        raiseFence(at);
+            deliverResponse(model, started);
+        }
+        timeOutCommand(model);
+        sendHeartbeat(model);
+        receiveHeartbeat(model);
+        receiveDelayedHeartbeat(model);
+        timeOutResponse(model);
+        raiseFence(model);
         for (Task task : Task.values()) {
-            endTaskOnWorker(at, task);
-            storeTaskEnd(at, task);
+            endTaskOnWorker(model, task);
+            storeTaskEnd(model, task);
         }
     }
 
-    private void sendCommand(ChannelModel at) {
-        if (at.controllerAwaitsAnswer || at.commandsInFlight.size() >= MAX_COMMANDS_IN_FLIGHT) {
+    private void sendCommand(ChannelModel model) {
+        if (model.controllerAwaitsAnswer || model.commandsInFlight.size() >= MAX_COMMANDS_IN_FLIGHT) {
             return;
         }
-        ChannelModel next = new ChannelModel(at);
+        ChannelModel next = new ChannelModel(model);
         CommandMessage commands = next.planCommands();
         if (commands.launches().isEmpty() && commands.forgets().isEmpty()) {
             return;
         }
-        next.step(channel -> channel.onCommandSent(commands.launchKeys(), 0));
+        next.step(channel -> channel.onCommandSent(commands.launchIds(), 0));
         next.commandsInFlight.add(commands);
         next.awaitedCommand = commands;
         next.controllerAwaitsAnswer = true;
@@ -111,12 +111,12 @@
 
     /** A command arrives, in time or delayed. Its answer reaches a controller that still awaits it, or is lost. */
     private void deliverCommand(
-            ChannelModel at, CommandMessage command, WorkerTaskState started, boolean answerArrives) {
-        boolean isAwaited = at.awaitedCommand == command;
+            ChannelModel model, CommandMessage command, WorkerTaskState started, boolean answerArrives) {
+        boolean isAwaited = model.awaitedCommand == command;
         if (answerArrives && !isAwaited) {
             return;
         }
-        branch(at, next -> {
+        branch(model, next -> {
             next.commandsInFlight.remove(command);
             next.execute(command, started);
             if (isAwaited) {
@@ -130,9 +130,9 @@
         });
     }
 
-    private void timeOutCommand(ChannelModel at) {
-        if (at.controllerAwaitsAnswer) {
-            branch(at, next -> {
+    private void timeOutCommand(ChannelModel model) {
+        if (model.controllerAwaitsAnswer) {
+            branch(model, next -> {
                 next.controllerAwaitsAnswer = false;
                 next.awaitedCommand = null;
                 next.step(CommandChannel::onCommandTimedOut);
@@ -140,77 +140,77 @@
         }
     }
 
-    private void sendHeartbeat(ChannelModel at) {
-        if (!at.workerAwaitsResponse) {
-            branch(at, next -> {
+    private void sendHeartbeat(ChannelModel model) {
+        if (!model.workerAwaitsResponse) {
+            branch(model, next -> {
                 next.workerAwaitsResponse = true;
                 next.heartbeat = next.nextHeartbeat();
             });
         }
     }
 
-    private void receiveHeartbeat(ChannelModel at) {
-        if (at.heartbeat != null) {
-            branch(at, next -> {
+    private void receiveHeartbeat(ChannelModel model) {
+        if (model.heartbeat != null) {
+            branch(model, next -> {
                 next.heartbeat = null;
-                next.response = next.respondTo(at.heartbeat);
+                next.response = next.respondTo(model.heartbeat);
             });
         }
     }
 
     /** A heartbeat whose response the worker no longer awaits is handled like any other; the response is dropped. */
-    private void receiveDelayedHeartbeat(ChannelModel at) {
-        if (at.delayedHeartbeat != null) {
-            branch(at, next -> {
+    private void receiveDelayedHeartbeat(ChannelModel model) {
+        if (model.delayedHeartbeat != null) {
+            branch(model, next -> {
                 next.delayedHeartbeat = null;
-                next.respondTo(at.delayedHeartbeat);
+                next.respondTo(model.delayedHeartbeat);
             });
         }
     }
 
-    private void deliverResponse(ChannelModel at, WorkerTaskState started) {
-        if (at.response != null) {
-            branch(at, next -> {
+    private void deliverResponse(ChannelModel model, WorkerTaskState started) {
+        if (model.response != null) {
+            branch(model, next -> {
                 next.response = null;
                 next.workerAwaitsResponse = false;
-                next.execute(at.response, started);
+                next.execute(model.response, started);
             });
         }
     }
 
     /** The worker stops awaiting the response and drops it if it arrives later. */
-    private void timeOutResponse(ChannelModel at) {
-        if (at.workerAwaitsResponse) {
-            branch(at, next -> {
+    private void timeOutResponse(ChannelModel model) {
+        if (model.workerAwaitsResponse) {
+            branch(model, next -> {
                 next.workerAwaitsResponse = false;
                 next.response = null;
-                next.delayedHeartbeat = at.heartbeat == null ? at.delayedHeartbeat : at.heartbeat;
+                next.delayedHeartbeat = model.heartbeat == null ? model.delayedHeartbeat : model.heartbeat;
                 next.heartbeat = null;
             });
         }
     }
 
     /** Raises the fence, as happens when the machine is suspected unreachable. */
-    private void raiseFence(ChannelModel at) {
-        if (at.raisedFences < MAX_RAISED_FENCES) {
-            branch(at, next -> {
+    private void raiseFence(ChannelModel model) {
+        if (model.raisedFences < MAX_RAISED_FENCES) {
+            branch(model, next -> {
                 next.raisedFences++;
                 next.step(CommandChannel::raiseFence);
             });
         }
     }
 
-    private void endTaskOnWorker(ChannelModel at, Task task) {
-        if (at.onWorker.get(task) == WorkerTaskState.RUNNING) {
-            branch(at, next -> {
+    private void endTaskOnWorker(ChannelModel model, Task task) {
+        if (model.onWorker.get(task) == WorkerTaskState.RUNNING) {
+            branch(model, next -> {
                 next.onWorker.put(task, WorkerTaskState.ENDED);
             });
         }
     }
 
-    private void storeTaskEnd(ChannelModel at, Task task) {
-        if (at.stored.get(task) == StoredState.END_REPORTED) {
-            branch(at, next -> {
+    private void storeTaskEnd(ChannelModel model, Task task) {
+        if (model.stored.get(task) == StoredState.END_REPORTED) {
+            branch(model, next -> {
                 next.stored.put(task, StoredState.END_DURABLE);
             });
         }
--- a/src/test/java/dewlane/core/fleet/ReachabilityTest.java
+++ b/src/test/java/dewlane/core/fleet/ReachabilityTest.java
@@ -31,7 +31,7 @@
     void noHeartbeatEndsSuspicionWhileLaunchIsInFlight() {
         reachability.onAcquired(0, 7);
         reachability.onConfirmed(10);
-        reachability.onSuspected(5000, Reachability.NO_TOKEN_ENDS_IT);
+        reachability.onSuspected(5000, Reachability.NO_TOKEN_ENDS_SUSPICION);
         assertFalse(reachability.endsSuspicion(Long.MAX_VALUE - 1));
         assertTrue(reachability.isProbeDue(5000, 2000), "a suspected machine is probed at once");
         reachability.onProbeSent(5000);
