--- a/src/main/java/dewlane/core/scheduling/CandidateFinder.java
+++ b/src/main/java/dewlane/core/scheduling/CandidateFinder.java
@@ -26,8 +26,8 @@
     /** Cost, in seconds of fetching an image, of using an on-demand machine, which could be scaled in if left idle. */
     private static final double ON_DEMAND_COST_S = 1.5;
     /**
-     * Cost, in seconds of fetching an image, of a machine all of whose CPUs stay free, and proportionally less of
-     * others. Makes machines that the task fills preferred to empty ones.
+     * Cost, in seconds of fetching an image, of a machine of which all CPUs would stay free; proportionally less if
+     * fewer do. Machines that the task fills are thereby preferred to empty ones.
      */
     private static final double FREE_CPUS_COST_S = 2;
 
--- a/src/main/java/dewlane/core/scheduling/JobQueue.java
+++ b/src/main/java/dewlane/core/scheduling/JobQueue.java
@@ -49,7 +49,10 @@
         this.counters = counters;
     }
 
-    /** Returns the jobs that failed in the dependency graph: they, or jobs on which they depend, were cancelled. */
+    /**
+     * Returns the jobs that count as failed in the dependency graph: they, or jobs on which they depend, were
+     * cancelled.
+     */
     List<JobEntry> failedJobs() {
         return withRecord(dependencies.failed());
     }
--- a/src/main/java/dewlane/core/scheduling/JobTransactions.java
+++ b/src/main/java/dewlane/core/scheduling/JobTransactions.java
@@ -51,8 +51,9 @@
     }
 
     /**
-     * Returns true if a transaction for the job may be built: none is in flight, all stored values of the job can be
-     * read, and the transaction would be sent soon.
+     * Returns true if a transaction for the job may be built: the replica shows the outcome of the previous one, the
+     * backoff after an invalid one has passed, all stored values of the job can be read, and the transaction would be
+     * sent soon.
      */
     boolean isReady(JobEntry job) {
         JobProgress progress = machines.progress().getOrCreate(job.id());
--- a/src/main/java/dewlane/core/scheduling/JobUpdate.java
+++ b/src/main/java/dewlane/core/scheduling/JobUpdate.java
@@ -165,8 +165,8 @@
         return changed.containsKey(slice) || remainingWrites() > 0;
     }
 
-    /** Returns true if all tasks of the job are done, or the job is cancelled and has no attempt left. */
-    boolean isJobOver() {
+    /** Returns true if the job can end: all its tasks are done, or it is cancelled and has no attempt left. */
+    boolean isJobFinished() {
         return job.isCancelled() ? hasNoAttempts() : isComplete();
     }
 
--- a/src/main/java/dewlane/core/scheduling/JobWriter.java
+++ b/src/main/java/dewlane/core/scheduling/JobWriter.java
@@ -38,12 +38,14 @@
         transactions.reconcileLaunches();
     }
 
-    /** Writes the changes of a job, including launches. Does nothing while a write about the job is in flight. */
+    /** Writes the changes of a job, including launches. Does nothing while no transaction for the job may be built. */
     void writeWithLaunches(JobEntry job) {
         write(job, true);
     }
 
-    /** Writes the changes of a job, but launches nothing. Does nothing while a write about the job is in flight. */
+    /**
+     * Writes the changes of a job, but launches nothing. Does nothing while no transaction for the job may be built.
+     */
     void writeWithoutLaunches(JobEntry job) {
         write(job, false);
     }
@@ -58,7 +60,7 @@
             return;
         }
         outcomes.recordOutcomes(update);
-        if (!update.isJobOver()) {
+        if (!update.isJobFinished()) {
             writeSlices(update, mayLaunch);
         } else if (!finisher.isLeftToOtherController(update)) {
             writeEnd(update, mayLaunch);
--- a/src/main/java/dewlane/core/scheduling/LaunchGate.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchGate.java
@@ -13,7 +13,7 @@
     private final CancellationTracker cancellations;
     private final QuotaEnforcer quota;
 
-    /** Creates a gate that checks the transaction queue, the known cancellations and the quotas of teams. */
+    /** Creates a gate that checks the transaction queue, the observed cancellations and the quotas of teams. */
     public LaunchGate(
             ControllerContext context,
             TransactionQueue transactions,
@@ -27,7 +27,7 @@
 
     /**
      * Returns true if the job may run, is not in the backoff after a failure, a launch transaction would be sent soon,
-     * and the usage of the job's team is known.
+     * and the usage of the job's team can be determined.
      */
     boolean allowsLaunch(JobUpdate update) {
         return !cancellations.mustNotRun(update.job())
--- a/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
+++ b/src/main/java/dewlane/core/scheduling/LaunchPlanner.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Plans how a job's pending tasks get to run: they are launched on machines of this partition, or handed over to
- * another partition with capacity. If neither is possible, tasks of other jobs are preempted to make capacity.
+ * Plans where a job's pending tasks run: they are launched on machines of this partition, or handed over to another
+ * partition with capacity. If neither is possible, tasks of other jobs are preempted to make capacity.
  */
 public final class LaunchPlanner {
     /** Keeps one transaction below 64 KiB. Further attempts are written by the next transaction. */
--- a/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
+++ b/src/main/java/dewlane/core/scheduling/OutcomeBatcher.java
@@ -25,8 +25,9 @@
      */
     private static final long LOW_RATE_AT_LIMIT_DELAY_MS = 5000;
     /**
-     * Delay while the write rate is low, for a team with serialized launches, because these count an attempt until its
-     * end is durable. While the write rate is not low, outcomes of such a team are not delayed.
+     * Delay while the write rate is low, for a team whose launches are serialized. It is short because an attempt
+     * counts against the team's limit until its end is durable. While the write rate is not low, outcomes of such a
+     * team are not delayed.
      */
     private static final long LOW_RATE_SERIALIZED_DELAY_MS = 3000;
 
@@ -41,7 +42,9 @@
         this.quota = quota;
     }
 
-    /** Records all known outcomes in the update. {@link #putDue} decides which of them the update writes. */
+    /**
+     * Records all observed outcomes of the job in the update. {@link #putDue} decides which of them the update writes.
+     */
     void recordOutcomes(JobUpdate update) {
         if (!update.progress().hasOutcomes()) {
             return;
@@ -54,7 +57,7 @@
         }
     }
 
-    /** Returns the slice with the outcomes of its attempts, or the same object if none is known. */
+    /** Returns the slice with the outcomes of its attempts, or the same object if there are none. */
     private static Slice withOutcomes(JobUpdate update, Slice slice) {
         if (slice.attempts().isEmpty()) {
             return slice;
--- a/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
+++ b/src/main/java/dewlane/core/scheduling/OversizedSliceSplitter.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * Splits slices that were stored under larger limits, so that each value is within the smaller one of the limits in
- * force and to come.
+ * Splits slices that were stored under larger limits, so that each value is within both the limit in force and the one
+ * that replaces it.
  *
  * <p>A slice is split by one transaction if all its pieces fit into it. Otherwise new slices take over its last tasks,
  * as many per transaction as fit, while the stored value of the slice is kept until the remaining tasks fit into one
- * value: see {@link StoreReplica}. Version 0.1 does not understand slices with overlapping tasks. While it may run,
- * each transaction also shortens the slice itself, to a value that may still exceed that limit but is smaller than the
- * stored one.
+ * value: see {@link StoreReplica}. Version 0.1 does not understand slices with overlapping tasks. While version 0.1 may
+ * run, each transaction also shortens the slice itself, to a value that may still exceed the limit but is smaller than
+ * the stored one.
  */
 public final class OversizedSliceSplitter {
     /**
--- a/src/main/java/dewlane/core/scheduling/SliceAssigner.java
+++ b/src/main/java/dewlane/core/scheduling/SliceAssigner.java
@@ -33,8 +33,8 @@
     /**
      * Returns the slices of a new job: one if a partition has capacity for the whole job, otherwise one for each of the
      * fewest partitions that together have capacity for it. Tasks for which no partition has capacity are divided among
-     * the partitions with the least demand. A run of tasks is divided further if all its attempts would not fit into
-     * one slice's value. Slices are made larger than that only if the job would otherwise have too many slices.
+     * the partitions with the least demand. A run of consecutive tasks is divided further if its attempts would not all
+     * fit into one slice's value. Slices exceed this size only if the job would otherwise have too many slices.
      */
     public List<SliceAssignment> assign(Job job) {
         List<PartitionCandidate> candidates = partitions.forNewJob(job);
--- a/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
+++ b/src/main/java/dewlane/core/scheduling/SliceGarbageCollector.java
@@ -53,7 +53,10 @@
         }
     }
 
-    /** Requires that the job has no record: then none of its tasks can be launched, and done marks are not needed. */
+    /**
+     * Deletes as many slices as fit into one transaction, on condition that the job has no record: then none of its
+     * tasks can be launched, and done marks are not needed.
+     */
     private void deleteSlices(JobEntry job) {
         Transaction.Builder transaction = new Transaction.Builder().require(StoreKeys.job(job.id()), 0);
         for (SliceEntry slice : job.slices()) {
--- a/src/main/java/dewlane/core/scheduling/SliceLauncher.java
+++ b/src/main/java/dewlane/core/scheduling/SliceLauncher.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Returns the job's zone constraint, given the attempts of its only slice; empty if the zone of an attempt is not
-     * known.
+     * Returns the job's zone constraint, given the attempts of its only slice; empty if the zone of an attempt has not
+     * been observed.
      */
     private Optional<ZoneConstraint> zoneConstraint(Job job, Slice slice) {
         ZoneConstraint constraint = new ZoneConstraint(job);
--- a/src/main/java/dewlane/core/scheduling/VictimSelector.java
+++ b/src/main/java/dewlane/core/scheduling/VictimSelector.java
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Returns the CPU seconds that are lost if the task is stopped now. With checkpoints, only the time to write one.
+     * Returns the CPU seconds that are lost if the task is stopped now: its run time or, with checkpoints, at most the
+     * time to write one. One second is added, so that a task launched just now counts as well.
      */
     private double lostCpuS(AssignedAttempt attempt) {
         Job job = attempt.job().job();
