--- a/src/main/java/dewlane/core/config/Settings.java
+++ b/src/main/java/dewlane/core/config/Settings.java
@@ -76,47 +76,48 @@
         }
     }
 
-    /** Milliseconds without contact after which a machine gets no tasks. */
+    /** Returns the milliseconds without contact after which a machine gets no tasks. */
     public long heartbeatTimeoutMs() {
         return (long) (heartbeatIntervalS * (HEARTBEAT_TIMEOUT_INTERVALS * MS_PER_S));
     }
 
-    /** Number of controllers in the deployment, including this one. */
+    /** Returns the number of controllers in the deployment, including this one. */
     public int controllerCount() {
         return peers.size() + 1;
     }
 
-    /** Requests per second that the store accepts from all controllers together. */
+    /** Returns the requests per second that the store accepts from all controllers together. */
     public double storeRequestsPerS() {
         return store.requestsPerS();
     }
 
     /**
-     * Milliseconds between requests of this controller if all controllers together use the given fraction of the rate.
+     * Returns the milliseconds between requests of this controller if all controllers together use the given fraction
+     * of the rate.
      */
     public long storeRequestIntervalMs(double fraction) {
         return Math.round(MS_PER_S * controllerCount() / (storeRequestsPerS() * fraction));
     }
 
-    /** Maximum size of a stored value, in bytes. */
+    /** Returns the maximum size of a stored value, in bytes. */
     public int maxValueBytes() {
         return store.maxValueBytes();
     }
 
-    /** Maximum number of writes in a transaction. */
+    /** Returns the maximum number of writes in a transaction. */
     public int maxTransactionWrites() {
         return store.maxTransactionWrites();
     }
 
-    /** Maximum number of preconditions in a transaction. */
+    /** Returns the maximum number of preconditions in a transaction. */
     public int maxTransactionPreconditions() {
         return PRECONDITIONS_PER_WRITE * store.maxTransactionWrites();
     }
 
     /**
-     * Maximum number of slices of a job. Version 0.1, which may run at the same time as this version during an upgrade,
-     * deletes all slices of a job in the transaction that ends it. A job therefore gets no more slices than fit into
-     * that transaction, unless the limits are such that version 0.1 does not start.
+     * Returns the maximum number of slices of a job. Version 0.1, which may run at the same time as this version during
+     * an upgrade, deletes all slices of a job in the transaction that ends it. A job therefore gets no more slices than
+     * fit into that transaction, unless the limits are such that version 0.1 does not start.
      */
     public int maxSlicesPerJob() {
         int maxWrites = store.current().maxTransactionWrites();
@@ -124,7 +125,8 @@
     }
 
     /**
-     * Shortest time, in seconds, that an objective of the kind sets for jobs of the class; infinite if there is none.
+     * Returns the shortest time, in seconds, that an objective of the kind sets for jobs of the class; infinite if
+     * there is none.
      */
     public double shortestObjectiveS(String kind, String jobClass) {
         double shortestS = Double.POSITIVE_INFINITY;
--- a/src/main/java/dewlane/core/config/StoreLimits.java
+++ b/src/main/java/dewlane/core/config/StoreLimits.java
@@ -32,22 +32,22 @@
         return new StoreLimits(limits, limits);
     }
 
-    /** Requests per second that are allowed both before and after the change. */
+    /** Returns the requests per second that are allowed both before and after the change. */
     public double requestsPerS() {
         return Math.min(current.requestsPerS(), next.requestsPerS());
     }
 
-    /** Writes per second that are allowed once the smaller limit is in force. */
+    /** Returns the writes per second that are allowed once the smaller limit is in force. */
     public double reducedWritesPerS() {
         return Math.min(current.writesPerS(), next.writesPerS());
     }
 
-    /** Maximum size of a value, in bytes, that is allowed both before and after the change. */
+    /** Returns the maximum size of a value, in bytes, that is allowed both before and after the change. */
     public int maxValueBytes() {
         return Math.min(current.maxValueBytes(), next.maxValueBytes());
     }
 
-    /** Maximum number of writes per transaction that is allowed both before and after the change. */
+    /** Returns the maximum number of writes per transaction that is allowed both before and after the change. */
     public int maxTransactionWrites() {
         return Math.min(current.maxTransactionWrites(), next.maxTransactionWrites());
     }
--- a/src/main/java/dewlane/core/quota/PartitionedLimit.java
+++ b/src/main/java/dewlane/core/quota/PartitionedLimit.java
@@ -11,7 +11,7 @@
 /**
  * Enforces a large limit by dividing it into one share per controller of the partition map. Shares are equal at first
  * and can be changed by {@link QuotaRebalancer}. Launches need no shared key in the store: an attempt counts against
- * the owner of its slice, and only the owner launches tasks of a slice, so each controller knows its own usage.
+ * the owner of its slice, and only the owner launches tasks of a slice, so each controller can determine its own usage.
  *
  * <p>When a controller leaves the partition map, another can become the owner of more than its share. It then starts no
  * tasks of the team, and the other controllers leave as much of their shares unused.
--- a/src/main/java/dewlane/core/quota/QuotaEnforcer.java
+++ b/src/main/java/dewlane/core/quota/QuotaEnforcer.java
@@ -61,7 +61,9 @@
         return hasLimit(job) && !partitioned.appliesTo(team(job));
     }
 
-    /** Returns true while the usage of the job's team is not known, because a serialized launch of it is in flight. */
+    /**
+     * Returns true while the usage of the job's team cannot be determined, as a serialized launch for it is in flight.
+     */
     public boolean isLaunchInFlight(Job job) {
         return hasSerializedLimit(job) && serialized.isLaunchInFlight(job.team());
     }
@@ -105,7 +107,7 @@
         return team == null ? 0 : usage.capacityFor(team, job);
     }
 
-    /** Returns true if the team's limit as a whole has capacity, even if this controller's share has not. */
+    /** Returns true if the team's limit as a whole has capacity, even if this controller's share has none. */
     public boolean hasTeamCapacity(Job job) {
         return capacityFor(job, machines.teamUsage().usageOf(job.team())) > 0;
     }
--- a/src/main/java/dewlane/core/quota/SerializedLimit.java
+++ b/src/main/java/dewlane/core/quota/SerializedLimit.java
@@ -23,7 +23,9 @@
 
     private final StoreReplica replica;
     private final MachineRegistry machines;
-    /** By team, the revision of the latest launch. The team's usage is not known until the replica reaches it. */
+    /**
+     * By team, the revision of the latest launch. The team's usage cannot be determined until the replica reaches it.
+     */
     private final Map<String, Long> launchRevisions = new HashMap<>();
 
     SerializedLimit(StoreReplica replica, MachineRegistry machines) {
