--- a/src/main/java/dewlane/core/schema/StoredValue.java
+++ b/src/main/java/dewlane/core/schema/StoredValue.java
@@ -19,7 +19,7 @@
      * @param job the job as it was submitted
      * @param assignments how the tasks were divided into slices when the job was accepted; assignment N applies until
      *     slice N has its own key
-     * @param cancelledAtMs time of day of the cancellation; 0 if the job was not cancelled
+     * @param cancelledAtMs wall-clock time of the cancellation; 0 if the job was not cancelled
      * @param unknown fields that this release does not support, to be written back
      */
     record JobRecord(Job job, List<SliceAssignment> assignments, long cancelledAtMs, UnknownFields unknown)
@@ -33,7 +33,7 @@
          * Returns a copy that marks the job as cancelled. None of its tasks is launched any more, so the assignments
          * are omitted if the value would exceed the size limit.
          *
-         * @param atMs time of day of the cancellation
+         * @param atMs wall-clock time of the cancellation
          * @param maxBytes the size limit of a value
          */
         public JobRecord asCancelled(long atMs, ValueSizer sizer, int maxBytes) {
@@ -65,7 +65,7 @@
      * The result of a job that has ended; never changed and never deleted.
      *
      * @param cancelled true if the job was cancelled, false if every task is done
-     * @param endedAtMs time of day at which the job ended
+     * @param endedAtMs wall-clock time at which the job ended
      */
     record JobResult(boolean cancelled, long endedAtMs) implements StoredValue {}
 
@@ -289,7 +289,7 @@
         SCALE_IN,
         /** The machine is unresponsive or faulty and is deleted with all tasks on it. */
         DELETE,
-        /** The machine is known to be terminated. */
+        /** The machine is proven terminated. */
         TERMINATED
     }
 
--- a/src/main/java/dewlane/core/store/JobEntry.java
+++ b/src/main/java/dewlane/core/store/JobEntry.java
@@ -57,7 +57,7 @@
         return record;
     }
 
-    /** Returns the time of day at which the job was cancelled; 0 if it was not. */
+    /** Returns the wall-clock time at which the job was cancelled; 0 if it was not. */
     public long cancelledAtMs() {
         return record == null ? 0 : record.cancelledAtMs();
     }
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Returns the time of day by which the job should end: its own deadline, or an earlier one that leaves the jobs
+     * Returns the wall-clock time by which the job should end: its own deadline, or an earlier one that leaves the jobs
      * that depend on it their estimated run time.
      */
     public long deadlineMs() {
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Returns the time of day from which the job's waiting time counts: its acceptance or, if later, the end of the
+     * Returns the wall-clock time from which the job's waiting time counts: its acceptance or, if later, the end of the
      * last of its dependencies.
      */
     public long waitingSinceMs() {
@@ -106,7 +106,7 @@
     }
 
     /**
-     * Returns the time of day of the job's own deadline. It counts from the job's acceptance, however long the job
+     * Returns the wall-clock time of the job's own deadline. It counts from the job's acceptance, however long the job
      * waits for dependencies.
      */
     public long ownDeadlineMs() {
@@ -116,13 +116,13 @@
     /**
      * Sets the priority and the deadline that result from the job's own ones and those of the jobs that depend on it.
      *
-     * @param earliestDeadlineMs time of day
+     * @param earliestDeadlineMs wall-clock time
      */
     public void inheritUrgency(Priority highest, long earliestDeadlineMs) {
         urgency.inherit(highest, earliestDeadlineMs);
     }
 
-    /** Called when a dependency of the job has ended at the given time of day. */
+    /** Called when a dependency of the job has ended at the given wall-clock time. */
     public void onDependencyEnded(long atMs) {
         urgency.onDependencyEnded(atMs);
     }
--- a/src/main/java/dewlane/core/store/JobUrgency.java
+++ b/src/main/java/dewlane/core/store/JobUrgency.java
@@ -29,7 +29,7 @@
         deadlineMs = earliestDeadlineMs;
     }
 
-    /** Called when a dependency of the job has ended at the given time of day. */
+    /** Called when a dependency of the job has ended at the given wall-clock time. */
     void onDependencyEnded(long atMs) {
         waitingSinceMs = Math.max(waitingSinceMs, atMs);
     }
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Returns the time of day of a job's own deadline. It counts from the job's acceptance, however long the job waits
-     * for dependencies.
+     * Returns the wall-clock time of a job's own deadline. It counts from the job's acceptance, however long the job
+     * waits for dependencies.
      */
     static long ownDeadlineMs(Job job) {
         return job.deadlineS() > 0 ? job.acceptedAtMs() + (long) (MS_PER_S * job.deadlineS()) : NO_DEADLINE;
--- a/src/main/java/dewlane/core/store/PendingTransaction.java
+++ b/src/main/java/dewlane/core/store/PendingTransaction.java
@@ -48,7 +48,7 @@
         return listener;
     }
 
-    /** Returns the steady time at which the transaction was submitted. */
+    /** Returns the monotonic time at which the transaction was submitted. */
     long submittedAtMs() {
         return submittedAtMs;
     }
@@ -68,13 +68,13 @@
         return retries;
     }
 
-    /** Schedules a retry no earlier than the given steady time. */
+    /** Schedules a retry no earlier than the given monotonic time. */
     void retryAt(long atMs) {
         retries++;
         notBeforeMs = atMs;
     }
 
-    /** Returns true if the transaction may be sent at the given steady time. */
+    /** Returns true if the transaction may be sent at the given monotonic time. */
     boolean isDue(long nowMs) {
         return notBeforeMs <= nowMs;
     }
--- a/src/main/java/dewlane/core/store/ReadBarrier.java
+++ b/src/main/java/dewlane/core/store/ReadBarrier.java
@@ -24,7 +24,10 @@
      */
     private static final long TIMEOUT_MS = 4000;
 
-    /** A read that waits for the replica, with the actions to run once the replica is current or if that is unknown. */
+    /**
+     * A read that waits for the replica, with the actions to run once the replica is current or if it cannot be
+     * determined whether it is.
+     */
     private record PendingRead(long arrivedAtMs, Runnable onCurrent, Runnable onUnavailable) {}
 
     /** Reads that are answered once the replica has reached the revision. */
@@ -37,7 +40,7 @@
     private List<PendingRead> unrequested = new ArrayList<>();
     /** Reads that the request in flight serves. */
     private List<PendingRead> requested = List.of();
-    /** Reads whose revision is known, in the order of the revisions. */
+    /** Reads whose revision has been read from the store, in the order of the revisions. */
     private final Deque<Batch> awaitingReplica = new ArrayDeque<>();
 
     private boolean requestInFlight;
--- a/src/main/java/dewlane/core/store/ReducedRateDetector.java
+++ b/src/main/java/dewlane/core/store/ReducedRateDetector.java
@@ -16,7 +16,7 @@
     private static final long REFUSAL_WINDOW_MS = 2000;
     /**
      * How long the reduced rate is assumed to be in force before the initial one is tried again. The time doubles each
-     * time that refusals follow at once and so confirm the reduced rate.
+     * time that refusals follow soon after that, which confirms the reduced rate.
      */
     private static final long REDUCED_PERIOD_MS = 60_000;
 
--- a/src/main/java/dewlane/core/store/ReplicaFreshness.java
+++ b/src/main/java/dewlane/core/store/ReplicaFreshness.java
@@ -10,13 +10,13 @@
  * running. The age counts from the time at which the latest answered watch, or the listing before it, was requested, as
  * the replica contains everything that was durable then. Answers to other requests, such as a lease renewal, do not
  * reset the age; nor does the time at which an answer arrives, as it may have been buffered while the process was
- * paused. A heartbeat is answered only while the replica is so fresh that the lease which the answer renews expires
+ * paused. A heartbeat is answered only while the replica is fresh enough: the lease that the answer renews must expire
  * within {@code cancel_s} of any cancellation that may be missing from the replica.
  */
 public final class ReplicaFreshness {
     /** Allows for the time that a worker takes to stop its tasks after its lease has expired, and for clock drift. */
     private static final long MARGIN_MS = 1000;
-    /** The largest relative difference in rate between two steady clocks. */
+    /** The largest relative difference in rate between two monotonic clocks. */
     private static final double CLOCK_DRIFT = 0.001;
     /**
      * The replica reaches this age from time to time in normal operation, so heartbeats are answered up to this age
@@ -51,7 +51,7 @@
         return (long) (leaseDifferenceMs - deadlineMs * CLOCK_DRIFT) - MARGIN_MS;
     }
 
-    /** Called when the replica contains everything that was durable at the given steady time. */
+    /** Called when the replica contains everything that was durable at the given monotonic time. */
     public void onRefreshed(long asOfMs) {
         freshAsOfMs = Math.max(freshAsOfMs, asOfMs);
     }
--- a/src/main/java/dewlane/core/store/StoreConnectivity.java
+++ b/src/main/java/dewlane/core/store/StoreConnectivity.java
@@ -10,7 +10,7 @@
     private final ControllerContext context;
     private long lastContactMs;
 
-    /** Creates a tracker whose last contact is at steady time 0. */
+    /** Creates a tracker whose last contact is at monotonic time 0. */
     public StoreConnectivity(ControllerContext context) {
         this.context = context;
     }
--- a/src/main/java/dewlane/core/store/StoreReplica.java
+++ b/src/main/java/dewlane/core/store/StoreReplica.java
@@ -110,8 +110,8 @@
 
     /**
      * Records a value that cannot be read, so that nothing that depends on it is changed: the job's tasks are not
-     * launched, the job is not ended and its status is not shown to users; the controller counts as present; the
-     * partition map is never replaced, as its revision stays unknown.
+     * launched, the job is not ended and its status is not shown to users; the controller counts as live; the partition
+     * map is never replaced, as its revision stays unknown.
      */
     private void applyUnreadable(StoreKey key, String keyText, String reason) {
         if (key instanceof StoreKey.OfJob job) {
--- a/src/main/java/dewlane/core/store/WriteRateLimiter.java
+++ b/src/main/java/dewlane/core/store/WriteRateLimiter.java
@@ -12,7 +12,7 @@
     /** The fraction of the rate that the controllers share. Lease renewals and other clients use some of the rest. */
     private static final double PLANNED_FRACTION = 0.85;
 
-    /** The most equal shares that one controller may use. */
+    /** The maximum number of equal shares that one controller may use. */
     private static final double MAX_SHARES = 2.5;
 
     /** How fast the number of shares grows while no write is refused. */
@@ -56,7 +56,7 @@
         return tokens;
     }
 
-    /** Returns the most tokens that the bucket can hold. */
+    /** Returns the maximum number of tokens that the bucket holds. */
     double capacity() {
         return Math.max(limits.maxTransactionWrites(), tokensPerS());
     }
