--- a/src/main/java/dewlane/core/membership/Authority.java
+++ b/src/main/java/dewlane/core/membership/Authority.java
@@ -18,7 +18,7 @@
         boolean storeReachable,
         boolean replicaAllowsRenewal,
         boolean replicaAllowsLaunch) {
-    /** What limits a controller. If several restrictions apply, the first constant counts. */
+    /** The restrictions on what a controller may do. If several apply, the first constant counts. */
     enum Restriction {
         NOT_A_MEMBER("decides nothing: it is not in the partition map"),
         SUPERSEDED("answers no worker: a peer has a newer partition map"),
--- a/src/main/java/dewlane/core/membership/ExpiredMembers.java
+++ b/src/main/java/dewlane/core/membership/ExpiredMembers.java
@@ -14,7 +14,7 @@
  * members wait for different times, in the order of the map, so that usually only the first one writes the next map.
  */
 final class ExpiredMembers {
-    /** Each live member waits for this much longer than the live member before it. */
+    /** The difference between the waiting times of a live member and the live member before it. */
     private static final long EVICTION_STAGGER_MS = 300;
 
     private final ControllerContext context;
--- a/src/main/java/dewlane/core/membership/MemberLease.java
+++ b/src/main/java/dewlane/core/membership/MemberLease.java
@@ -22,7 +22,7 @@
     private boolean grantInFlight;
     private long grantRequestedAtMs;
     private boolean renewalInFlight;
-    /** When the lease was granted or its latest renewal was requested, in steady time. */
+    /** When the lease was granted or its latest renewal was requested, in monotonic time. */
     private long lastRenewalMs;
 
     MemberLease(ControllerContext context) {
@@ -35,7 +35,7 @@
         return id;
     }
 
-    /** Returns true if a lease was granted and is not known to have expired. */
+    /** Returns true if a lease was granted and its expiry was not observed. */
     boolean isHeld() {
         return id != NONE;
     }
@@ -66,7 +66,7 @@
         return true;
     }
 
-    /** Called when the lease is known to have expired. */
+    /** Called when an answer of the store shows that the lease has expired. */
     void onExpired() {
         id = NONE;
     }
--- a/src/main/java/dewlane/core/membership/Membership.java
+++ b/src/main/java/dewlane/core/membership/Membership.java
@@ -52,7 +52,7 @@
     private final List<QuotaTransfer> pendingTransfers = new ArrayList<>();
 
     private long incarnation = NOT_JOINED;
-    /** Steady time since which statuses of peers have named a newer map; 0 if the latest status did not. */
+    /** Monotonic time since which statuses of peers have named a newer map; 0 if the latest status did not. */
     private long newerMapSinceMs;
 
     /**
@@ -90,7 +90,7 @@
         return map != null && incarnation != NOT_JOINED && map.incarnation(self) == incarnation;
     }
 
-    /** Returns true if this controller is the leader; only the leader scales out and deletes instances. */
+    /** Returns true if this controller is the leader; only the leader scales out and processes decommission records. */
     public boolean isLeader() {
         return isMember() && self.equals(Partitioner.leaderOf(replica.partitionMap()));
     }
@@ -101,10 +101,10 @@
     }
 
     /**
-     * Returns true if this controller has reached neither the store nor another controller for so long that its lease
-     * must have expired. The others have then taken over its partition, and its workers should switch to them. If the
-     * store is unreachable for all controllers, the statuses of the others still arrive, and this controller keeps its
-     * workers.
+     * Returns true if this controller has reached neither the store nor another controller for long enough that its
+     * lease must have expired. The others have then taken over its partition, and its workers should switch to them. If
+     * the store is unreachable for all controllers, the statuses of the others still arrive, and this controller keeps
+     * its workers.
      */
     boolean isIsolated() {
         long timeoutMs = context.settings().tuning().memberLeaseTtlMs() + ISOLATION_MARGIN_MS;
--- a/src/main/java/dewlane/core/membership/PeerTable.java
+++ b/src/main/java/dewlane/core/membership/PeerTable.java
@@ -11,7 +11,7 @@
     /** How long a peer's status is valid. */
     private static final long STATUS_TTL_MS = 5000;
 
-    /** A peer's latest status and the steady time at which it was received. */
+    /** A peer's latest status and the monotonic time at which it was received. */
     private record ReceivedStatus(PeerStatus status, long atMs) {}
 
     private final ControllerContext context;
