--- a/src/main/java/dewlane/core/job/CancellationTracker.java
+++ b/src/main/java/dewlane/core/job/CancellationTracker.java
@@ -21,7 +21,7 @@
     private static final int MAX_ANNOUNCED_JOBS = 500;
     /** The time for which a cancellation is announced, as a multiple of the cancellation deadline. */
     private static final int ANNOUNCEMENT_WINDOW_FACTOR = 2;
-    /** The time for which a cancellation is kept while the job's record is not removed, in announcement windows. */
+    /** The number of announcement windows after which a cancellation is dropped even if the job's record remains. */
     private static final int RETENTION_FACTOR = 4;
 
     private final ControllerContext context;
@@ -40,15 +40,19 @@
                 (long) (1000 * ANNOUNCEMENT_WINDOW_FACTOR * context.settings().cancellationDeadlineS());
     }
 
-    /** Returns true if the job has ended or is cancelled, so that no task of it may run. */
+    /**
+     * Returns true if no task of the job may run: it is cancelled, or the replica lacks its record, as after its end.
+     */
     public boolean mustNotRun(JobEntry job) {
         return job.job() == null || job.isCancelled() || cancelledSinceMs.containsKey(job.id());
     }
 
     /**
-     * Returns the milliseconds since the job was cancelled, or 0 if no cancellation is recorded. They are counted from
-     * the wall-clock time in the job's record, but are never fewer than those since this controller recorded the
-     * cancellation. A difference between the clocks of controllers can therefore only make the value too large.
+     * Returns the milliseconds since the job was cancelled, or 0 if no cancellation is recorded. The value is the
+     * difference between the current wall-clock time and the wall-clock time in the job's record, but never less than
+     * the time since this controller recorded the cancellation. The time in the record comes from the clock of the
+     * controller that wrote it. If that clock runs ahead of this controller's, the difference is too small, and the
+     * time since the recording is the lower bound. If it runs behind, the value is too large.
      */
     public long cancelledForMs(JobEntry job) {
         Long sinceMs = cancelledSinceMs.get(job.id());
--- a/src/main/java/dewlane/core/job/DependencyResolver.java
+++ b/src/main/java/dewlane/core/job/DependencyResolver.java
@@ -42,7 +42,7 @@
         this.resultReader = resultReader;
     }
 
-    /** Called when the replica holds neither a record nor a result of a dependency. The result is read then. */
+    /** Called when the replica holds neither a record nor a result of a dependency. {@link #tick} reads the result. */
     void onMissing(String job) {
         unresolved.add(job);
     }
@@ -61,7 +61,7 @@
     /**
      * Starts reads of missing results. Called periodically.
      *
-     * @param caughtUp whether the replica holds every change that is known to be durable; if not, nothing is read
+     * @param caughtUp whether the replica is a consistent snapshot of the store; if not, nothing is read
      */
     void tick(boolean caughtUp) {
         if (!caughtUp || unresolved.isEmpty() || context.nowMs() < backoffUntilMs) {
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Returns true if the result of no dependency, direct or transitive, is missing, so that it can be decided whether
-     * the job is cancelled through one. Otherwise the missing results are read before all others.
+     * Returns true if no result of a direct or transitive dependency is missing, so that it is certain whether the job
+     * is cancelled through a dependency. Otherwise the missing results are read before all others.
      */
     boolean areDependenciesResolved(String job) {
         if (unresolved.isEmpty()) {
--- a/src/main/java/dewlane/core/job/DependencyTracker.java
+++ b/src/main/java/dewlane/core/job/DependencyTracker.java
@@ -87,7 +87,7 @@
         }
     }
 
-    /** A removed record alone does not mean that the job has ended: the replica also removes it to load a listing. */
+    /** A removed record alone does not mean that the job has ended: loading a listing removes all records first. */
     private void onRecordRemoved(String id) {
         JobResult result = replica.result(id);
         if (result != null) {
@@ -147,15 +147,16 @@
     /**
      * Starts reads of results of dependencies that are missing from the replica. Called periodically.
      *
-     * @param caughtUp whether the replica holds every change that is known to be durable; if not, nothing is read
+     * @param caughtUp whether the replica is a consistent snapshot of the store; if not, nothing is read
      */
     public void tick(boolean caughtUp) {
         resolver.tick(caughtUp);
     }
 
     /**
-     * Returns true if it can be decided for every dependency of the job, direct or transitive, whether it is cancelled.
-     * Otherwise the missing results are read before all others, and the caller has to call again later.
+     * Returns true if no result of a direct or transitive dependency is missing, so that it is certain whether the job
+     * is cancelled through a dependency. Otherwise the missing results are read before all others, and the caller has
+     * to call again later.
      */
     public boolean areDependenciesResolved(String job) {
         return resolver.areDependenciesResolved(job);
--- a/src/main/java/dewlane/core/job/SliceSizeBound.java
+++ b/src/main/java/dewlane/core/job/SliceSizeBound.java
@@ -36,13 +36,13 @@
     }
 
     private final int attemptTaskBytes;
-    /** The token of the first attempt of each launch, by launch number. Others are stored as differences from it. */
+    /** The fencing token of the first attempt of each launch, by launch number. Others are stored as differences. */
     private final Map<Integer, Long> firstTokens = new HashMap<>();
 
     private final Set<LaunchOnMachine> machineEntries = new HashSet<>();
     private int totalBytes;
 
-    /** Computes the bound for the slice with its present attempts. */
+    /** Computes the bound for the slice with its current attempts. */
     public SliceSizeBound(Slice slice) {
         attemptTaskBytes = 2 * (digits(slice.count()) + 1);
         totalBytes = SLICE_OVERHEAD_BYTES
@@ -57,7 +57,7 @@
         slice.attempts().forEach(this::add);
     }
 
-    /** Returns the bound for the slice with its present attempts, in bytes. */
+    /** Returns the bound for the slice with its current attempts, in bytes. */
     static int ofSlice(Slice slice) {
         return new SliceSizeBound(slice).totalBytes;
     }
--- a/src/main/java/dewlane/core/job/SliceSplitter.java
+++ b/src/main/java/dewlane/core/job/SliceSplitter.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Splits a slice that was stored under a larger size limit into slices that are within the present limit. */
+/** Splits a slice that was stored under a larger size limit into slices that are within the current limit. */
 public final class SliceSplitter {
     private SliceSplitter() {}
 
--- a/src/main/java/dewlane/core/job/UrgencyInheritance.java
+++ b/src/main/java/dewlane/core/job/UrgencyInheritance.java
@@ -25,8 +25,9 @@
     }
 
     /**
-     * Raises the priority of a job and makes its deadline earlier as far as a dependent that is new or has become more
-     * urgent requires it, and propagates the change to the dependencies of the job.
+     * Raises the priority of the dependency and makes its deadline earlier, as far as the dependent requires it, and
+     * propagates the change to the jobs that the dependency depends on. Called when the dependent is new or has become
+     * more urgent.
      */
     void raise(JobEntry dependency, JobEntry dependent) {
         if (graph.hasFailed(dependent.id())) {
--- a/src/test/java/dewlane/core/job/DependencyTrackerTest.java
+++ b/src/test/java/dewlane/core/job/DependencyTrackerTest.java
@@ -84,11 +84,11 @@
 
     @Test
     void dependentsAreUnresolvedUntilResultOfDependencyIsRead() {
-        store(record("second", Priority.HIGH, 0, "gone"));
+        store(record("second", Priority.HIGH, 0, "ended"));
         store(record("third", Priority.HIGH, 0, "second"));
         assertFalse(dependencies.areDependenciesResolved("second"));
         assertFalse(dependencies.areDependenciesResolved("third"));
-        replica.cacheResult("gone", new JobResult(true, 500));
+        replica.cacheResult("ended", new JobResult(true, 500));
         assertTrue(dependencies.areDependenciesResolved("third"));
         assertTrue(dependencies.isCancelled(replica.job("second")) && dependencies.isCancelled(replica.job("third")));
     }
