--- a/src/main/java/dewlane/core/admission/CancellationWriter.java
+++ b/src/main/java/dewlane/core/admission/CancellationWriter.java
@@ -15,7 +15,7 @@
 /** Writes cancellations to the store: one transaction marks the job's record as cancelled and stores its result. */
 public final class CancellationWriter {
     /**
-     * Receives exactly one call with the outcome of a write. A conflict means that the record changed or is deleted.
+     * Receives exactly one call with the outcome of a write. A conflict means that the record was changed or deleted.
      */
     interface Listener extends WriteListener {
         /** Called when the job is durably cancelled. */
--- a/src/main/java/dewlane/core/admission/JobValidator.java
+++ b/src/main/java/dewlane/core/admission/JobValidator.java
@@ -31,7 +31,7 @@
         this.machines = machines;
     }
 
-    /** Validates a job against the present machine types. The result can change when the cloud offers other types. */
+    /** Validates a job against the current machine types. The result can change when the cloud offers other types. */
     Validation validate(Job job) {
         Settings.TeamQuota team = settings.teams().get(job.team());
         if (team == null) {
--- a/src/main/java/dewlane/core/admission/SubmissionHandler.java
+++ b/src/main/java/dewlane/core/admission/SubmissionHandler.java
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Rejects a malformed body, unless the job was accepted earlier with a valid one. That takes a look at the store,
-     * since the replica does not hold all jobs that have ended. If the store does not answer, the request is rejected
-     * nevertheless, because such a body can never be accepted.
+     * Rejects a malformed body, unless the job was accepted earlier with a valid one. To find that out, the store may
+     * have to be read, since the replica does not hold all jobs that have ended. If the store does not answer, the
+     * request is rejected nevertheless, because such a body can never be accepted.
      */
     private void rejectMalformed(Input.SubmitJob request) {
         statuses.answer(
