--- a/src/main/java/dewlane/core/autoscaling/Autoscaler.java
+++ b/src/main/java/dewlane/core/autoscaling/Autoscaler.java
@@ -18,7 +18,7 @@
     private final ScaleOut scaleOut;
     private boolean leading;
     private long leadingSinceMs;
-    /** False until the instances that a previous leader created are listed, so that they are not created twice. */
+    /** False until the poller has allowed scale-out, so that instances of a previous leader are not created twice. */
     private boolean scaleOutAllowed;
 
     /** Creates an autoscaler that runs the given components in turn. */
@@ -77,7 +77,7 @@
         scaleOut.clear();
     }
 
-    /** Called when a page of the list of instances was read. */
+    /** Called when the list of instances was read. */
     public void onInstancesListed(Input.InstancesListed in) {
         inventory.onListed(in.machines());
     }
--- a/src/main/java/dewlane/core/autoscaling/CloudPoller.java
+++ b/src/main/java/dewlane/core/autoscaling/CloudPoller.java
@@ -65,8 +65,8 @@
     /**
      * Returns true if a new leader may scale out. It waits until the cloud's list, which lags, shows the instances that
      * a previous leader created, but no longer than {@link #MAX_FIRST_LIST_WAIT_MS}. The first leader of a deployment
-     * does not wait, since no instances were created before it. It is recognized by a partition map that has no more
-     * epochs than members.
+     * does not wait, since no instances were created before it. It is recognized by a partition map whose epoch is not
+     * greater than the number of its members.
      *
      * @param leadingForMs the time for which this controller has been the leader
      */
--- a/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionProcessor.java
@@ -18,9 +18,12 @@
  */
 public final class DecommissionProcessor {
     private static final long DELETE_RETRY_INTERVAL_MS = 6000;
-    /** The time for which a record is kept after all its machines are terminated. */
+    /** The time for which a record other than a scale-in record is kept after all its machines are terminated. */
     private static final long TERMINATED_RECORD_TTL_MS = 60_000;
-    /** The same for a scale-in record. The cloud's list may show terminated machines for up to this time. */
+    /**
+     * The time for which a scale-in record is kept after all its machines are terminated. The cloud's list may show
+     * them for up to this time.
+     */
     private static final long SCALED_IN_RECORD_TTL_MS = 30_000;
 
     private final ControllerContext context;
@@ -75,7 +78,7 @@
         context.emit(new Effect.DeleteInstances(names));
     }
 
-    /** Adds the idle machines of the record to the deletable ones. */
+    /** Adds the idle machines of the record to the deletable ones, and later deletes the record. */
     private void processScaleIn(DecommissionIndex.Entry entry, List<String> deletable) {
         if (inventory.areTerminated(entry.machines())) {
             if (terminatedForMs(entry) > SCALED_IN_RECORD_TTL_MS) {
@@ -84,8 +87,8 @@
             return;
         }
         for (String name : entry.machines()) {
-            // No task can have been launched since the record was written. If there are attempts all the same, they
-            // end before the machine is deleted.
+            // No task can have been launched since the record was written. If there are attempts nevertheless, they end
+            // before the machine is deleted.
             if (!inventory.isTerminated(name) && isIdle(name)) {
                 deletable.add(name);
             }
--- a/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
+++ b/src/main/java/dewlane/core/autoscaling/DecommissionWriter.java
@@ -81,7 +81,10 @@
         submit(key, TransactionPriority.OUTCOME, transaction, () -> {});
     }
 
-    /** Deletes a record. The callback is run when the transaction has completed, whatever its outcome. */
+    /**
+     * Deletes a record, unless a write of it is in flight. The callback is run when the transaction has completed,
+     * whatever its outcome.
+     */
     void delete(DecommissionIndex.Entry entry, Runnable onCompleted) {
         Transaction.Builder transaction =
                 new Transaction.Builder().require(entry.key(), entry.revision()).delete(entry.key());
--- a/src/main/java/dewlane/core/autoscaling/IdleMachineFinder.java
+++ b/src/main/java/dewlane/core/autoscaling/IdleMachineFinder.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds machines of this controller's partition that have been idle for so long that keeping them costs too much. */
+/** Finds machines of this controller's partition whose idle timeout has passed, since idle machines cost money. */
 public final class IdleMachineFinder {
     /** Multiplies the idle timeout while jobs are pending, since their tasks may be launched on idle machines soon. */
     private static final int PENDING_WORK_FACTOR = 3;
--- a/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
+++ b/src/main/java/dewlane/core/autoscaling/InstanceInventory.java
@@ -21,7 +21,7 @@
  * have not booted; and those that are certain to be terminated.
  */
 public final class InstanceInventory {
-    /** An instance that no page of the list has shown for this time counts as no longer listed. */
+    /** An instance that the list has not shown for this time counts as no longer listed. */
     private static final long LISTED_TTL_MS = 20_000;
     /** The boot timeout of an instance whose type is not in the catalog. */
     private static final double UNKNOWN_TYPE_BOOT_TIMEOUT_S = 300;
@@ -81,9 +81,9 @@
         return Collections.unmodifiableMap(pending);
     }
 
-    /** Called when a page of the cloud's list was read. A page may be older than the previous one. */
-    void onListed(List<CloudInstance> page) {
-        for (CloudInstance instance : page) {
+    /** Called when the cloud's list was read. A list may be older than the one read before it. */
+    void onListed(List<CloudInstance> instances) {
+        for (CloudInstance instance : instances) {
             if (!machines.isTerminated(instance.name())) {
                 onListed(instance);
             }
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Moves pending instances to the booted ones if their workers have contacted this controller, have attempts, or are
-     * listed by their partition owner.
+     * Adds to the booted instances those whose worker has contacted this controller, those with attempts, and those
+     * that their partition owner lists; removes booted and terminated instances from the pending ones.
      */
     void detectBooted() {
         for (Machine machine : machines.all()) {
