--- a/src/main/java/dewlane/core/controller/Controller.java
+++ b/src/main/java/dewlane/core/controller/Controller.java
@@ -55,8 +55,8 @@
     }
 
     /** Enables or disables a debug log line per command to a worker, with the state that the command is based on. */
-    public void setCommandLogging(boolean wanted) {
-        context.setCommandLogging(wanted);
+    public void setCommandLogging(boolean enabled) {
+        context.setCommandLogging(enabled);
     }
 
     /** Returns the counters of this controller since its start, for the log. */
--- a/src/main/java/dewlane/core/controller/ControllerAssembly.java
+++ b/src/main/java/dewlane/core/controller/ControllerAssembly.java
@@ -119,22 +119,22 @@
         replicaListeners.add(new ReplicaChangeLog(context, counters)::onReplicaChange);
     }
 
-    /** The context that all subsystems share. */
+    /** Returns the context that all subsystems share. */
     ControllerContext context() {
         return context;
     }
 
-    /** The counters of all subsystems. */
+    /** Returns the counters of all subsystems. */
     ControllerCounters counters() {
         return counters;
     }
 
-    /** The registry of machines. */
+    /** Returns the registry of machines. */
     MachineRegistry machines() {
         return machines;
     }
 
-    /** The trigger of scheduling cycles. */
+    /** Returns the trigger of scheduling cycles. */
     SchedulingTrigger scheduling() {
         return scheduling;
     }
--- a/src/main/java/dewlane/core/controller/ReplicaListeners.java
+++ b/src/main/java/dewlane/core/controller/ReplicaListeners.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Notifies listeners, which keep state derived from the replica, of each change in the order of their registration. */
+/**
+ * Notifies listeners of each change of the replica, in the order of their registration. The listeners keep state that
+ * is derived from the replica.
+ */
 final class ReplicaListeners implements Consumer<ReplicaChange> {
     private final List<Consumer<ReplicaChange>> listeners = new ArrayList<>();
 
--- a/src/main/java/dewlane/core/message/ControllerContext.java
+++ b/src/main/java/dewlane/core/message/ControllerContext.java
@@ -72,8 +72,8 @@
     }
 
     /** Enables or disables a log line per command. Disabled lines are not built, as building them is expensive. */
-    public void setCommandLogging(boolean wanted) {
-        logsCommands = wanted;
+    public void setCommandLogging(boolean enabled) {
+        logsCommands = enabled;
     }
 
     /** Returns true if each command to a worker is logged. */
--- a/src/test/java/dewlane/core/controller/ControllerFencingTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerFencingTest.java
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A watch whose revision was compacted has the state listed again, under the same partition map. No fencing token
-     * may be used a second time.
+     * After a watch has failed because its revision was compacted, the controller lists the store again, under the same
+     * partition map. No fencing token may be used a second time.
      */
     @Test
     void tokensOnlyGrowAfterReloadOfState() {
--- a/src/test/java/dewlane/core/controller/ControllerFixture.java
+++ b/src/test/java/dewlane/core/controller/ControllerFixture.java
@@ -72,12 +72,12 @@
         effects.clear();
     }
 
-    /** The revision of the latest change that the controller has received. */
+    /** Returns the revision of the latest change that the controller has received. */
     public long revision() {
         return revision;
     }
 
-    /** A partition map with n0 as the only member. */
+    /** Returns a partition map with n0 as the only member. */
     static PartitionMap mapOfOne() {
         return new PartitionMap(1, List.of(new Member("n0", 1)), Map.of());
     }
@@ -117,7 +117,7 @@
         return new Slice("n0", 0, tasks, launches, new BitSet(), List.of(attempts));
     }
 
-    /** An attempt that was launched on the machine under its first fencing token. */
+    /** Returns an attempt that was launched on the machine under its first fencing token. */
     static Attempt attempt(int task, int number) {
         return new Attempt(task, number, MACHINE, 1, FIRST_TOKEN, 1);
     }
@@ -143,7 +143,7 @@
                 .value();
     }
 
-    /** A heartbeat of the machine with the given tasks. */
+    /** Returns a heartbeat of the machine with the given tasks. */
     public static Heartbeat heartbeat(long incarnation, long sequence, long token, TaskStatus... tasks) {
         return TestHeartbeats.of(incarnation, sequence, token, List.of(tasks));
     }
--- a/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerLaunchTest.java
@@ -62,20 +62,20 @@
         assertEquals(1, writtenSlice(transaction).attempts().size(), "the first task uses 3 of the team's 4 CPUs");
     }
 
-    /** A reload of the state removes all records for a moment; that must not count as the end of a dependency. */
+    /** Loading a listing removes all records for a moment; that must not count as the end of a dependency. */
     @Test
-    void reloadOfStateReleasesNoDependant() {
+    void reloadOfStateReleasesNoDependent() {
         connectWorker();
-        List<StoredValue.SliceAssignment> deals = List.of(new StoredValue.SliceAssignment("n0", 0, 2));
-        JobRecord dependency = new JobRecord(job(2, 5), deals, 0);
-        JobRecord dependant = new JobRecord(job("wk-2", 2, 1).withDependencies(List.of(JOB)), deals, 0);
+        List<StoredValue.SliceAssignment> assignments = List.of(new StoredValue.SliceAssignment("n0", 0, 2));
+        JobRecord dependency = new JobRecord(job(2, 5), assignments, 0);
+        JobRecord dependent = new JobRecord(job("wk-2", 2, 1).withDependencies(List.of(JOB)), assignments, 0);
         applyChange(StoreKeys.job(JOB), dependency);
-        applyChange(StoreKeys.job("wk-2"), dependant);
+        applyChange(StoreKeys.job("wk-2"), dependent);
 
         receive(10, new Input.WatchFailed(true));
         tick(600);
         List<Input.StoreRow> rows = List.of(
-                new Input.StoreRow(StoreKeys.job("wk-2"), dependant, revision),
+                new Input.StoreRow(StoreKeys.job("wk-2"), dependent, revision),
                 new Input.StoreRow(StoreKeys.job(JOB), dependency, revision - 1),
                 new Input.StoreRow(StoreKeys.PARTITION_MAP, mapOfOne(), 11),
                 new Input.StoreRow(StoreKeys.presence("n0"), new Presence(1), 11));
@@ -84,7 +84,7 @@
         receiveHeartbeat(60, 3, heartbeat(1, 3, 0));
         long token = takeFirst(Effect.AnswerHeartbeat.class).fencingToken();
         receiveHeartbeat(500, 4, heartbeat(1, 4, token));
-        applyChange(StoreKeys.job("wk-3"), new JobRecord(job("wk-3", 2, 1), deals, 0));
+        applyChange(StoreKeys.job("wk-3"), new JobRecord(job("wk-3", 2, 1), assignments, 0));
         for (int i = 0; i < 20; i++) {
             tick(100);
         }
@@ -94,7 +94,7 @@
                 .map(Transaction.Write::key)
                 .toList();
         assertTrue(written.contains(StoreKeys.slice("wk-3", 0)), "a job without dependencies is launched");
-        assertFalse(written.contains(StoreKeys.slice("wk-2", 0)), "a dependant of another job was launched");
+        assertFalse(written.contains(StoreKeys.slice("wk-2", 0)), "a dependent of another job was launched");
     }
 
     /** Guards against a write per outcome: after the first outcomes of a job, each one was written separately. */
--- a/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
+++ b/src/test/java/dewlane/core/controller/ControllerUserRepliesTest.java
@@ -16,7 +16,7 @@
     private static final String MALFORMED = "bottles must be an integer";
 
     @Test
-    void resubmissionIsRecognisedRegardlessOfItsBody() {
+    void resubmissionIsRecognizedRegardlessOfItsBody() {
         applyJob(job(1, 1));
         effects.clear();
 
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void malformedSubmissionIsRejectedDuringStoreOutageUnlessItsJobMayBeKnown() {
+    void malformedSubmissionIsRejectedDuringStoreOutageUnlessItsJobMayExist() {
         applyJob(job(1, 1));
         effects.clear();
 
@@ -98,7 +98,7 @@
 
     /** A dependency may have been cancelled earlier; until its result is read, the user is told to retry. */
     @Test
-    void dependantIsNotCalledPendingBeforeOutcomeOfItsDependencyIsKnown() {
+    void dependentIsNotReportedPendingBeforeResultOfItsDependencyIsRead() {
         applyJob(job("wk-2", 2, 1).withDependencies(List.of("wk-9")));
         effects.clear();
 
