--- a/src/main/java/dewlane/core/model/Job.java
+++ b/src/main/java/dewlane/core/model/Job.java
@@ -32,112 +32,112 @@
         return new Builder(id);
     }
 
-    /** The team whose guaranteed share and limit apply. */
+    /** Returns the team whose guaranteed share and limit apply. */
     public String team() {
         return ownership.team();
     }
 
-    /** The job's class; the settings define service-level objectives per class. */
+    /** Returns the job's class; the settings define service-level objectives per class. */
     public String jobClass() {
         return ownership.jobClass();
     }
 
-    /** The job's own priority, without the priority that it inherits from its dependents. */
+    /** Returns the job's own priority, without the priority that it inherits from its dependents. */
     public Priority priority() {
         return ownership.priority();
     }
 
-    /** Number of tasks. */
+    /** Returns the number of tasks. */
     public int tasks() {
         return taskArray.count();
     }
 
-    /** CPUs of one task. */
+    /** Returns the CPUs of one task. */
     public double cpus() {
         return taskArray.resources().cpus();
     }
 
-    /** GPUs of one task. */
+    /** Returns the GPUs of one task. */
     public double gpus() {
         return taskArray.resources().gpus();
     }
 
-    /** Memory of one task in GB. */
+    /** Returns the memory of one task in GB. */
     public double memoryGb() {
         return taskArray.resources().memoryGb();
     }
 
-    /** Name of the container image. */
+    /** Returns the name of the container image. */
     public String image() {
         return taskArray.image().name();
     }
 
-    /** Size of the container image in GB. */
+    /** Returns the size of the container image in GB. */
     public double imageGb() {
         return taskArray.image().sizeGb();
     }
 
-    /** Names of the allowed machine types, empty for any. */
+    /** Returns the names of the allowed machine types, empty for any. */
     public List<String> types() {
         return taskArray.placement().types();
     }
 
-    /** The only allowed zone, or null for any. */
+    /** Returns the only allowed zone, or null for any. */
     public String zone() {
         return taskArray.placement().zone();
     }
 
-    /** True if all tasks that are on machines at a time must be in the same zone. */
+    /** Returns true if all tasks that are on machines at the same time must be in one zone. */
     public boolean sameZone() {
         return taskArray.placement().sameZone();
     }
 
-    /** True if at most half of the tasks, rounded up, may be in one zone. */
+    /** Returns true if at most half of the tasks, rounded up, may be in one zone. */
     public boolean spreadZones() {
         return taskArray.placement().spreadZones();
     }
 
-    /** True if tasks may run on spot instances. */
+    /** Returns true if tasks may run on spot instances. */
     public boolean spotAllowed() {
         return taskArray.placement().spotAllowed();
     }
 
-    /** The owner's estimate of a task's run time in seconds, without the image fetch. */
+    /** Returns the owner's estimate of a task's run time in seconds, without the image fetch. */
     public double expectedRunS() {
         return timing.expectedRunS();
     }
 
-    /** Seconds of progress between checkpoints, 0 if tasks never save one. */
+    /** Returns the seconds of progress between checkpoints, 0 if tasks never save one. */
     public double checkpointIntervalS() {
         return timing.checkpointIntervalS();
     }
 
-    /** Seconds that a task needs to save a checkpoint when it is stopped. */
+    /** Returns the seconds that a task needs to save a checkpoint when it is stopped. */
     public double checkpointDurationS() {
         return timing.checkpointDurationS();
     }
 
-    /** Seconds from acceptance within which the job should be done, 0 for no deadline. */
+    /** Returns the seconds from acceptance within which the job should be done, 0 for no deadline. */
     public double deadlineS() {
         return timing.deadlineS();
     }
 
-    /** True if the allowed zones of a task depend on the other tasks; such a job is kept in one slice. */
+    /** Returns true if the allowed zones of a task depend on the other tasks; such a job is kept in one slice. */
     public boolean hasZoneConstraint() {
         return taskArray.placement().hasZoneConstraint();
     }
 
-    /** The requirements that the job has of a machine. */
+    /** Returns the requirements that a machine must meet to run tasks of the job. */
     public Requirements requirements() {
         return new Requirements(cpus(), gpus(), memoryGb(), types(), zone(), spotAllowed());
     }
 
-    /** True if the job may run on machines of the type. */
+    /** Returns true if the job may run on machines of the type. */
     public boolean allowsType(String type) {
         return taskArray.placement().allowsType(type);
     }
 
-    /** True if the job may run on a machine of this kind, without regard to the zones of its other tasks. */
+    /** Returns true if the job may run on a machine of this kind, without regard to the zones of its other tasks. */
     public boolean allows(String type, String inZone, boolean onSpot) {
         return taskArray.placement().allows(type, inZone, onSpot);
     }
@@ -165,7 +165,7 @@
      */
     public record Requirements(
             double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean spotAllowed) {
-        /** True if machines of the type are allowed. */
+        /** Returns true if machines of the type are allowed. */
         public boolean allowsType(String type) {
             return types.isEmpty() || types.contains(type);
         }
--- a/src/main/java/dewlane/core/model/PlacementConstraints.java
+++ b/src/main/java/dewlane/core/model/PlacementConstraints.java
@@ -7,7 +7,7 @@
  *
  * @param types names of the allowed machine types, empty for any
  * @param zone the only allowed zone, or null for any
- * @param sameZone true if all tasks that are on machines at a time must be in the same zone (co-location)
+ * @param sameZone true if all tasks that are on machines at the same time must be in one zone (co-location)
  * @param spreadZones true if at most half of the tasks, rounded up, may be in one zone (anti-affinity)
  * @param spotAllowed true if tasks may run on spot instances
  */
--- a/src/main/java/dewlane/core/model/ResourceUsage.java
+++ b/src/main/java/dewlane/core/model/ResourceUsage.java
@@ -77,7 +77,7 @@
         return (int) Math.min(byCpus, Math.min(byGpus, byMemory));
     }
 
-    /** Returns how many more tasks of the job a team with this usage may run within its limits; 0 means no limit. */
+    /** Returns how many more tasks of the job a team with this usage may run; a limit of 0 does not restrict it. */
     public int capacityFor(Settings.TeamQuota team, Job job) {
         long byCpus = team.maxCpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxCpus(), cpuUnits, job.cpus());
         long byGpus = team.maxGpus() <= 0 ? Integer.MAX_VALUE : countFitting(team.maxGpus(), gpuUnits, job.gpus());
--- a/src/test/java/dewlane/core/model/TestHeartbeats.java
+++ b/src/test/java/dewlane/core/model/TestHeartbeats.java
@@ -7,7 +7,7 @@
 public final class TestHeartbeats {
     private TestHeartbeats() {}
 
-    /** A heartbeat with the given tasks. */
+    /** Returns a heartbeat with the given tasks. */
     public static Heartbeat of(long incarnation, long sequence, long token, List<TaskStatus> tasks) {
         return new Heartbeat("m1", "h:1", "box", "east", true, incarnation, sequence, token, Double.NaN, tasks);
     }
