--- a/src/main/java/dewlane/wire/JobIdListCodec.java
+++ b/src/main/java/dewlane/wire/JobIdListCodec.java
@@ -10,8 +10,9 @@
 
 /**
  * Encodes and decodes lists of job ids in few bytes, since the ids of hundreds of dependencies have to fit into the
- * stored value of a job. An id is a prefix and digits. Ids with the same number of digits are sorted and written as
- * differences with five bits per character, least significant bits first: {@code 6:differences;7:differences}.
+ * stored value of a job. An id is a prefix and digits. Ids with the same number of digits form a group, which is sorted
+ * and written as the number of digits, a colon, and the differences between successive ids. A difference has five bits
+ * per character, least significant bits first. Groups are separated by semicolons: {@code 6:differences;7:differences}.
  */
 final class JobIdListCodec {
     private static final String PREFIX = "wk-";
--- a/src/main/java/dewlane/wire/StoreProtocol.java
+++ b/src/main/java/dewlane/wire/StoreProtocol.java
@@ -37,13 +37,13 @@
     /**
      * A page of a listing.
      *
-     * @param lastKey the last key of the page, even if this version does not know it; null if the page is empty
+     * @param lastKey the last key of the page, even if only a newer version uses it; null if the page is empty
      * @param more true if another page follows, with greater keys
      * @param revision the store's revision when the page was read
      */
     public record Page(List<StoreRow> rows, String lastKey, boolean more, long revision) {}
 
-    /** The changes that a watch returned, of known keys and up to the revision. */
+    /** The changes up to the revision that a watch returned, without those of keys that only a newer version uses. */
     public record Events(List<KeyChange> changes, long revision) {}
 
     /** Returns the path that reads one key. */
--- a/src/main/java/dewlane/wire/StoredValueCodec.java
+++ b/src/main/java/dewlane/wire/StoredValueCodec.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 
 /**
- * Encodes and decodes the values in the store. Version 0.1 reads and writes the same format. It ignores unknown fields
- * and drops them when it rewrites a value, so this version omits the fields it adds unless they hold something other
- * than their default; only the schema version of a presence is always written. This version preserves the fields that
- * it does not know.
+ * Encodes and decodes the values in the store. Version 0.1 reads and writes the same format, but it ignores unknown
+ * fields and drops them when it rewrites a value. This version therefore omits a field that it adds to the format if
+ * the field has its default value; only the schema version of a presence is always written. This version preserves
+ * unknown fields.
  */
 public final class StoredValueCodec {
     private static final String CANCELLED = "aborted";
--- a/src/main/java/dewlane/wire/UnknownFieldsCodec.java
+++ b/src/main/java/dewlane/wire/UnknownFieldsCodec.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads and writes the fields of stored values that this version does not know; a rewrite preserves them. */
+/** Reads and writes the fields of stored values that this version does not define; a rewrite preserves them. */
 final class UnknownFieldsCodec {
     private UnknownFieldsCodec() {}
 
@@ -18,11 +18,11 @@
         }
     }
 
-    /** Returns the fields of an object that are not among the known ones. */
-    static UnknownFields read(Map<String, Object> fields, Set<String> known) {
+    /** Returns the fields of an object whose names are not among the given ones. */
+    static UnknownFields read(Map<String, Object> fields, Set<String> defined) {
         Map<String, Object> unknown = null;
         for (Map.Entry<String, Object> field : fields.entrySet()) {
-            if (!known.contains(field.getKey())) {
+            if (!defined.contains(field.getKey())) {
                 unknown = unknown == null ? new HashMap<>() : unknown;
                 unknown.put(field.getKey(), field.getValue());
             }
--- a/src/test/java/dewlane/wire/WireCodecTest.java
+++ b/src/test/java/dewlane/wire/WireCodecTest.java
@@ -165,7 +165,7 @@
                         List.of(
                                 new StoredValue.QuotaTransfer("blue", "a", 1.5, 0),
                                 new StoredValue.QuotaTransfer("blue", "b", -1.5, 0)),
-                        Map.of("a", SchemaVersion.DEPENDENCIES, "gone", SchemaVersion.DEPENDENCIES),
+                        Map.of("a", SchemaVersion.DEPENDENCIES, "evicted", SchemaVersion.DEPENDENCIES),
                         UnknownFields.NONE),
                 StoreKeys.presence("a"),
                 (StoredValue) new StoredValue.Presence(4),
