--- a/src/main/java/dewlane/io/ControllerLoop.java
+++ b/src/main/java/dewlane/io/ControllerLoop.java
@@ -24,8 +24,8 @@
     /** Handles one input. An exception is logged; what the core changed before it is not undone. */
     void accept(Input input) {
         try {
-            long steadyMs = (System.nanoTime() - startedAtNanos) / NANOS_PER_MS;
-            effects.handleAll(controller.handle(steadyMs, System.currentTimeMillis(), input));
+            long monotonicMs = (System.nanoTime() - startedAtNanos) / NANOS_PER_MS;
+            effects.handleAll(controller.handle(monotonicMs, System.currentTimeMillis(), input));
         } catch (RuntimeException e) {
             LOG.error("exception while handling input {}", input.getClass().getSimpleName(), e);
         }
--- a/src/main/java/dewlane/io/HeartbeatEndpoint.java
+++ b/src/main/java/dewlane/io/HeartbeatEndpoint.java
@@ -10,7 +10,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Serves the heartbeats of workers over HTTP. Each is answered before {@link #receive} returns. */
+/** Serves the heartbeats of workers over HTTP. Each heartbeat is answered before {@link #receive} returns. */
 final class HeartbeatEndpoint {
     /** The error text of the answer that makes a worker try the next controller. */
     static final String NOT_ENTITLED = "not entitled now";
@@ -22,8 +22,8 @@
     /**
      * Creates an endpoint that passes heartbeats to the core.
      *
-     * @param mayKeepConnections false while there are more machines than connections that may stay open, so that each
-     *     is closed after its answer
+     * @param mayKeepConnections false while there are more machines than connections that may stay open; each
+     *     connection is then closed after its answer
      */
     HeartbeatEndpoint(PendingRequests requests, Consumer<Input> core, BooleanSupplier mayKeepConnections) {
         this.requests = requests;
--- a/src/main/java/dewlane/io/PeerClient.java
+++ b/src/main/java/dewlane/io/PeerClient.java
@@ -36,7 +36,7 @@
             return;
         }
         for (HttpConnectionPool pool : pools) {
-            // An unresponsive peer is skipped until its call has timed out; then it gets the status of that time.
+            // An unresponsive peer is skipped until its call has timed out; it receives the next broadcast after that.
             if (!pool.isBusy()) {
                 pages.forEach(page ->
                         pool.send(Methods.POST, PeerProtocol.STATUS_PATH, page, TIMEOUT_MS, (status, answer) -> {}));
