--- a/src/main/java/dewlane/core/message/Input.java
+++ b/src/main/java/dewlane/core/message/Input.java
@@ -70,7 +70,7 @@
     /** The store granted a lease. */
     record LeaseGranted(long lease) implements Input {}
 
-    /** The request for a lease failed; the store may have granted one all the same. */
+    /** The request for a lease failed; the store may have granted one nevertheless. */
     record LeaseGrantFailed() implements Input {}
 
     /** A lease renewal completed, or its request failed. */
--- a/src/main/java/dewlane/io/HttpConnectionPool.java
+++ b/src/main/java/dewlane/io/HttpConnectionPool.java
@@ -21,7 +21,8 @@
 
 /**
  * Persistent connections to one address, with one request at a time on each. Used on the I/O thread only. A call that
- * times out closes its connection and completes with {@link #NO_ANSWER}; the request may still be carried out.
+ * times out closes the connection on which it was sent, and completes with {@link #NO_ANSWER}; the request may still be
+ * carried out.
  */
 final class HttpConnectionPool {
     /** The status of a call that received no answer. */
--- a/src/main/java/dewlane/io/StoreClient.java
+++ b/src/main/java/dewlane/io/StoreClient.java
@@ -28,7 +28,7 @@
     private static final long RENEWAL_TIMEOUT_MS = 1000;
     /** How long the store may hold a watch open if there are no changes. */
     private static final long WATCH_MS = 800;
-    /** How long after that time a watch without an answer times out. */
+    /** The time after {@link #WATCH_MS} at which a watch without an answer times out. */
     private static final long WATCH_GRACE_MS = 1500;
     /** The minimum pause before a watch is opened, so that changes in quick succession arrive in one answer. */
     private static final long MIN_WATCH_PAUSE_MS = 60;
--- a/src/test/java/dewlane/io/WorkerConnectionPoolsTest.java
+++ b/src/test/java/dewlane/io/WorkerConnectionPoolsTest.java
@@ -22,7 +22,7 @@
 
 /**
  * Guards against exceeding the socket limit: a controller that had sent commands to all machines kept two connections
- * to each, and these and the heartbeat connections together were more than its sockets.
+ * to each, which together with the heartbeat connections exceeded the limit.
  */
 class WorkerConnectionPoolsTest {
     private static final int MAX_POOLS = 10;
