--- a/src/main/java/dewlane/wire/SliceCodec.java
+++ b/src/main/java/dewlane/wire/SliceCodec.java
@@ -28,7 +28,7 @@
     private static final String ATTEMPTS = "live";
     private static final Set<String> FIELDS = Set.of(OWNER, FIRST, COUNT, LAUNCH_COUNT, DONE, ATTEMPTS);
 
-    private static final int LAUNCH_HEADER = 3;
+    private static final int LAUNCH_HEADER_ELEMENTS = 3;
     private static final int PLACEMENT_ELEMENTS = 4;
 
     private SliceCodec() {}
@@ -106,7 +106,7 @@
         int number = ((Number) launch.get(0)).intValue();
         long atMs = ((Number) launch.get(1)).longValue();
         long firstToken = ((Number) launch.get(2)).longValue();
-        for (int i = LAUNCH_HEADER; i < launch.size(); i += PLACEMENT_ELEMENTS) {
+        for (int i = LAUNCH_HEADER_ELEMENTS; i < launch.size(); i += PLACEMENT_ELEMENTS) {
             String machine = (String) launch.get(i);
             long incarnation = ((Number) launch.get(i + 1)).longValue();
             long token = firstToken + ((Number) launch.get(i + 2)).longValue();
