--- a/src/test/java/dewlane/LayeringTest.java
+++ b/src/test/java/dewlane/LayeringTest.java
@@ -16,11 +16,11 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 
-/** Who may use whom. */
+/** Checks the allowed dependencies between layers, packages and libraries. */
 @AnalyzeClasses(packages = "dewlane", importOptions = ImportOption.DoNotIncludeTests.class)
 class LayeringTest {
     @ArchTest
-    static final ArchRule ARROWS_RUN_DOWN = layeredArchitecture()
+    static final ArchRule LAYERS_USE_ONLY_LOWER_LAYERS = layeredArchitecture()
             .consideringOnlyDependenciesInLayers()
             .layer("cli")
             .definedBy("dewlane.cli..")
@@ -40,14 +40,14 @@
             .mayOnlyBeAccessedByLayers("cli", "io", "wire");
 
     @ArchTest
-    static final ArchRule NO_CYCLE_OF_PACKAGES =
+    static final ArchRule NO_CYCLES_BETWEEN_PACKAGES =
             slices().matching("dewlane.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule NO_CYCLE_OF_SUBSYSTEMS =
+    static final ArchRule NO_CYCLES_BETWEEN_SUBSYSTEMS =
             slices().matching("dewlane.core.(*)..").should().beFreeOfCycles();
 
-    /** The subsystems of the core, lowest first: each may use those below it. */
+    /** The subsystems of the core, lowest first. Each may use only those listed before it. */
     private static final List<String> SUBSYSTEMS = List.of(
             "config",
             "model",
@@ -65,9 +65,9 @@
             "controller");
 
     @ArchTest
-    static final ArchRule SUBSYSTEMS_USE_LOWER_ONES = subsystemsUseLowerOnes();
+    static final ArchRule SUBSYSTEMS_USE_ONLY_LOWER_ONES = subsystemsUseOnlyLowerOnes();
 
-    private static ArchRule subsystemsUseLowerOnes() {
+    private static ArchRule subsystemsUseOnlyLowerOnes() {
         LayeredArchitecture layers = layeredArchitecture().consideringOnlyDependenciesInLayers();
         for (String subsystem : SUBSYSTEMS) {
             layers = layers.layer(subsystem).definedBy("dewlane.core." + subsystem + "..");
@@ -79,9 +79,12 @@
         return layers.whereLayer("controller").mayNotBeAccessedByAnyLayer();
     }
 
-    /** Heartbeats are handled without a word of scheduling: what they prove is left for the next cycle. */
+    /**
+     * Scheduling must not use the worker package: handling a heartbeat only records state, which the next scheduling
+     * cycle reads.
+     */
     @ArchTest
-    static final ArchRule SCHEDULING_DOES_NOT_SPEAK_TO_WORKERS = noClasses()
+    static final ArchRule SCHEDULING_DOES_NOT_USE_WORKER_COMMUNICATION = noClasses()
             .that()
             .resideInAPackage("dewlane.core.scheduling..")
             .should()
@@ -89,14 +92,14 @@
             .resideInAPackage("dewlane.core.worker..");
 
     @ArchTest
-    static final ArchRule EVERY_CLASS_OF_THE_CORE_IS_IN_A_SUBSYSTEM = classes()
+    static final ArchRule EVERY_CORE_CLASS_IS_IN_A_SUBSYSTEM = classes()
             .that()
             .resideInAPackage("dewlane.core..")
             .should()
             .resideInAnyPackage(
                     SUBSYSTEMS.stream().map(name -> "dewlane.core." + name).toArray(String[]::new));
 
-    /** Collections, and nothing that reads a clock, a file or a socket, starts a thread or waits. */
+    /** The core uses collections, but nothing that reads a clock, a file or a socket, starts a thread or blocks. */
     @ArchTest
     static final ArchRule CORE_IS_PURE = classes()
             .that()
@@ -127,7 +130,7 @@
             .areAssignableTo(Thread.class);
 
     @ArchTest
-    static final ArchRule LIBRARIES_OF_THE_PROTOCOLS_ARE_FOR_WIRE = noClasses()
+    static final ArchRule ONLY_WIRE_USES_SERIALIZATION_LIBRARIES = noClasses()
             .that()
             .resideInAnyPackage("dewlane.core..", "dewlane.io..")
             .should()
@@ -135,6 +138,6 @@
             .resideInAnyPackage("com.fasterxml.jackson..", "org.msgpack..");
 
     @ArchTest
-    static final ArchRule ONLY_THE_COMMAND_LINE_PRINTS =
+    static final ArchRule ONLY_CLI_USES_STANDARD_STREAMS =
             noClasses().that().resideOutsideOfPackage("dewlane.cli..").should(ACCESS_STANDARD_STREAMS);
 }
--- a/src/test/java/dewlane/sim/DelayedCommandsTest.java
+++ b/src/test/java/dewlane/sim/DelayedCommandsTest.java
@@ -18,18 +18,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Direct commands from controllers to workers are delayed for seconds, while what they are about goes on. */
+/** Direct commands arrive at workers seconds late, after their attempts, jobs or senders have changed state. */
 class DelayedCommandsTest {
     private static final int SEEDS = 20;
     private static final String JOB = jobId(1);
 
     /**
-     * As in the incident: a machine's tasks fail within half a second of a launch that came with the reply to a
-     * heartbeat, so that attempts end before the command that launches them as well arrives.
+     * An attempt is launched both by a direct command and by the reply to a heartbeat. The reply arrives first, the
+     * task fails within half a second, and the worker forgets the attempt. The delayed command must not launch the
+     * attempt again.
      */
     @Test
     void attemptsForgottenBeforeTheirDelayedLaunchArrivesAreNotLaunchedAgain() {
-        int met = 0;
+        int forgottenBeforeLaunch = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             SimCluster cluster = cluster(seed, 9);
             cluster.commands.delayRate = 0.9;
@@ -38,12 +39,14 @@
             cluster.runUntil(50_000);
             cluster.commands.delayRate = 0;
             cluster.workers().forEach(worker -> worker.failsTasks = false);
-            met += cluster.workers().stream()
+            forgottenBeforeLaunch += cluster.workers().stream()
                     .mapToInt(worker -> worker.executor.forgottenBeforeDelayedLaunch)
                     .sum();
             assertRecovers(cluster, 200_000);
         }
-        assertTrue(met >= SEEDS, met + " attempts were forgotten while a command that launches them was delayed");
+        assertTrue(
+                forgottenBeforeLaunch >= SEEDS,
+                forgottenBeforeLaunch + " attempts were forgotten while a command that launches them was delayed");
     }
 
     private static void failTasksOnChangingWorkers(SimCluster cluster) {
@@ -54,7 +57,9 @@
         });
     }
 
-    /** Launches that reach frozen workers are carried out when those go on, unless their job is cancelled meanwhile. */
+    /**
+     * Launches that arrive at frozen workers are executed when these resume, unless the job was cancelled meanwhile.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void launchesDelayedByFrozenWorkersStartOnceUnlessCancelledMeanwhile(long seed) {
@@ -66,8 +71,8 @@
 
         cluster.workers().forEach(worker -> worker.frozenUntil = cluster.now() + 6000);
         cluster.runUntil(13_000);
-        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were written");
-        assertEquals(0, cluster.checker.taskStarts, "and none arrived");
+        assertFalse(cluster.store.scan(StoreKeys.SLICES).isEmpty(), "launches were recorded");
+        assertEquals(0, cluster.checker.taskStarts, "no launch was executed yet");
         if (cancelled) {
             cluster.users.cancel(JOB);
         }
@@ -77,13 +82,13 @@
         }
         assertRecovers(cluster, 200_000);
         if (!cancelled) {
-            assertEquals(6, cluster.checker.taskStarts, "each delayed launch began once");
+            assertEquals(6, cluster.checker.taskStarts, "each delayed launch started its task once");
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void commandsOfDeposedLeaderArrivingAfterItsSuccessorsHarmNothing(long seed) {
+    void commandsOfFormerLeaderArrivingAfterThoseOfItsSuccessorHarmNothing(long seed) {
         SimCluster cluster = cluster(seed, 6);
         cluster.commands.delayRate = 0.5;
         submitInTurnAndCancelEachThird(cluster, 700, jobs(1, 12, i -> job(i, 4, 1, 8)), 2500);
@@ -91,7 +96,9 @@
             cluster.after(at, () -> leader(cluster).crash(2500));
         }
         cluster.runUntil(45_000);
-        assertTrue(cluster.commands.delayedPastSender > 0, cluster.commands.delayed + " delayed, none past its sender");
+        assertTrue(
+                cluster.commands.deliveredAfterSenderEnded > 0,
+                cluster.commands.delayed + " commands delayed, none of them arrived after its sender had ended");
 
         cluster.commands.delayRate = 0;
 
--- a/src/test/java/dewlane/sim/DependencyCancellationTest.java
+++ b/src/test/java/dewlane/sim/DependencyCancellationTest.java
@@ -1,6 +1,6 @@
 package dewlane.sim;
 
-import static dewlane.sim.DependencyFixtures.abortedInStore;
+import static dewlane.sim.DependencyFixtures.cancelledInStore;
 import static dewlane.sim.DependencyFixtures.controller;
 import static dewlane.sim.DependencyFixtures.doneInStore;
 import static dewlane.sim.DependencyFixtures.pollCondition;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The cancellation of a job cancels all that depends on it, whatever fails or races with it. */
+/** The cancellation of a job cancels all its dependants, also during faults and concurrent submissions. */
 class DependencyCancellationTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
@@ -45,13 +45,13 @@
 
         assertRecovers(cluster, 90_000);
         assertTrue(doneInStore(cluster, 4) && doneInStore(cluster, 6));
-        assertTrue(abortedInStore(cluster, 2) && abortedInStore(cluster, 3) && abortedInStore(cluster, 5));
+        assertTrue(cancelledInStore(cluster, 2) && cancelledInStore(cluster, 3) && cancelledInStore(cluster, 5));
     }
 
-    /** The store is out from just after the confirmation to beyond the time that a cancellation may take. */
+    /** The store is unavailable from just after the confirmation until after the cancellation deadline. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void outageAfterConfirmationDoesNotKeepDependantsAlive(long seed) {
+    void outageAfterConfirmationDoesNotKeepDependantsFromBeingCancelled(long seed) {
         SimCluster cluster = cluster(seed, 9);
         submitThrough(controller(cluster, 0), job(1, 3, 1, 300));
         for (int i = 2; i < 8; i++) {
@@ -68,7 +68,7 @@
         cluster.every(200, () -> pollDependantInTurn(cluster));
         assertRecovers(cluster, 60_000);
         for (int i = 2; i < 8; i++) {
-            assertTrue(abortedInStore(cluster, i), jobId(i));
+            assertTrue(cancelledInStore(cluster, i), jobId(i));
         }
     }
 
@@ -79,7 +79,10 @@
                 .forEach(controller -> cluster.users.pollThrough(controller, job));
     }
 
-    /** A submission races the cancellation of its dependency; whichever is first, both are told the same in the end. */
+    /**
+     * Jobs are submitted while their dependency is being cancelled. Whichever is committed first, these jobs end as
+     * cancelled.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void submissionThatRacesCancellationOfItsDependencyIsCancelledToo(long seed) {
@@ -90,14 +93,14 @@
         cluster.store.watchLagMs = 700;
         cluster.users.cancelThrough(controller(cluster, 1), jobId(1));
         for (int i = 0; i < 6; i++) {
-            Job late = smallJob(10 + i, 1);
-            cluster.after(4L * i, () -> cluster.users.submit(late));
+            Job dependant = smallJob(10 + i, 1);
+            cluster.after(4L * i, () -> cluster.users.submit(dependant));
         }
         cluster.runFor(3000);
         cluster.store.watchLagMs = 0;
         assertRecovers(cluster, 90_000);
         for (int i = 0; i < 6; i++) {
-            assertTrue(abortedInStore(cluster, 10 + i), jobId(10 + i));
+            assertTrue(cancelledInStore(cluster, 10 + i), jobId(10 + i));
         }
     }
 
@@ -114,6 +117,6 @@
         cluster.users.cancel(jobId(1));
 
         assertRecovers(cluster, 90_000);
-        assertTrue(abortedInStore(cluster, 1) && abortedInStore(cluster, 2));
+        assertTrue(cancelledInStore(cluster, 1) && cancelledInStore(cluster, 2));
     }
 }
--- a/src/test/java/dewlane/sim/EffectPerformer.java
+++ b/src/test/java/dewlane/sim/EffectExecutor.java
@@ -5,41 +5,44 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Performs the effects of a controller's core on the simulated cluster, and passes replies on to those who wait. */
-final class EffectPerformer {
+/**
+ * Executes the effects of a controller on the simulated cluster, and passes replies to the callbacks of users and
+ * workers.
+ */
+final class EffectExecutor {
     private final SimController controller;
     private final SimCluster cluster;
     private final Map<Long, Consumer<Effect.AnswerUser>> userReplies = new HashMap<>();
     private final Map<Long, Consumer<HeartbeatReply>> heartbeatReplies = new HashMap<>();
 
-    EffectPerformer(SimController controller) {
+    EffectExecutor(SimController controller) {
         this.controller = controller;
         this.cluster = controller.cluster;
     }
 
-    /** Drops all who wait for a reply, as the end of the process does. */
+    /** Drops all callbacks that wait for a reply, as when the process ends. */
     void reset() {
         userReplies.clear();
         heartbeatReplies.clear();
     }
 
-    void onUserReply(long id, Consumer<Effect.AnswerUser> onReply) {
+    void expectUserReply(long id, Consumer<Effect.AnswerUser> onReply) {
         userReplies.put(id, onReply);
     }
 
-    void onHeartbeatReply(long id, Consumer<HeartbeatReply> onReply) {
+    void expectHeartbeatReply(long id, Consumer<HeartbeatReply> onReply) {
         heartbeatReplies.put(id, onReply);
     }
 
-    void perform(Effect effect) {
-        boolean performed =
-                performReply(effect) || performOnStore(effect) || performOnCloud(effect) || performOnOthers(effect);
-        if (!performed) {
-            throw new AssertionError("no such effect in the simulation: " + effect);
+    void execute(Effect effect) {
+        boolean executed =
+                executeReply(effect) || executeOnStore(effect) || executeOnCloud(effect) || executeOnOthers(effect);
+        if (!executed) {
+            throw new AssertionError("effect not supported by the simulation: " + effect);
         }
     }
 
-    private boolean performReply(Effect effect) {
+    private boolean executeReply(Effect effect) {
         if (effect instanceof Effect.AnswerUser answer) {
             reply(userReplies.remove(answer.id()), answer);
         } else if (effect instanceof Effect.AnswerHeartbeat answer) {
@@ -64,13 +67,13 @@
         }
     }
 
-    private boolean performOnStore(Effect effect) {
+    private boolean executeOnStore(Effect effect) {
         SimStore store = cluster.store;
-        if (effect instanceof Effect.CommitTransaction send) {
+        if (effect instanceof Effect.CommitTransaction commit) {
             store.commit(
                     controller,
-                    send.id(),
-                    controller.runsVersion01 ? Version01View.written(send.transaction()) : send.transaction());
+                    commit.id(),
+                    controller.runsVersion01 ? Version01Schema.write(commit.transaction()) : commit.transaction());
         } else if (effect instanceof Effect.Watch watch) {
             store.watch(controller, watch.afterRevision());
         } else if (effect instanceof Effect.ReadValue read) {
@@ -81,36 +84,36 @@
             store.list(controller);
         } else if (effect instanceof Effect.GrantLease grant) {
             store.grantLease(controller, grant.ttlMs());
-        } else if (effect instanceof Effect.RenewLease touch) {
+        } else if (effect instanceof Effect.RenewLease renewal) {
             store.renewLease(
-                    controller, touch.lease(), cluster.settings.tuning().memberLeaseTtlMs());
+                    controller, renewal.lease(), cluster.settings.tuning().memberLeaseTtlMs());
         } else {
             return false;
         }
         return true;
     }
 
-    private boolean performOnCloud(Effect effect) {
+    private boolean executeOnCloud(Effect effect) {
         SimCloud cloud = cluster.cloud;
         if (effect instanceof Effect.ListMachineTypes) {
-            cloud.catalog(controller);
+            cloud.listMachineTypes(controller);
         } else if (effect instanceof Effect.ListInstances) {
-            cloud.list(controller);
-        } else if (effect instanceof Effect.CreateInstances rent) {
-            cloud.rent(controller, rent);
+            cloud.listInstances(controller);
+        } else if (effect instanceof Effect.CreateInstances create) {
+            cloud.createInstances(controller, create);
         } else if (effect instanceof Effect.DeleteInstances delete) {
-            cloud.delete(controller, delete.machines());
+            cloud.deleteInstances(controller, delete.machines());
         } else {
             return false;
         }
         return true;
     }
 
-    private boolean performOnOthers(Effect effect) {
+    private boolean executeOnOthers(Effect effect) {
         if (effect instanceof Effect.SendCommands command) {
             cluster.commands.send(controller, command);
-        } else if (effect instanceof Effect.BroadcastStatus tell) {
-            controller.broadcast(tell.pages());
+        } else if (effect instanceof Effect.BroadcastStatus broadcast) {
+            controller.broadcast(broadcast.pages());
         } else if (effect instanceof Effect.Log log) {
             cluster.trace(controller.name + " " + log.text());
         } else {
--- a/src/test/java/dewlane/sim/EnvironmentFaults.java
+++ b/src/test/java/dewlane/sim/EnvironmentFaults.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Faults of what surrounds controllers and workers: links that fail, a cloud that is out, users who cancel late. */
+/**
+ * Faults outside controllers and workers: lost messages, delayed commands, cloud outages, and users who cancel as their
+ * job completes.
+ */
 final class EnvironmentFaults {
     private EnvironmentFaults() {}
 
@@ -10,12 +13,15 @@
         SimCluster cluster = target.cluster();
         cluster.messageFaultRate = 0.2;
         cluster.after(5000, () -> {
-            boolean storm = cluster.now() < RandomFaultsTest.STORM_MS;
-            cluster.messageFaultRate = storm ? SimCluster.USUAL_MESSAGE_FAULT_RATE : 0;
+            boolean inFaultPhase = cluster.now() < RandomFaultsTest.FAULT_PHASE_END_MS;
+            cluster.messageFaultRate = inFaultPhase ? SimCluster.DEFAULT_MESSAGE_FAULT_RATE : 0;
         });
     }
 
-    /** Commands are delayed on their way, and half of the workers fail what they were told to run by other ways. */
+    /**
+     * Delays direct commands while about half of the workers fail their tasks, so that attempts launched by replies to
+     * heartbeats end before the delayed commands for them arrive.
+     */
     static void delayCommandsWhileTasksFail(FaultTarget target) {
         SimCluster cluster = target.cluster();
         cluster.commands.delayRate = 0.8;
@@ -23,7 +29,7 @@
                 .filter(worker -> cluster.chance(0.5))
                 .toList();
         failing.forEach(worker -> worker.failsTasks = true);
-        int ms = cluster.between(5000, 20_000);
+        int ms = cluster.randomBetween(5000, 20_000);
         cluster.after(ms, () -> cluster.commands.delayRate = 0);
         cluster.after(ms, () -> failing.forEach(worker -> worker.failsTasks = false));
     }
@@ -31,10 +37,10 @@
     static void cloudOutage(FaultTarget target) {
         SimCloud cloud = target.cluster().cloud;
         cloud.unavailable = true;
-        target.afterBetween(2000, 15_000, () -> cloud.unavailable = false);
+        target.afterRandomDelay(2000, 15_000, () -> cloud.unavailable = false);
     }
 
-    /** For a while, users often cancel a job at the moment at which its last task ends. */
+    /** Lets users often cancel a job at the moment its last task ends, for 20 s. */
     static void cancelOnCompletion(FaultTarget target) {
         SimUsers users = target.cluster().users;
         users.cancelOnCompletionRate = 0.5;
--- a/src/test/java/dewlane/sim/MessageDelayTest.java
+++ b/src/test/java/dewlane/sim/MessageDelayTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Heartbeats and transactions arrive late, after newer ones or at a controller that has changed since. */
+/**
+ * Heartbeats and transactions arrive late: after newer ones, or at a controller that became leader or restarted in
+ * between.
+ */
 class MessageDelayTest {
     private static final String JOB = jobId(1);
 
@@ -45,12 +48,12 @@
             assertNotEquals(incarnation, worker.incarnation());
         }
         old.add(workersRunning(cluster, JOB).get(0).nextHeartbeat());
-        assertTrue(cluster.checker.taskStarts > 8, "tasks of the earlier incarnation were begun again");
+        assertTrue(cluster.checker.taskStarts > 8, "tasks of the earlier incarnation were restarted");
         cluster.users.submit(job(2, 6, 1, 4));
         for (int i = 0; i < old.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
-                worker.heartbeats.deliverCopy(old.get(i), controller, 500 + 1500L * i);
-                worker.heartbeats.deliverCopy(old.get(i), controller, 40_000 + 1500L * i);
+                worker.heartbeats.deliverDuplicate(old.get(i), controller, 500 + 1500L * i);
+                worker.heartbeats.deliverDuplicate(old.get(i), controller, 40_000 + 1500L * i);
             }
         }
 
@@ -59,7 +62,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void oldHeartbeatsAtEveryControllerAsLeaderBeginsRestartNoTask(long seed) {
+    void oldHeartbeatsAtEveryControllerDuringLeaderChangeRestartNoTask(long seed) {
         SimCluster cluster = clusterRunning(seed, 6, 16_000, job(1, 10, 1, 60));
 
         List<SimWorker> workers = workersRunning(cluster, JOB);
@@ -72,17 +75,17 @@
         for (long waited = 0; partitionMap(cluster).epoch() == epochBefore && waited < 20_000; waited += 10) {
             cluster.runFor(10);
         }
-        assertNotEquals(epochBefore, partitionMap(cluster).epoch(), "another begins");
+        assertNotEquals(epochBefore, partitionMap(cluster).epoch(), "another controller becomes leader");
         for (int i = 0; i < workers.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
                 for (long afterMs : new long[] {1, 300, 1500}) {
-                    workers.get(i).heartbeats.deliverCopy(old.get(i), controller, afterMs);
+                    workers.get(i).heartbeats.deliverDuplicate(old.get(i), controller, afterMs);
                 }
             }
         }
         cluster.runFor(15_000);
 
-        assertEquals(startsBefore, cluster.checker.taskStarts, "no task was begun again");
+        assertEquals(startsBefore, cluster.checker.taskStarts, "no task was restarted");
         assertRecovers(cluster, 200_000);
         assertFinished(cluster, JOB);
     }
@@ -96,7 +99,7 @@
         cluster.runUntil(18_000);
 
         SimWorker worker = workersRunning(cluster, JOB).get(0);
-        worker.heartbeats.withhold();
+        worker.heartbeats.holdBack();
         cluster.runUntil(24_000);
         SimController oldLeader = leader(cluster);
         oldLeader.crash(20_000);
@@ -107,13 +110,13 @@
         cluster.runUntil(50_000);
         int released = worker.heartbeats.release(newLeader);
 
-        assertTrue(released >= 2, "heartbeats of the old leader's time arrive at the new one");
+        assertTrue(released >= 2, "heartbeats sent under the old leader arrive at the new one");
         assertRecovers(cluster, 300_000);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void unansweredTransactionsCarriedOutAfterNewerOnesHarmNothing(long seed) {
+    void unansweredTransactionsExecutedAfterNewerOnesHarmNothing(long seed) {
         SimCluster cluster = cluster(seed, 8);
         cluster.store.delayedWriteRate = 0.4;
         submitInTurnAndCancelEachThird(
@@ -123,8 +126,10 @@
 
         int delayed = cluster.store.delayedWrites;
         int committed = cluster.store.delayedWritesCommitted;
-        assertTrue(delayed > 20, delayed + " late");
-        assertTrue(committed > 0 && committed < delayed, committed + " of " + delayed + " changed something");
+        assertTrue(delayed > 20, delayed + " transactions were delayed");
+        assertTrue(
+                committed > 0 && committed < delayed,
+                committed + " of " + delayed + " delayed transactions were committed");
         cluster.store.delayedWriteRate = 0;
 
         assertRecovers(cluster, 300_000);
--- a/src/test/java/dewlane/sim/RandomWorkload.java
+++ b/src/test/java/dewlane/sim/RandomWorkload.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Random jobs of three teams, and requests that users should not send. */
+/** Generates random jobs of three teams, and invalid or unusual requests. */
 final class RandomWorkload {
     private static final int FIRST_UNUSUAL_JOB = 900_000;
-    private static final int LATEST_JOBS = 6;
+    private static final int RECENT_JOBS = 6;
 
     private final SimCluster cluster;
     private int nextJob = 1;
-    /** The share of jobs that depend on others. */
+    /** The share of jobs with dependencies. */
     double dependencyRate;
 
     RandomWorkload(SimCluster cluster) {
@@ -26,9 +26,9 @@
     void submitRandomJob() {
         String id = SimFixtures.jobId(nextJob++);
         Job job = randomJob(id);
-        cluster.users.submit(cluster.chance(dependencyRate) ? job.withDependencies(someAccepted()) : job);
+        cluster.users.submit(cluster.chance(dependencyRate) ? job.withDependencies(randomDependencies()) : job);
         if (cluster.chance(0.25)) {
-            cluster.after(cluster.between(50, 25_000), () -> cluster.users.cancel(id));
+            cluster.after(cluster.randomBetween(50, 25_000), () -> cluster.users.cancel(id));
         }
     }
 
@@ -38,36 +38,36 @@
         return JobBuilder.job(id)
                 .team(team)
                 .priority(Priority.values()[cluster.random.nextInt(4)])
-                .tasks(cluster.between(1, 14))
-                .cpus(cluster.between(1, 2))
-                .memoryGb(cluster.between(1, 5))
+                .tasks(cluster.randomBetween(1, 14))
+                .cpus(cluster.randomBetween(1, 2))
+                .memoryGb(cluster.randomBetween(1, 5))
                 .image("image-" + cluster.random.nextInt(3))
                 .types(cluster.chance(0.2) ? List.of("large") : List.of())
                 .zone(cluster.chance(0.2) ? "east" : null)
                 .sameZone(oneZone)
                 .spreadZones(!oneZone && cluster.chance(0.15))
                 .spotAllowed(cluster.chance(0.7))
-                .expectedRunS(cluster.between(1, 12))
+                .expectedRunS(cluster.randomBetween(1, 12))
                 .checkpointIntervalS(cluster.chance(0.5) ? 5 : 0)
                 .checkpointDurationS(cluster.chance(0.5) ? 2 : 0)
                 .deadlineS(cluster.chance(dependencyRate) ? 60 : 0)
                 .build();
     }
 
-    /** A few accepted jobs, mostly late ones, in whatever state they are. */
-    private List<String> someAccepted() {
+    /** Returns up to four accepted jobs in any state, mostly recent ones. */
+    private List<String> randomDependencies() {
         List<String> accepted = cluster.users.accepted();
         Set<String> chosen = new LinkedHashSet<>();
-        for (int n = cluster.between(1, 4); n > 0 && !accepted.isEmpty(); n--) {
-            int from = cluster.chance(0.7) ? Math.max(0, accepted.size() - LATEST_JOBS) : 0;
-            chosen.add(accepted.get(cluster.between(from, accepted.size() - 1)));
+        for (int n = cluster.randomBetween(1, 4); n > 0 && !accepted.isEmpty(); n--) {
+            int from = cluster.chance(0.7) ? Math.max(0, accepted.size() - RECENT_JOBS) : 0;
+            chosen.add(accepted.get(cluster.randomBetween(from, accepted.size() - 1)));
         }
         return List.copyOf(chosen);
     }
 
     /**
-     * What users should not send: a job that fits no machine, one that lacks a field, a submission once more, the
-     * cancellation of a job that is done, a dependency on an unknown job.
+     * Sends a random request of these: a job that fits no machine, a job that lacks a field, a repeated submission, the
+     * cancellation of a job that is done, or a job with an unknown dependency.
      */
     void sendUnusualRequest() {
         SimController controller = cluster.users.randomLiveController();
@@ -98,7 +98,7 @@
         Job dependant = SimFixtures.job(FIRST_UNUSUAL_JOB + nextJob, Priority.HIGH, 1, 1, 1)
                 .withDependencies(List.of(SimUsers.UNKNOWN_JOB));
         controller.submit(
-                dependant, answer -> expectStatus(answer, 422, "a job that awaits one that was never accepted"));
+                dependant, answer -> expectStatus(answer, 422, "a job with a dependency that was never accepted"));
     }
 
     private void resubmitUnfinished(SimController controller) {
@@ -112,7 +112,7 @@
         cluster.users.accepted().stream()
                 .filter(id -> cluster.checker.lastReportedCondition(id) == JobCondition.DONE)
                 .findAny()
-                .ifPresent(id -> controller.abort(id, answer -> {
+                .ifPresent(id -> controller.cancel(id, answer -> {
                     expectStatus(answer, 200, "cancelling what is done");
                     cluster.users.onAnswer(id, answer);
                 }));
@@ -120,7 +120,7 @@
 
     private void expectStatus(Effect.AnswerUser answer, int status, String request) {
         if (answer.status() != status && answer.status() != 503) {
-            cluster.checker.violated("accepted_odd", request + " was answered " + answer);
+            cluster.checker.fail("unexpected_status", request + " was answered " + answer);
         }
     }
 }
--- a/src/test/java/dewlane/sim/SimTaskExecutor.java
+++ b/src/test/java/dewlane/sim/SimTaskExecutor.java
@@ -11,21 +11,19 @@
 import java.util.Map;
 import java.util.Set;
 
-/**
- * The part of a worker that carries out orders: it launches, stops and forgets attempts, and runs them to their end.
- */
+/** The part of a worker that executes commands: it launches, stops and forgets attempts, and runs them to their end. */
 final class SimTaskExecutor {
     private static final double CPU_TOLERANCE = 1e-9;
-    private static final int LONGEST_FETCH_MS = 1500;
+    private static final int MAX_FETCH_MS = 1500;
     private static final long FAILING_TASK_MS = 200;
 
     private final SimWorker worker;
     private final SimCluster cluster;
     private final Map<String, SimAttempt> attempts = new LinkedHashMap<>();
-    /** Attempts that it was told to forget in this incarnation; a late copy of such a launch would start them anew. */
+    /** Attempts forgotten by command in this incarnation. A delayed launch command must not start them again. */
     private final Set<String> forgotten = new HashSet<>();
 
-    /** Attempts that it forgot while a command that launches them was still on its way. */
+    /** Attempts forgotten while a command that launches them was still in flight. */
     int forgottenBeforeDelayedLaunch;
 
     SimTaskExecutor(SimWorker worker) {
@@ -46,7 +44,7 @@
         forgotten.clear();
     }
 
-    /** True if the CPUs that are free suffice for a task of the job. */
+    /** True if there are enough free CPUs for a task of the job. */
     boolean fits(Job job) {
         return reservedCpus() + job.cpus() <= worker.type.cpus() + CPU_TOLERANCE;
     }
@@ -59,14 +57,14 @@
         return cpus;
     }
 
-    /** Moves attempts on whose phase is over by now. */
+    /** Advances attempts whose phase has ended. */
     void advance() {
         for (SimAttempt attempt : List.copyOf(attempts.values())) {
             if (cluster.now() < attempt.phaseEndsAt) {
                 continue;
             }
             switch (attempt.phase) {
-                case FETCHING -> begin(attempt);
+                case FETCHING -> start(attempt);
                 case RUNNING -> exit(attempt, worker.failsTasks ? ExitReason.ERROR : ExitReason.DONE);
                 case SAVING -> exit(attempt, ExitReason.STOPPED);
                 default -> {}
@@ -74,7 +72,7 @@
         }
     }
 
-    private void begin(SimAttempt attempt) {
+    private void start(SimAttempt attempt) {
         if (cluster.checker.isTaskDone(attempt.job, attempt.task)) {
             exit(attempt, ExitReason.DONE);
             return;
@@ -82,66 +80,68 @@
         attempt.phase = Phase.RUNNING;
         attempt.phaseEndsAt = cluster.now() + (worker.failsTasks ? FAILING_TASK_MS : randomRunMs(attempt));
         cluster.trace("start " + attempt + " on " + worker.name);
-        cluster.checker.taskStarted(worker, attempt);
-        worker.heartbeats.hasten();
+        cluster.checker.onTaskStarted(worker, attempt);
+        worker.heartbeats.sendSoon();
     }
 
     private long randomRunMs(SimAttempt attempt) {
-        return (long) (cluster.users.job(attempt.job).expectedRunS() * cluster.between(500, 1500));
+        return (long) (cluster.users.job(attempt.job).expectedRunS() * cluster.randomBetween(500, 1500));
     }
 
     private void exit(SimAttempt attempt, ExitReason end) {
         attempt.exit(end);
         cluster.trace("exit " + attempt + " on " + worker.name + " " + end);
         if (end == ExitReason.DONE) {
-            cluster.checker.taskDone(attempt.job, attempt.task);
+            cluster.checker.onTaskDone(attempt.job, attempt.task);
             cluster.users.onTaskDone(attempt.job);
         }
-        worker.heartbeats.hasten();
+        worker.heartbeats.sendSoon();
     }
 
-    void execute(WorkerCommand order, long sentAt) {
-        String key = order.job() + "/" + order.task() + "#" + order.attempt();
+    void execute(WorkerCommand command, long sentAt) {
+        String key = command.job() + "/" + command.task() + "#" + command.attempt();
         SimAttempt attempt = attempts.get(key);
-        switch (order.action()) {
+        switch (command.action()) {
             case LAUNCH -> {
                 if (attempt == null) {
-                    launch(order, key, sentAt);
+                    launch(command, key, sentAt);
                 }
             }
             case STOP -> {
                 if (attempt != null && !attempt.hasExited()) {
-                    stop(attempt, order.graceS());
+                    stop(attempt, command.graceS());
                 }
             }
             case FORGET -> {
                 if (attempt != null && attempt.hasExited()) {
-                    forget(order, key);
+                    forget(command, key);
                 }
             }
         }
-        worker.heartbeats.hasten();
+        worker.heartbeats.sendSoon();
     }
 
-    private void launch(WorkerCommand order, String key, long sentAt) {
+    private void launch(WorkerCommand command, String key, long sentAt) {
         if (forgotten.contains(key)) {
-            cluster.checker.violated("launched_again", key + " on " + worker.name + ", which was told to forget it");
+            cluster.checker.fail(
+                    "relaunched_after_forget", key + " on " + worker.name + " after the command to forget it");
         }
-        SimAttempt attempt = new SimAttempt(order.job(), order.task(), order.attempt(), sentAt);
+        SimAttempt attempt = new SimAttempt(command.job(), command.task(), command.attempt(), sentAt);
         boolean busy = attempts.values().stream()
-                .anyMatch(other -> !other.hasExited() && other.job.equals(order.job()) && other.task == order.task());
-        boolean fits = fits(cluster.users.job(order.job()));
+                .anyMatch(
+                        other -> !other.hasExited() && other.job.equals(command.job()) && other.task == command.task());
+        boolean fits = fits(cluster.users.job(command.job()));
         attempts.put(key, attempt);
         if (busy) {
             attempt.exit(ExitReason.BUSY);
         } else if (!fits) {
             attempt.exit(ExitReason.NO_ROOM);
         } else {
-            attempt.phaseEndsAt = cluster.now() + cluster.between(0, LONGEST_FETCH_MS);
+            attempt.phaseEndsAt = cluster.now() + cluster.randomBetween(0, MAX_FETCH_MS);
         }
     }
 
-    /** Lets a running task save its work if it may take the time, and ends it otherwise. */
+    /** Lets a running task save its work if the grace period suffices, and ends the attempt otherwise. */
     private void stop(SimAttempt attempt, double graceS) {
         double saveS = cluster.users.job(attempt.job).checkpointDurationS();
         if (attempt.phase == Phase.RUNNING && saveS > 0 && graceS >= saveS) {
@@ -152,9 +152,9 @@
         }
     }
 
-    private void forget(WorkerCommand order, String key) {
+    private void forget(WorkerCommand command, String key) {
         attempts.remove(key);
         forgotten.add(key);
-        forgottenBeforeDelayedLaunch += cluster.commands.hasLaunchInFlight(worker.name, order) ? 1 : 0;
+        forgottenBeforeDelayedLaunch += cluster.commands.hasLaunchInFlight(worker.name, command) ? 1 : 0;
     }
 }
--- a/src/test/java/dewlane/sim/SimWatches.java
+++ b/src/test/java/dewlane/sim/SimWatches.java
@@ -4,15 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The watches of the store: each blocks until there are changes after its revision, and is answered with them. */
+/**
+ * The watches of the store: each blocks until there are changes after its revision, and is answered with these changes.
+ */
 final class SimWatches {
     private record Watch(SimController controller, int incarnation, long since, long openedAt) {}
 
-    /** How long a watch blocks without a change, and how long its caller waits for it in all. */
+    /** How long a watch blocks without a change, and the caller's timeout. */
     private static final long BLOCK_MS = 1000;
 
     private static final long TIMEOUT_MS = 2500;
-    private static final long OPENING_MS = 60;
+    private static final long OPEN_DELAY_MS = 60;
 
     private final SimCluster cluster;
     private final SimStore store;
@@ -25,7 +27,7 @@
 
     void open(SimController controller, long since) {
         int incarnation = controller.incarnation;
-        cluster.after(OPENING_MS, () -> {
+        cluster.after(OPEN_DELAY_MS, () -> {
             if (controller.incarnation == incarnation) {
                 Watch watch = new Watch(controller, incarnation, since, cluster.now());
                 watches.add(watch);
@@ -42,7 +44,7 @@
         }
     }
 
-    /** Answers the watches that have changes to show or have blocked for long enough. */
+    /** Answers the watches for which there are changes or whose blocking time has passed. */
     void notifyAllDue() {
         if (store.unavailable) {
             return;
@@ -72,6 +74,7 @@
     private void answer(Watch watch) {
         Input changes = new Input.WatchEvents(store.changesAfter(watch.since), store.revision());
         cluster.after(
-                cluster.between(1, 6) + store.watchLagMs, () -> watch.controller.receive(watch.incarnation, changes));
+                cluster.randomBetween(1, 6) + store.watchLagMs,
+                () -> watch.controller.receive(watch.incarnation, changes));
     }
 }
--- a/src/test/java/dewlane/sim/StarvationChecker.java
+++ b/src/test/java/dewlane/sim/StarvationChecker.java
@@ -8,23 +8,24 @@
 import java.util.Map;
 
 /**
- * Checks, once all faults are over, that no job waits for 90 s while a machine that fits has room and its team is under
- * its quota. Jobs that are bound to places by their other tasks are left out.
+ * Checks, once all faults are over, that no job waits for more than 90 s while the same suitable machine has room for
+ * it and its team is below its quota. Jobs whose tasks are constrained to the same zone or to be spread over zones are
+ * not checked, since the placement of their other tasks may rule the machine out.
  */
 final class StarvationChecker {
     private static final long INTERVAL_MS = 1000;
-    private static final long LONGEST_WAIT_MS = 90_000;
+    private static final long MAX_WAIT_MS = 90_000;
     private static final double CPU_TOLERANCE = 1e-9;
 
     private final SimCluster cluster;
     private final InvariantChecker checker;
-    /** By job and machine, since when the job waits while that machine has room for it. */
-    private final Map<String, Map<String, Long>> waitsBesideRoomSince;
+    /** By job and machine: since when the job has waited although the machine has room for it. */
+    private final Map<String, Map<String, Long>> waitingDespiteRoomSince;
 
     StarvationChecker(SimCluster cluster, InvariantChecker checker) {
         this.cluster = cluster;
         this.checker = checker;
-        this.waitsBesideRoomSince = new HashMap<>();
+        this.waitingDespiteRoomSince = new HashMap<>();
     }
 
     void start() {
@@ -34,26 +35,26 @@
     private void check(String id) {
         Job job = cluster.users.job(id);
         boolean waits = !cluster.users.isFinished(id) && !job.hasZoneConstraint() && waits(job) && isUnderQuota(job);
-        Map<String, Long> besideRoomSince = waitsBesideRoomSince.computeIfAbsent(id, key -> new HashMap<>());
-        besideRoomSince.keySet().removeIf(name -> !waits || !cluster.cloud.machines.containsKey(name));
+        Map<String, Long> despiteRoomSince = waitingDespiteRoomSince.computeIfAbsent(id, key -> new HashMap<>());
+        despiteRoomSince.keySet().removeIf(name -> !waits || !cluster.cloud.machines.containsKey(name));
         Collection<SimWorker> workers = waits ? cluster.workers() : List.of();
         for (SimWorker worker : workers) {
             if (!worker.hasRoom(job)) {
-                besideRoomSince.remove(worker.name);
+                despiteRoomSince.remove(worker.name);
                 continue;
             }
-            long since = besideRoomSince.computeIfAbsent(worker.name, key -> cluster.now());
-            if (cluster.now() - since > LONGEST_WAIT_MS) {
+            long since = despiteRoomSince.computeIfAbsent(worker.name, key -> cluster.now());
+            if (cluster.now() - since > MAX_WAIT_MS) {
                 String owner = Partitioner.ownerOf(SimFixtures.partitionMap(cluster), worker.name);
-                checker.violated(
-                        "left_waiting",
-                        id + " waits beside room on " + worker.name + " of " + owner + "\n"
+                checker.fail(
+                        "starved",
+                        id + " waits although there is room on " + worker.name + " of " + owner + "\n"
                                 + cluster.recentTrace(worker.name) + cluster.describeJob(id));
             }
         }
     }
 
-    /** True if the job has tasks that are neither done nor on a machine, and what it depends on is done. */
+    /** True if the job has tasks that are neither done nor on a machine, and all its dependencies are done. */
     private boolean waits(Job job) {
         if (!job.dependencies().stream().allMatch(checker::allTasksDone)) {
             return false;
--- a/src/test/java/dewlane/sim/UnreachableWorkerTest.java
+++ b/src/test/java/dewlane/sim/UnreachableWorkerTest.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Workers that stand still, do not hear or are gone, each found once and played again from the start. */
+/** Regression tests with workers that are frozen, receive nothing or are terminated. */
 class UnreachableWorkerTest {
     private static final long SEED = 5;
     private static final String JOB = jobId(1);
@@ -37,9 +37,12 @@
         assertEquals(Map.of(), cluster.store.scan(StoreKeys.SLICES));
     }
 
-    /** A fault the users named: heartbeats arrive, replies and commands do not. Being heard is not being reachable. */
+    /**
+     * A worker's heartbeats arrive at its controller, but replies and commands do not reach it. A heartbeat alone must
+     * not count as proof that a worker can be reached.
+     */
     @Test
-    void workerThatDoesNotHearItsControllerGetsNoLaunchFromItAndMovesToAnother() {
+    void workerUnreachableFromItsControllerGetsNoLaunchFromItAndIsTransferred() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 1, 2, 90));
 
         SimWorker worker = cluster.workers().stream()
@@ -60,10 +63,12 @@
                 assertFalse(launched && cluster.now() < 28_000, "launched at " + cluster.now());
             }
         }
-        assertTrue(partitionMap(cluster).reassignedMachines().containsKey(worker.name), "one that it hears has it");
+        assertTrue(
+                partitionMap(cluster).reassignedMachines().containsKey(worker.name),
+                "a controller that reaches it owns it");
         cluster.runUntil(200_000);
 
-        assertEquals(1, cluster.recentTrace("start wk-000001/").lines().count(), "and lost nothing");
+        assertEquals(1, cluster.recentTrace("start wk-000001/").lines().count(), "its task was not restarted");
         assertFinished(cluster, JOB);
     }
 
@@ -75,7 +80,7 @@
     }
 
     @Test
-    void cancelledTaskOnWorkerThatDoesNotHearEndsInTime() {
+    void cancelledTaskOnWorkerWithBlockedInboundMessagesEndsInTime() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 12, 2, 200));
 
         SimWorker worker = cluster.workers().iterator().next();
@@ -89,7 +94,7 @@
     }
 
     @Test
-    void workersThatAllStopHearingForMomentAreKeptAndLoseNoTask() {
+    void workersThatAreAllBrieflyUnreachableAreKeptAndLoseNoTask() {
         SimCluster cluster = clusterRunning(SEED, 6, 16_000, job(1, 12, 2, 60));
 
         cluster.workers().forEach(worker -> worker.inboundBlocked = true);
@@ -97,38 +102,42 @@
         cluster.workers().forEach(worker -> worker.inboundBlocked = false);
         cluster.runUntil(150_000);
 
-        assertEquals(6, cluster.workers().size(), "none was deleted");
-        assertEquals(12, cluster.checker.taskStarts, "and every task ran to its end where it was");
+        assertEquals(6, cluster.workers().size(), "no machine was deleted");
+        assertEquals(12, cluster.checker.taskStarts, "no task was restarted");
         assertFinished(cluster, JOB);
     }
 
-    /** A fault the users named: copies of heartbeats come late, to any controller. */
+    /**
+     * Duplicates of a terminated machine's heartbeats arrive late, at any controller. They must not make the machine
+     * count as present, nor transfer or decommission others.
+     */
     @Test
-    void lateHeartbeatCopyBringsNoMachineBackAndMovesNone() {
+    void lateDuplicateHeartbeatRestoresNoTerminatedMachineAndTransfersNone() {
         SimCluster cluster = cluster(SEED, 6);
-        SimWorker gone = cluster.workers().iterator().next();
-        List<Heartbeat> copies = List.of(gone.nextHeartbeat(), gone.nextHeartbeat(), gone.nextHeartbeat());
-        cluster.cloud.machines.remove(gone.name);
-        gone.terminate();
+        SimWorker terminated = cluster.workers().iterator().next();
+        List<Heartbeat> duplicates =
+                List.of(terminated.nextHeartbeat(), terminated.nextHeartbeat(), terminated.nextHeartbeat());
+        cluster.cloud.machines.remove(terminated.name);
+        terminated.terminate();
         cluster.runUntil(50_000);
 
         cluster.crashAllControllers(300);
         cluster.runUntil(60_000);
         StoredValue.PartitionMap mapBefore = partitionMap(cluster);
         Set<String> recordsBefore = cluster.store.scan(StoreKeys.DECOMMISSIONS).keySet();
-        for (int i = 0; i < copies.size(); i++) {
+        for (int i = 0; i < duplicates.size(); i++) {
             for (SimController controller : cluster.controllers.values()) {
-                gone.heartbeats.deliverCopy(copies.get(i), controller, 1 + 4000L * i);
+                terminated.heartbeats.deliverDuplicate(duplicates.get(i), controller, 1 + 4000L * i);
             }
         }
         cluster.users.submit(job(1, 14, 2, 5));
         cluster.runUntil(140_000);
-        assertEquals(mapBefore, partitionMap(cluster), "no machine was moved");
+        assertEquals(mapBefore, partitionMap(cluster), "no machine was transferred");
         Map<String, StoredValue> records = cluster.store.scan(StoreKeys.DECOMMISSIONS);
         records.keySet().removeAll(recordsBefore);
 
-        assertEquals(Map.of(), records, "none was condemned");
-        assertFalse(cluster.recentTrace("wk-000001/").contains("on " + gone.name));
-        assertEquals(14, cluster.checker.taskStarts, "nothing was launched on what is gone");
+        assertEquals(Map.of(), records, "no machine was decommissioned");
+        assertFalse(cluster.recentTrace("wk-000001/").contains("on " + terminated.name));
+        assertEquals(14, cluster.checker.taskStarts, "nothing was launched on the terminated machine");
     }
 }
--- a/src/test/java/dewlane/sim/WorkerFaults.java
+++ b/src/test/java/dewlane/sim/WorkerFaults.java
@@ -1,25 +1,28 @@
 package dewlane.sim;
 
-/** Faults of workers and their machines: they are gone, stand still, are cut off, fail tasks or do not hear. */
+/**
+ * Faults of workers and their machines: they are terminated or frozen, lose messages in one or both directions, or fail
+ * their tasks.
+ */
 final class WorkerFaults {
     private WorkerFaults() {}
 
     static void terminate(FaultTarget target) {
         target.worker().ifPresent(worker -> {
-            target.cluster().trace("vanish " + worker.name);
+            target.cluster().trace("terminate " + worker.name);
             worker.terminate();
         });
     }
 
     static void freeze(FaultTarget target) {
-        int ms = target.cluster().between(2000, 40_000);
+        int ms = target.cluster().randomBetween(2000, 40_000);
         target.worker().ifPresent(worker -> freezeOnce(worker, ms));
     }
 
     /**
-     * A machine stands still once, for less than a cancellation may take: with one that did for longer, all controllers
-     * gone and the store out, nobody would be left who could know what to end. {@link UnreachableWorkerTest} and
-     * {@link StoreOutageTest} have longer ones.
+     * Freezes a machine, at most once and for less than the cancellation deadline. If a machine were frozen for longer
+     * while all controllers are down and the store is unavailable, nothing could stop its cancelled tasks in time.
+     * {@link UnreachableWorkerTest} and {@link StoreOutageTest} test longer freezes.
      */
     private static void freezeOnce(SimWorker worker, int ms) {
         if (worker.frozenUntil == 0) {
@@ -31,9 +34,9 @@
         target.worker().ifPresent(worker -> disconnect(target, worker, 2000));
     }
 
-    private static void disconnect(FaultTarget target, SimWorker worker, int shortestMs) {
+    private static void disconnect(FaultTarget target, SimWorker worker, int minMs) {
         worker.disconnected = true;
-        target.afterBetween(shortestMs, 40_000, () -> worker.disconnected = false);
+        target.afterRandomDelay(minMs, 40_000, () -> worker.disconnected = false);
     }
 
     static void failTasks(FaultTarget target) {
@@ -43,7 +46,7 @@
         });
     }
 
-    /** Neither replies nor commands reach the worker, of all controllers or of one. */
+    /** Blocks replies and commands to a worker, from all controllers or from one. */
     static void blockInbound(FaultTarget target) {
         target.worker().ifPresent(worker -> {
             if (target.cluster().chance(0.5)) {
@@ -51,7 +54,7 @@
             } else {
                 worker.inboundBlockedFrom = target.controller().name;
             }
-            target.afterBetween(2000, 60_000, () -> {
+            target.afterRandomDelay(2000, 60_000, () -> {
                 worker.inboundBlocked = false;
                 worker.inboundBlockedFrom = null;
             });
@@ -61,37 +64,40 @@
     static void blockOutbound(FaultTarget target) {
         target.worker().ifPresent(worker -> {
             worker.outboundBlocked = true;
-            target.afterBetween(5000, 50_000, () -> worker.outboundBlocked = false);
+            target.afterRandomDelay(5000, 50_000, () -> worker.outboundBlocked = false);
         });
     }
 
     static void deliverOldHeartbeats(FaultTarget target) {
         target.worker()
-                .ifPresent(worker -> target.forAllControllers(controller -> worker.heartbeats.deliverCopy(
-                        worker.nextHeartbeat(), controller, target.cluster().between(500, 80_000))));
+                .ifPresent(worker -> target.forAllControllers(controller -> worker.heartbeats.deliverDuplicate(
+                        worker.nextHeartbeat(), controller, target.cluster().randomBetween(500, 80_000))));
     }
 
-    /** Jobs are cancelled at once, and some of their machines stand still. */
+    /** Cancels several jobs and freezes some of the machines that run them. */
     static void freezeWhileCancelling(FaultTarget target) {
         SimCluster cluster = target.cluster();
         for (String job : cluster.users.cancelRunning(3)) {
             target.runningWorkers().stream()
                     .filter(worker -> worker.runningTasks(job) > 0)
                     .findFirst()
-                    .ifPresent(worker -> freezeOnce(worker, cluster.between(5000, 40_000)));
+                    .ifPresent(worker -> freezeOnce(worker, cluster.randomBetween(5000, 40_000)));
         }
     }
 
-    /** Half of a zone at once: gone, frozen or disconnected, with what was on its way held back. */
+    /**
+     * Terminates, freezes or disconnects about half of the machines of a zone at once; commands to frozen or
+     * disconnected machines arrive afterwards.
+     */
     static void loseHalfOfZone(FaultTarget target) {
         SimCluster cluster = target.cluster();
         String zone = cluster.chance(0.5) ? "east" : "west";
-        int how = cluster.random.nextInt(3);
+        int faultKind = cluster.random.nextInt(3);
         for (SimWorker worker : target.runningWorkers()) {
             if (worker.zone.equals(zone) && cluster.chance(0.5)) {
-                switch (how) {
+                switch (faultKind) {
                     case 0 -> worker.terminate();
-                    case 1 -> freezeOnce(worker, cluster.between(5000, 40_000));
+                    case 1 -> freezeOnce(worker, cluster.randomBetween(5000, 40_000));
                     default -> disconnect(target, worker, 5000);
                 }
             }
