--- a/src/main/java/dewlane/core/scheduling/JobTransactions.java
+++ b/src/main/java/dewlane/core/scheduling/JobTransactions.java
@@ -51,8 +51,9 @@
     }
 
     /**
-     * Returns true if a transaction for the job may be built: none is in flight, all stored values of the job can be
-     * read, and the transaction would be sent soon.
+     * Returns true if a transaction for the job may be built: the replica shows the outcome of the previous one, the
+     * backoff after an invalid one has passed, all stored values of the job can be read, and the transaction would be
+     * sent soon.
      */
     boolean isReady(JobEntry job) {
         JobProgress progress = machines.progress().getOrCreate(job.id());
@@ -90,7 +91,7 @@
         // Kept for the answer: the job's record may be deleted by then.
         Job job = update.job().job();
         JobProgress progress = update.progress();
-        progress.beginWrite();
+        progress.onWriteSubmitted();
         update.changedSlices().forEach(slice -> progress.closeBatch(slice.number()));
         TransactionPriority priority = update.hasLaunches() ? TransactionPriority.LAUNCH : TransactionPriority.OUTCOME;
         transactions.submit(
@@ -99,7 +100,7 @@
 
     private void onCompleted(JobUpdate update, Job job, Transaction.Status status, long revision) {
         JobProgress progress = update.progress();
-        progress.completeWrite(revision);
+        progress.onWriteAnswered(revision);
         if (status == Transaction.Status.COMMITTED) {
             counters.add(Counter.TASKS_LAUNCHED, update.launchCount());
         } else if (status == Transaction.Status.INVALID) {
--- a/src/main/java/dewlane/core/worker/CommandDispatcher.java
+++ b/src/main/java/dewlane/core/worker/CommandDispatcher.java
@@ -49,7 +49,8 @@
     }
 
     /**
-     * Responds to the machine's latest heartbeat, which shows that the previous response was received or is dropped.
+     * Responds to the machine's latest heartbeat, which shows that the worker has received the response to the previous
+     * one or will drop it.
      */
     void respond(Machine machine, long requestId) {
         machine.commandChannel().onResponseResolved();
@@ -74,11 +75,11 @@
      * a machine.
      */
     public void sendDirectCommands() {
-        if (!membership.isMember() || machines.changed().isEmpty()) {
+        if (!membership.isMember() || machines.machinesToPlan().isEmpty()) {
             return;
         }
         List<Machine> postponed = new ArrayList<>();
-        for (Machine machine : machines.changed()) {
+        for (Machine machine : machines.machinesToPlan()) {
             if (machine.address() == null || machine.worker().incarnation() == 0) {
                 continue;
             }
@@ -88,8 +89,8 @@
                 sendIfNeeded(machine);
             }
         }
-        machines.changed().clear();
-        machines.changed().addAll(postponed);
+        machines.machinesToPlan().clear();
+        machines.machinesToPlan().addAll(postponed);
     }
 
     private void sendIfNeeded(Machine machine) {
@@ -141,15 +142,15 @@
     }
 
     /**
-     * Marks machines to be planned again that are suspected, have attempts to be preempted, or do not report an
-     * assigned attempt yet: the command about it may be lost.
+     * Marks machines to have their commands planned again if they are suspected, have attempts to be preempted, or do
+     * not report an assigned attempt yet, as the command about that attempt may be lost.
      */
     public void tick() {
         for (Machine machine : machines.owned()) {
             if (machine.reachability().isSuspected()
                     || !machine.commands().preempted().isEmpty()
                     || hasUnreportedAttempt(machine)) {
-                machines.markChanged(machine);
+                machines.markForPlanning(machine);
             }
         }
     }
--- a/src/test/java/dewlane/core/fleet/CommandChannelTest.java
+++ b/src/test/java/dewlane/core/fleet/CommandChannelTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dewlane.core.fleet.ChannelModel.Message;
-import dewlane.core.fleet.ChannelModel.OnWorker;
-import dewlane.core.fleet.ChannelModel.Recorded;
+import dewlane.core.fleet.ChannelModel.CommandMessage;
+import dewlane.core.fleet.ChannelModel.StoredState;
 import dewlane.core.fleet.ChannelModel.Task;
+import dewlane.core.fleet.ChannelModel.WorkerTaskState;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
@@ -26,7 +26,7 @@
     private static final int MAX_COMMANDS_IN_FLIGHT = 2;
     private static final int MAX_RAISED_FENCES = 1;
     /** What a launch may lead to: the task runs, or it is refused or fails at once. */
-    private static final List<OnWorker> STARTED = List.of(OnWorker.RUNNING, OnWorker.ENDED);
+    private static final List<WorkerTaskState> STARTED = List.of(WorkerTaskState.RUNNING, WorkerTaskState.ENDED);
 
     private final Set<String> visited = new HashSet<>();
     private final Deque<ChannelModel> pending = new ArrayDeque<>();
@@ -48,8 +48,8 @@
     }
 
     /** Adds the model that results from an action on another model. */
-    private void branch(ChannelModel at, Consumer<ChannelModel> action) {
-        ChannelModel next = new ChannelModel(at);
+    private void branch(ChannelModel model, Consumer<ChannelModel> action) {
+        ChannelModel next = new ChannelModel(model);
         action.accept(next);
         add(next);
     }
@@ -65,44 +65,44 @@
     }
 
     private void count(ChannelModel model) {
-        bothForgotten += model.onWorker.values().stream().allMatch(state -> state == OnWorker.FORGOTTEN) ? 1 : 0;
+        bothForgotten += model.onWorker.values().stream().allMatch(state -> state == WorkerTaskState.FORGOTTEN) ? 1 : 0;
         boolean launchAfterForget = model.commandsInFlight.stream()
                 .flatMap(command -> command.launches().stream())
-                .anyMatch(task -> model.onWorker.get(task) == OnWorker.FORGOTTEN);
+                .anyMatch(task -> model.onWorker.get(task) == WorkerTaskState.FORGOTTEN);
         launchesAfterForget += launchAfterForget ? 1 : 0;
     }
 
-    private void expand(ChannelModel at) {
-        sendCommand(at);
-        for (OnWorker started : STARTED) {
-            for (Message command : at.commandsInFlight) {
-                deliverCommand(at, command, started, true);
-                deliverCommand(at, command, started, false);
+    private void expand(ChannelModel model) {
+        sendCommand(model);
+        for (WorkerTaskState started : STARTED) {
+            for (CommandMessage command : model.commandsInFlight) {
+                deliverCommand(model, command, started, true);
+                deliverCommand(model, command, started, false);
             }
-            deliverResponse(at, started);
-        }
-        timeOutCommand(at);
-        sendHeartbeat(at);
-        receiveHeartbeat(at);
-        receiveDelayedHeartbeat(at);
-        timeOutResponse(at);
-        raiseFence(at);
+            deliverResponse(model, started);
+        }
+        timeOutCommand(model);
+        sendHeartbeat(model);
+        receiveHeartbeat(model);
+        receiveDelayedHeartbeat(model);
+        timeOutResponse(model);
+        raiseFence(model);
         for (Task task : Task.values()) {
-            endTaskOnWorker(at, task);
-            storeTaskEnd(at, task);
+            endTaskOnWorker(model, task);
+            storeTaskEnd(model, task);
         }
     }
 
-    private void sendCommand(ChannelModel at) {
-        if (at.controllerAwaitsAnswer || at.commandsInFlight.size() >= MAX_COMMANDS_IN_FLIGHT) {
+    private void sendCommand(ChannelModel model) {
+        if (model.controllerAwaitsAnswer || model.commandsInFlight.size() >= MAX_COMMANDS_IN_FLIGHT) {
             return;
         }
-        ChannelModel next = new ChannelModel(at);
-        Message commands = next.planCommands();
+        ChannelModel next = new ChannelModel(model);
+        CommandMessage commands = next.planCommands();
         if (commands.launches().isEmpty() && commands.forgets().isEmpty()) {
             return;
         }
-        next.step(channel -> channel.onCommandSent(commands.launchKeys(), 0));
+        next.step(channel -> channel.onCommandSent(commands.launchIds(), 0));
         next.commandsInFlight.add(commands);
         next.awaitedCommand = commands;
         next.controllerAwaitsAnswer = true;
@@ -110,12 +110,13 @@
     }
 
     /** A command arrives, in time or delayed. Its answer reaches a controller that still awaits it, or is lost. */
-    private void deliverCommand(ChannelModel at, Message command, OnWorker started, boolean answerArrives) {
-        boolean isAwaited = at.awaitedCommand == command;
+    private void deliverCommand(
+            ChannelModel model, CommandMessage command, WorkerTaskState started, boolean answerArrives) {
+        boolean isAwaited = model.awaitedCommand == command;
         if (answerArrives && !isAwaited) {
             return;
         }
-        branch(at, next -> {
+        branch(model, next -> {
             next.commandsInFlight.remove(command);
             next.execute(command, started);
             if (isAwaited) {
@@ -129,9 +130,9 @@
         });
     }
 
-    private void timeOutCommand(ChannelModel at) {
-        if (at.controllerAwaitsAnswer) {
-            branch(at, next -> {
+    private void timeOutCommand(ChannelModel model) {
+        if (model.controllerAwaitsAnswer) {
+            branch(model, next -> {
                 next.controllerAwaitsAnswer = false;
                 next.awaitedCommand = null;
                 next.step(CommandChannel::onCommandTimedOut);
@@ -139,78 +140,78 @@
         }
     }
 
-    private void sendHeartbeat(ChannelModel at) {
-        if (!at.workerAwaitsResponse) {
-            branch(at, next -> {
+    private void sendHeartbeat(ChannelModel model) {
+        if (!model.workerAwaitsResponse) {
+            branch(model, next -> {
                 next.workerAwaitsResponse = true;
                 next.heartbeat = next.nextHeartbeat();
             });
         }
     }
 
-    private void receiveHeartbeat(ChannelModel at) {
-        if (at.heartbeat != null) {
-            branch(at, next -> {
+    private void receiveHeartbeat(ChannelModel model) {
+        if (model.heartbeat != null) {
+            branch(model, next -> {
                 next.heartbeat = null;
-                next.response = next.respondTo(at.heartbeat);
+                next.response = next.respondTo(model.heartbeat);
             });
         }
     }
 
     /** A heartbeat whose response the worker no longer awaits is handled like any other; the response is dropped. */
-    private void receiveDelayedHeartbeat(ChannelModel at) {
-        if (at.delayedHeartbeat != null) {
-            branch(at, next -> {
+    private void receiveDelayedHeartbeat(ChannelModel model) {
+        if (model.delayedHeartbeat != null) {
+            branch(model, next -> {
                 next.delayedHeartbeat = null;
-                next.respondTo(at.delayedHeartbeat);
+                next.respondTo(model.delayedHeartbeat);
             });
         }
     }
 
-    private void deliverResponse(ChannelModel at, OnWorker started) {
-        if (at.response != null) {
-            branch(at, next -> {
+    private void deliverResponse(ChannelModel model, WorkerTaskState started) {
+        if (model.response != null) {
+            branch(model, next -> {
                 next.response = null;
                 next.workerAwaitsResponse = false;
-                next.execute(at.response, started);
+                next.execute(model.response, started);
             });
         }
     }
 
     /** The worker stops awaiting the response and drops it if it arrives later. */
-    private void timeOutResponse(ChannelModel at) {
-        if (at.workerAwaitsResponse) {
-            branch(at, next -> {
+    private void timeOutResponse(ChannelModel model) {
+        if (model.workerAwaitsResponse) {
+            branch(model, next -> {
                 next.workerAwaitsResponse = false;
                 next.response = null;
-                next.delayedHeartbeat = at.heartbeat == null ? at.delayedHeartbeat : at.heartbeat;
+                next.delayedHeartbeat = model.heartbeat == null ? model.delayedHeartbeat : model.heartbeat;
                 next.heartbeat = null;
             });
         }
     }
 
     /** Raises the fence, as happens when the machine is suspected unreachable. */
-    private void raiseFence(ChannelModel at) {
-        if (at.raisedFences < MAX_RAISED_FENCES) {
-            branch(at, next -> {
+    private void raiseFence(ChannelModel model) {
+        if (model.raisedFences < MAX_RAISED_FENCES) {
+            branch(model, next -> {
                 next.raisedFences++;
                 next.step(CommandChannel::raiseFence);
             });
         }
     }
 
-    private void endTaskOnWorker(ChannelModel at, Task task) {
-        if (at.onWorker.get(task) == OnWorker.RUNNING) {
-            branch(at, next -> {
-                next.onWorker.put(task, OnWorker.ENDED);
+    private void endTaskOnWorker(ChannelModel model, Task task) {
+        if (model.onWorker.get(task) == WorkerTaskState.RUNNING) {
+            branch(model, next -> {
+                next.onWorker.put(task, WorkerTaskState.ENDED);
             });
         }
     }
 
-    private void storeTaskEnd(ChannelModel at, Task task) {
-        if (at.stored.get(task) == Recorded.END_REPORTED) {
-            branch(at, next -> {
-                next.stored.put(task, Recorded.END_DURABLE);
+    private void storeTaskEnd(ChannelModel model, Task task) {
+        if (model.stored.get(task) == StoredState.END_REPORTED) {
+            branch(model, next -> {
+                next.stored.put(task, StoredState.END_DURABLE);
             });
         }
     }
